--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -82,6 +82,11 @@
 
     /** Starts a member, for the first time or again, and returns once it serves. */
     void start(int member) throws IOException {
+        start(member, "");
+    }
+
+    /** The same after a shell command, which may run another build in the shell's place. */
+    void start(int member, String command) throws IOException {
         Path own = Files.createDirectories(folder.resolve(name(member) + "-" + ++starts[member]));
         Files.writeString(
                 own.resolve("config.json"),
