--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -112,7 +112,7 @@
                         ? "ending"
                         : !listening
                                 ? "not listening yet"
-                                : !gateway.engines().known()
+                                : !gateway.engineRegistry().hasReceivedList()
                                         ? "no list of engines yet"
                                         : loop.catchingUp()
                                                 ? "catching up after a stall"
@@ -122,7 +122,7 @@
                         why.equals("serving"),
                         why,
                         figures(),
-                        gateway.engines().listed(),
+                        gateway.engineRegistry().listedEngines(),
                         System.nanoTime());
         if (!publishing) {
             publishing = true;
@@ -140,15 +140,15 @@
     }
 
     private String figures() {
-        ClassMetrics f = gateway.figures();
+        ClassMetrics f = gateway.classMetrics();
         return new JsonObject()
-                .add("passed", byClass(f::passedOf))
-                .add("dropped", byClass(f::droppedOf))
-                .add("bad_gateway", byClass(f::failedOf))
-                .add("upstream_tries", byClass(f::triesOf))
-                .add("in_progress", gateway.open())
-                .add("known_engines", gateway.engines().listed().size())
-                .add("skipped_engines", gateway.engines().skipped())
+                .add("passed", byClass(f::servedCount))
+                .add("dropped", byClass(f::rejectedCount))
+                .add("bad_gateway", byClass(f::failedCount))
+                .add("upstream_tries", byClass(f::attemptCount))
+                .add("in_progress", gateway.openQueryCount())
+                .add("known_engines", gateway.engineRegistry().listedEngines().size())
+                .add("skipped_engines", gateway.engineRegistry().skippedEngineCount())
                 .toString();
     }
 
@@ -167,7 +167,7 @@
             out = now;
             Logger.info(
                     "engines taken out by hand: {}", now.stream().map(EngineId::value).toList());
-            loop.execute(() -> gateway.engines().takenOut(now));
+            loop.execute(() -> gateway.engineRegistry().setEnginesInMaintenance(now));
         }
         forget(now);
     }
--- a/src/main/java/junipercourse/cli/ConfigReloader.java
+++ b/src/main/java/junipercourse/cli/ConfigReloader.java
@@ -59,12 +59,12 @@
             Logger.error(
                     "the configuration stays as it was; the new one has a fault: {}",
                     e.getMessage());
-            loop.execute(() -> counters.add(Count.CONFIG_REJECTED));
+            loop.execute(() -> counters.increment(Count.CONFIG_REJECTED));
         }
     }
 
     private void apply(Config next, List<InitialEventsReader.Event> known) {
-        counters.add(Count.CONFIG_RELOADED);
+        counters.increment(Count.CONFIG_RELOADED);
         next.fixedChanges(atStart)
                 .forEach(
                         key ->
--- a/src/main/java/junipercourse/cli/DispatcherServer.java
+++ b/src/main/java/junipercourse/cli/DispatcherServer.java
@@ -79,7 +79,9 @@
     DispatcherServer(Config config, OptionalComponent part) throws IOException {
         this.config = config;
         this.part = part;
-        loop = new EventLoop(() -> counters.add(Count.INTERNAL_ERRORS), DispatcherServer::die);
+        loop =
+                new EventLoop(
+                        () -> counters.increment(Count.INTERNAL_ERRORS), DispatcherServer::die);
         boolean administered = config.admin() != null;
         descriptors =
                 new DescriptorBudget(
@@ -103,7 +105,7 @@
         gateway = new Gateway(loop, config.settings(), config.seed(), mostTaken, engines, counters);
         StatusTables shows = ProcessStatusTables.of(loop, counters, descriptors);
         if (part != null) {
-            part.showIn(shows);
+            part.addTables(shows);
         }
         front =
                 new PgServer(
@@ -122,7 +124,7 @@
                         config.known(),
                         config.zones(),
                         config.settings().engineKinds().stream().map(EngineKind::name).toList(),
-                        gateway::roster,
+                        gateway::updateEndpoints,
                         counters);
         staff =
                 administered
@@ -263,7 +265,7 @@
                             }
                             ending.run();
                             if (part != null) {
-                                part.end();
+                                part.shutDown();
                             }
                             Logger.info("{} ends: {}; {}", config.name(), counters, descriptors);
                             BoundedConsoleWriter.end();
--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -88,7 +88,7 @@
         loop.execute(
                 () -> {
                     begun = true;
-                    Logger.info("asked to end; {} queries are open", gateway.open());
+                    Logger.info("asked to end; {} queries are open", gateway.openQueryCount());
                     if (!listening) { // nobody has come
                         done.countDown();
                         return;
@@ -103,7 +103,7 @@
                             answeredAfter(),
                             () -> {
                                 untilIdle();
-                                gateway.lastAnswers().answerAll();
+                                gateway.shutdownResponder().answerOpenQueries();
                             });
                 });
         try {
@@ -119,14 +119,14 @@
 
     /** What comes on connections that were open before is started at once, or sent on as well. */
     private void handOver() {
-        gateway.lastAnswers().handOver(kept);
+        gateway.shutdownResponder().handOverQueries(kept);
         loop.after(HAND_OVER_S, this::handOver);
     }
 
     private void untilIdle() {
         front.end(
                 () ->
-                        gateway.whenIdle(
+                        gateway.runWhenIdle(
                                 () ->
                                         loop.execute(
                                                 () -> { // behind sessions' work on what they hold
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -129,7 +129,7 @@
             beside = another;
             Logger.info(another ? "another process runs beside this one" : "this process is alone");
             front.beside(another);
-            gateway.takeAtMost(another ? mostBeside : mostAlone);
+            gateway.limitOpenQueries(another ? mostBeside : mostAlone);
         }
         descriptors.allow(claim, another);
         held = descriptors.allowed();
--- a/src/main/java/junipercourse/cli/ProcessStatusTables.java
+++ b/src/main/java/junipercourse/cli/ProcessStatusTables.java
@@ -25,25 +25,27 @@
     static StatusTables of(EventLoop loop, Counters counters, DescriptorBudget descriptors) {
         StatusTables shows = new StatusTables();
         ProcessStatusTables tables = new ProcessStatusTables(loop, counters, descriptors);
-        counters.showIn(shows);
+        counters.addTable(shows);
         shows.add("stalls", tables::stalls, "figure", "value", "unit");
         shows.add("descriptors", tables::descriptors, "share", "figure", "count");
         return shows;
     }
 
-    private void stalls(StatusTables.Rows rows) {
+    private void stalls(StatusTables.RowWriter rows) {
         StallStatistics log = loop.stallLog();
-        rows.add("stalls", log.stalls(), "count")
-                .add("longest", millis(log.longest()), "ms")
-                .add("last", millis(log.lastLength()), "ms")
+        rows.add("stalls", log.stallCount(), "count")
+                .add("longest", millis(log.longestStallSeconds()), "ms")
+                .add("last", millis(log.lastStallSeconds()), "ms")
                 .add(
                         "last_at",
-                        log.stalls() == 0 ? "never" : Instant.ofEpochMilli(millis(log.lastAt())),
+                        log.stallCount() == 0
+                                ? "never"
+                                : Instant.ofEpochMilli(millis(log.lastStallEndUnixSeconds())),
                         "utc")
-                .add("total", millis(log.total()), "ms")
-                .add("longest_catch_up", millis(log.longestCatchUp()), "ms")
-                .add("clock_steps", log.steps(), "count")
-                .add("last_clock_step", millis(log.lastStep()), "ms")
+                .add("total", millis(log.totalStallSeconds()), "ms")
+                .add("longest_catch_up", millis(log.longestCatchUpSeconds()), "ms")
+                .add("clock_steps", log.clockStepCount(), "count")
+                .add("last_clock_step", millis(log.lastClockStepSeconds()), "ms")
                 .add("attempts_reexamined", counters.get(Count.STALLS_REEXAMINED), "count")
                 .add("attempts_left_alone", counters.get(Count.ATTEMPTS_LEFT_ALONE), "count")
                 .add("queries_unordered", counters.get(Count.QUERIES_UNORDERED), "count")
@@ -54,7 +56,7 @@
         return Math.round(seconds * 1e3);
     }
 
-    private void descriptors(StatusTables.Rows rows) {
+    private void descriptors(StatusTables.RowWriter rows) {
         rows.add("all", "limit", descriptors.limit()).add("own", "kept", descriptors.own());
         for (DescriptorBudget.Share s : descriptors.shares()) {
             rows.add(s.name(), "most", s.most())
--- a/src/main/java/junipercourse/core/AttemptRunner.java
+++ b/src/main/java/junipercourse/core/AttemptRunner.java
@@ -1,7 +1,7 @@
 package junipercourse.core;
 
+import junipercourse.core.Backend.AttemptCompletion;
 import junipercourse.core.Backend.AttemptListener;
-import junipercourse.core.Backend.End;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.TagsDispatcher;
 import junipercourse.decision.api.AttemptOutcome;
@@ -56,8 +56,8 @@
                 x != null
                         && settings.limits().maxAttempts() > 0
                         && x.sent() >= settings.limits().maxAttempts();
-        if (x == null || x.answered || x.out != null || spent || now >= x.query.notAfter()) {
-            counters.add(Count.ATTEMPTS_NOT_SENT);
+        if (x == null || x.answered || x.out != null || spent || now >= x.query.deadlineAt()) {
+            counters.increment(Count.ATTEMPTS_NOT_SENT);
             int attempt = x == null ? 0 : x.attempts++;
             turns.event(
                     later ->
@@ -76,33 +76,33 @@
             return;
         }
         int attempt = x.attempts++;
-        counters.add(Count.ATTEMPTS_SENT);
+        counters.increment(Count.ATTEMPTS_SENT);
         double until =
                 giveUpAfter > 0
-                        ? Math.min(now + giveUpAfter, x.query.notAfter())
-                        : x.query.notAfter();
+                        ? Math.min(now + giveUpAfter, x.query.deadlineAt())
+                        : x.query.deadlineAt();
         x.out =
-                backend.start(
+                backend.startAttempt(
                         engine,
                         x.query,
                         until,
                         new AttemptListener() {
                             @Override
-                            public void ended(End end) {
+                            public void onCompleted(AttemptCompletion end) {
                                 AttemptRunner.this.ended(x, engine, attempt, now, end);
                             }
 
                             @Override
-                            public boolean mayStart() {
+                            public boolean maySendRequest() {
                                 return AttemptRunner.this.mayStart(x, attempt);
                             }
 
                             @Override
-                            public void written() {
+                            public void onRequestWritten() {
                                 figures.tried(x.query.queryClass());
                             }
                         });
-        x.attemptTimeout = loop.at(until, () -> x.out.giveUp(AttemptOutcome.TIMEOUT));
+        x.attemptTimeout = loop.at(until, () -> x.out.abort(AttemptOutcome.TIMEOUT));
     }
 
     /**
@@ -110,7 +110,7 @@
      * while a connection comes up, and time has passed since the attempt was decided.
      */
     private boolean mayStart(InFlightQuery x, int attempt) {
-        return x.reply.present()
+        return x.reply.isClientWaiting()
                 && !x.answered
                 && module.attemptMayStart(loop.now(), new RequestId(x.id), attempt);
     }
@@ -119,17 +119,18 @@
     void cancel(RequestId id, int attempt) {
         InFlightQuery x = answers.find(id.value());
         if (x != null && x.out != null && attempt == x.attempts - 1) {
-            counters.add(Count.ATTEMPTS_CALLED_OFF);
-            x.out.giveUp(AttemptOutcome.CANCELLED);
+            counters.increment(Count.ATTEMPTS_CALLED_OFF);
+            x.out.abort(AttemptOutcome.CANCELLED);
         }
     }
 
-    private void ended(InFlightQuery x, EngineId engine, int attempt, double sentAt, End end) {
+    private void ended(
+            InFlightQuery x, EngineId engine, int attempt, double sentAt, AttemptCompletion end) {
         x.out = null;
         loop.cancel(x.attemptTimeout);
         x.attemptTimeout = null;
         x.unsent += end.outcome() == AttemptOutcome.NOT_SENT ? 1 : 0;
-        counters.add(Count.endOf(end.outcome()));
+        counters.increment(Count.endOf(end.outcome()));
         if (end.outcome() == AttemptOutcome.OK && !x.answered) {
             answers.served(x, end.pages());
         }
@@ -137,9 +138,9 @@
         // An answer that lay unread came earlier: how long we took to read it is no latency of the
         // engine's.
         ArrivalInterval read = loop.arrival();
-        boolean late = end.outcome() == AttemptOutcome.OK && !read.narrow();
-        double cameAt = Math.max(Math.max(sentAt, read.after()), turns.last());
-        float[] report = read.width() < REPORT_AGE_S ? end.report() : new float[0];
+        boolean late = end.outcome() == AttemptOutcome.OK && !read.isNarrow();
+        double cameAt = Math.max(Math.max(sentAt, read.earliest()), turns.last());
+        float[] report = read.widthSeconds() < REPORT_AGE_S ? end.loadReport() : new float[0];
         turns.event(
                 now ->
                         module.attemptEnded(
@@ -151,8 +152,8 @@
                                         end.outcome(),
                                         (late ? cameAt : now) - sentAt,
                                         over,
-                                        end.trueCost(),
-                                        end.trueMb(),
+                                        end.actualCost(),
+                                        end.actualMemoryMb(),
                                         report)));
         answers.release(x);
     }
--- a/src/main/java/junipercourse/core/Backend.java
+++ b/src/main/java/junipercourse/core/Backend.java
@@ -10,10 +10,10 @@
 /** What runs queries. */
 public interface Backend {
     /** An engine of the list and where it listens. */
-    record Member(EngineListing engine, InetSocketAddress address) {}
+    record EngineEndpoint(EngineListing engine, InetSocketAddress address) {}
 
     /** News of the engine list, as it was told to the module. */
-    void roster(EndpointUpdateKind kind, List<Member> members);
+    void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints);
 
     /**
      * Starts an attempt. Its end is told exactly once, and never before this call has returned. One
@@ -22,7 +22,7 @@
      *
      * @param giveUpAt Unix time in seconds until which the attempt is waited for
      */
-    Attempt start(EngineId engine, Query query, double giveUpAt, AttemptListener ending);
+    Attempt startAttempt(EngineId engine, Query query, double deadlineAt, AttemptListener listener);
 
     /** An attempt that is out. */
     interface Attempt {
@@ -30,33 +30,33 @@
          * Gives the attempt up; unless another end is on its way already, it ends so if it was
          * written.
          */
-        void giveUp(AttemptOutcome as);
+        void abort(AttemptOutcome outcome);
     }
 
     /** How an attempt ended. Pages are there with {@link AttemptOutcome#OK} only. */
-    record End(
+    record AttemptCompletion(
             AttemptOutcome outcome,
-            float[] report,
-            double trueCost,
-            double trueMb,
+            float[] loadReport,
+            double actualCost,
+            double actualMemoryMb,
             List<byte[]> pages) {
         private static final float[] NO_REPORT = {};
 
         /** An end without any news but its outcome. */
-        public static End of(AttemptOutcome outcome) {
-            return new End(outcome, NO_REPORT, 0, 0, List.of());
+        public static AttemptCompletion withOutcome(AttemptOutcome outcome) {
+            return new AttemptCompletion(outcome, NO_REPORT, 0, 0, List.of());
         }
     }
 
     /** Is told an attempt's end. */
     interface AttemptListener {
-        void ended(End end);
+        void onCompleted(AttemptCompletion completion);
 
         /**
          * Asked right before the first byte of the attempt's request, however long after {@link
          * #start} that is: false ends it unwritten, as {@link AttemptOutcome#NOT_SENT}.
          */
-        default boolean mayStart() {
+        default boolean maySendRequest() {
             return true;
         }
 
@@ -64,6 +64,6 @@
          * The attempt's request has been written whole to its engine; told once at most, before its
          * end.
          */
-        default void written() {}
+        default void onRequestWritten() {}
     }
 }
--- a/src/main/java/junipercourse/core/ClassMetrics.java
+++ b/src/main/java/junipercourse/core/ClassMetrics.java
@@ -34,22 +34,22 @@
     }
 
     /** Requests served whole. */
-    public long passedOf(int queryClass) {
+    public long servedCount(int queryClass) {
         return passed[queryClass];
     }
 
     /** Requests refused: trying again is harmless. */
-    public long droppedOf(int queryClass) {
+    public long rejectedCount(int queryClass) {
         return dropped[queryClass];
     }
 
     /** Requests answered as failed. */
-    public long failedOf(int queryClass) {
+    public long failedCount(int queryClass) {
         return failed[queryClass];
     }
 
     /** Attempts whose POST was written whole to an engine. */
-    public long triesOf(int queryClass) {
+    public long attemptCount(int queryClass) {
         return tries[queryClass];
     }
 }
--- a/src/main/java/junipercourse/core/Counters.java
+++ b/src/main/java/junipercourse/core/Counters.java
@@ -65,7 +65,7 @@
         }
 
         /** What the count belongs to, such as clients or ends. */
-        public String side() {
+        public String category() {
             return name().substring(0, name().indexOf('_')).toLowerCase(Locale.ROOT);
         }
 
@@ -78,12 +78,12 @@
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
 
     /** Adds the table of all counts. */
-    public void showIn(StatusTables shows) {
-        shows.add(
+    public void addTable(StatusTables statusTables) {
+        statusTables.add(
                 "counters",
                 rows -> {
                     for (Count c : Count.values()) {
-                        rows.add(c.side(), c.label(), get(c));
+                        rows.add(c.category(), c.label(), get(c));
                     }
                 },
                 "side",
@@ -91,12 +91,12 @@
                 "count");
     }
 
-    public void add(Count what) {
-        counts.merge(what, 1L, Long::sum);
+    public void increment(Count count) {
+        counts.merge(count, 1L, Long::sum);
     }
 
-    public long get(Count what) {
-        return counts.getOrDefault(what, 0L);
+    public long get(Count count) {
+        return counts.getOrDefault(count, 0L);
     }
 
     /** All counts above 0 in one line. */
--- a/src/main/java/junipercourse/core/EngineDirectory.java
+++ b/src/main/java/junipercourse/core/EngineDirectory.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.decision.api.EndpointUpdateKind;
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
@@ -19,7 +19,7 @@
  * its length.
  */
 final class EngineDirectory {
-    private final Map<EngineId, Member> listed = new HashMap<>();
+    private final Map<EngineId, EngineEndpoint> listed = new HashMap<>();
     private final Set<EngineId> out = new HashSet<>();
 
     /**
@@ -31,13 +31,13 @@
     private boolean told;
 
     /** Takes news in and gives them back as they are to be acted on. */
-    List<Member> news(EndpointUpdateKind kind, List<Member> members) {
+    List<EngineEndpoint> news(EndpointUpdateKind kind, List<EngineEndpoint> members) {
         told |= kind != EndpointUpdateKind.FAILED;
         if (kind == EndpointUpdateKind.FULL || kind == EndpointUpdateKind.CACHED) {
             listed.clear();
         }
-        List<Member> acted = new ArrayList<>();
-        for (Member m : members) {
+        List<EngineEndpoint> acted = new ArrayList<>();
+        for (EngineEndpoint m : members) {
             if (m.engine().stage() == EngineStage.GONE) {
                 listed.remove(m.engine().id());
             } else {
@@ -55,15 +55,15 @@
      * @param now Unix time in seconds
      * @return the listed engines for which that is news, as they are to be acted on
      */
-    List<Member> out(Set<EngineId> nowOut, double now) {
+    List<EngineEndpoint> out(Set<EngineId> nowOut, double now) {
         Set<EngineId> changed = new HashSet<>(out);
         changed.addAll(nowOut);
         changed.removeIf(id -> out.contains(id) == nowOut.contains(id));
         out.clear();
         out.addAll(nowOut);
-        List<Member> acted = new ArrayList<>();
+        List<EngineEndpoint> acted = new ArrayList<>();
         for (EngineId id : changed) {
-            Member m = listed.get(id);
+            EngineEndpoint m = listed.get(id);
             if (m != null) {
                 if (!out.contains(id)) {
                     putBack.put(id, now);
@@ -74,13 +74,13 @@
         return acted;
     }
 
-    private Member asActedOn(Member m) {
+    private EngineEndpoint asActedOn(EngineEndpoint m) {
         EngineListing e = m.engine();
         boolean held = e.stage() == EngineStage.READY && out.contains(e.id());
         double started = Math.max(e.startedAt(), putBack.getOrDefault(e.id(), 0.0));
         return !held && started == e.startedAt()
                 ? m
-                : new Member(
+                : new EngineEndpoint(
                         new EngineListing(
                                 e.id(),
                                 e.zone(),
--- a/src/main/java/junipercourse/core/EngineRegistry.java
+++ b/src/main/java/junipercourse/core/EngineRegistry.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.TagsDispatcher;
 import junipercourse.decision.api.EndpointUpdateKind;
@@ -35,8 +35,8 @@
         this.counters = counters;
     }
 
-    void roster(EndpointUpdateKind kind, List<Member> members) {
-        counters.add(Count.ROSTER_EVENTS);
+    void roster(EndpointUpdateKind kind, List<EngineEndpoint> members) {
+        counters.increment(Count.ROSTER_EVENTS);
         tell(kind, list.news(kind, members));
     }
 
@@ -44,16 +44,16 @@
      * Which engines the staff have taken out by hand: they are draining here, whatever the list
      * says.
      */
-    public void takenOut(Set<EngineId> ids) {
-        List<Member> changed = list.out(ids, loop.now());
+    public void setEnginesInMaintenance(Set<EngineId> inMaintenance) {
+        List<EngineEndpoint> changed = list.out(inMaintenance, loop.now());
         if (!changed.isEmpty()) {
             tell(EndpointUpdateKind.DELTA, changed);
         }
     }
 
     /** The back end knows of it before anything more is sent. */
-    private void tell(EndpointUpdateKind kind, List<Member> members) {
-        backend.roster(kind, members);
+    private void tell(EndpointUpdateKind kind, List<EngineEndpoint> members) {
+        backend.updateEndpoints(kind, members);
         turns.event(
                 now ->
                         module.endpointsChanged(
@@ -77,17 +77,17 @@
     }
 
     /** The engines in the list; none before the first list has come. */
-    public Set<EngineId> listed() {
+    public Set<EngineId> listedEngines() {
         return list.ids();
     }
 
     /** Whether a list of engines has come, be it an empty one. */
-    public boolean known() {
+    public boolean hasReceivedList() {
         return list.told();
     }
 
     /** How many listed engines get nothing new, whether by hand or by the module's choice. */
-    public int skipped() {
+    public int skippedEngineCount() {
         return list.skipped(Set.copyOf(module.ejectedEngines()));
     }
 }
--- a/src/main/java/junipercourse/core/EventBatcher.java
+++ b/src/main/java/junipercourse/core/EventBatcher.java
@@ -68,7 +68,7 @@
             call.accept(now);
             return true;
         } catch (RuntimeException e) {
-            counters.add(Count.INTERNAL_ERRORS);
+            counters.increment(Count.INTERNAL_ERRORS);
             Logger.error(e, "the decision module failed");
             return false;
         }
--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.DoubleConsumer;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.TagsDispatcher;
 import junipercourse.decision.api.DecisionSettings;
@@ -28,8 +28,8 @@
     private final DecisionSettings settings;
     private final Counters counters;
     private final TagsDispatcher module;
-    private final ClassMetrics figures;
-    private final EngineRegistry engines;
+    private final ClassMetrics classMetrics;
+    private final EngineRegistry engineRegistry;
     private final AttemptRunner attempts;
     private final OpenQueries answers;
     private final KeyOrderGate keys;
@@ -40,22 +40,22 @@
             EventLoop loop,
             DecisionSettings settings,
             long seed,
-            int mostTaken,
+            int maxOpenQueries,
             Backend backend,
             Counters counters) {
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
-        this.figures = new ClassMetrics(settings.queryClasses().size());
-        this.answers = new OpenQueries(loop, counters, figures);
+        this.classMetrics = new ClassMetrics(settings.queryClasses().size());
+        this.answers = new OpenQueries(loop, counters, classMetrics);
         this.module = new TagsDispatcher(settings, seed, this);
-        module.limitOpenRequests(mostTaken);
+        module.limitOpenRequests(maxOpenQueries);
         this.keys = new KeyOrderGate(loop, this::event, this::tellOrFail, (x, now) -> unordered(x));
         this.turns = new EventBatcher(loop, counters, keys::turnTold, module::decide);
-        this.engines = new EngineRegistry(loop, backend, module, turns, counters);
+        this.engineRegistry = new EngineRegistry(loop, backend, module, turns, counters);
         this.attempts =
                 new AttemptRunner(
-                        loop, settings, backend, module, turns, answers, counters, figures);
+                        loop, settings, backend, module, turns, answers, counters, classMetrics);
         loop.onStall(this::resumed);
     }
 
@@ -66,12 +66,12 @@
      * for one that is not taken: engines know queries by the client's id, and one is open or still
      * out under this.
      */
-    public long take(Query query, ResponseHandler reply) {
-        InFlightQuery x = answers.take(query, reply);
+    public long submit(Query query, ResponseHandler responseHandler) {
+        InFlightQuery x = answers.take(query, responseHandler);
         if (x == null) {
             return 0;
         }
-        x.lastMoment = loop.at(query.notAfter() - LAST_MOMENT_S, () -> lastMoment(x));
+        x.lastMoment = loop.at(query.deadlineAt() - LAST_MOMENT_S, () -> lastMoment(x));
         event(
                 now -> {
                     if (ordered(query)) {
@@ -97,7 +97,7 @@
      * known.
      */
     private void unordered(InFlightQuery x) {
-        counters.add(Count.QUERIES_UNORDERED);
+        counters.increment(Count.QUERIES_UNORDERED);
         answers.refused(
                 x,
                 settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0,
@@ -116,10 +116,10 @@
      * silence from now on.
      */
     private void resumed(StallDetector.Stall stall) {
-        counters.add(Count.STALLS_SEEN);
+        counters.increment(Count.STALLS_SEEN);
         for (InFlightQuery x : answers.all()) {
             if (x.out != null) {
-                counters.add(Count.STALLS_REEXAMINED);
+                counters.increment(Count.STALLS_REEXAMINED);
                 int attempt = x.attempts - 1;
                 event(
                         now ->
@@ -144,11 +144,11 @@
                                         new RequestId(x.id),
                                         query.queryClass(),
                                         query.tenant(),
-                                        query.notAfter(),
+                                        query.deadlineAt(),
                                         query.orderKey(),
                                         query.tableGroup(),
-                                        query.cost(),
-                                        query.memoryMb(),
+                                        query.costEstimate(),
+                                        query.memoryEstimateMb(),
                                         query.clientRetry())),
                 now);
     }
@@ -163,38 +163,38 @@
     }
 
     /** News of the engine list. */
-    public void roster(EndpointUpdateKind kind, List<Member> members) {
-        engines.roster(kind, members);
+    public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
+        engineRegistry.roster(kind, endpoints);
     }
 
     /** The engines as the list and the staff have them. */
-    public EngineRegistry engines() {
-        return engines;
+    public EngineRegistry engineRegistry() {
+        return engineRegistry;
     }
 
     /** Bounds the queries in hand from now on, as the constructor does. */
-    public void takeAtMost(int queries) {
-        module.limitOpenRequests(queries);
+    public void limitOpenQueries(int maxOpenQueries) {
+        module.limitOpenRequests(maxOpenQueries);
     }
 
     /** What was answered and tried, by class. */
-    public ClassMetrics figures() {
-        return figures;
+    public ClassMetrics classMetrics() {
+        return classMetrics;
     }
 
     /** Queries without a final answer. */
-    public int open() {
+    public int openQueryCount() {
         return answers.open();
     }
 
     /** Runs a task as soon as no query is open. */
-    public void whenIdle(Runnable task) {
+    public void runWhenIdle(Runnable task) {
         answers.whenIdle(task);
         event(now -> answers.checkIdle());
     }
 
     /** The answers at the end of this process. */
-    public ShutdownResponder lastAnswers() {
+    public ShutdownResponder shutdownResponder() {
         return new ShutdownResponder(settings, answers, this::abandonInModule);
     }
 
@@ -203,7 +203,7 @@
     private void lastMoment(InFlightQuery x) {
         x.lastMoment = null;
         if (!x.answered) {
-            counters.add(Count.QUERIES_LAST_MOMENT);
+            counters.increment(Count.QUERIES_LAST_MOMENT);
             answers.failed(x, "out of time");
             abandonInModule(x);
         }
--- a/src/main/java/junipercourse/core/KeyOrderGate.java
+++ b/src/main/java/junipercourse/core/KeyOrderGate.java
@@ -53,8 +53,8 @@
     private void admitSettled(double now) {
         double readUpTo = loop.readUpTo();
         for (InFlightQuery x = unsettled.peek(); x != null; x = unsettled.peek()) {
-            boolean settled = keyOrder.settled(x.query.arrival(), readUpTo);
-            boolean waits = !settled && now < x.query.arrival().at() + ORDER_WAIT_S;
+            boolean settled = keyOrder.isSettled(x.query.arrival(), readUpTo);
+            boolean waits = !settled && now < x.query.arrival().readAt() + ORDER_WAIT_S;
             if (waits && !x.answered) {
                 lookAtUnsettled();
                 break;
@@ -85,7 +85,7 @@
     /** All events of a turn are told. */
     void turnTold() {
         if (unsettled.isEmpty()) { // and no event is left
-            keyOrder.forget(loop.readUpTo());
+            keyOrder.discardSettledKeys(loop.readUpTo());
         }
     }
 }
--- a/src/main/java/junipercourse/core/OpenQueries.java
+++ b/src/main/java/junipercourse/core/OpenQueries.java
@@ -28,10 +28,10 @@
     /** Takes a query in hand; null if one of its id is open or still out. */
     InFlightQuery take(Query query, ResponseHandler reply) {
         if (!openIds.add(openId(query))) {
-            counters.add(Count.QUERIES_DOUBLED);
+            counters.increment(Count.QUERIES_DOUBLED);
             return null;
         }
-        counters.add(Count.QUERIES_TAKEN);
+        counters.increment(Count.QUERIES_TAKEN);
         InFlightQuery x = new InFlightQuery(query, reply);
         x.id = exchanges.add(x);
         open++;
@@ -53,30 +53,30 @@
     }
 
     void served(InFlightQuery x, List<byte[]> pages) {
-        counters.add(Count.QUERIES_SERVED);
+        counters.increment(Count.QUERIES_SERVED);
         figures.passed(x.query.queryClass());
-        x.reply.served(pages);
+        x.reply.onServed(pages);
         answered(x);
     }
 
     /** Trying again is harmless, best after so many seconds. */
     void refused(InFlightQuery x, double coolDown, String why) {
-        counters.add(Count.QUERIES_REFUSED);
+        counters.increment(Count.QUERIES_REFUSED);
         figures.dropped(x.query.queryClass());
-        x.reply.refused(coolDown, why);
+        x.reply.onRejected(coolDown, why);
         answered(x);
     }
 
     void failed(InFlightQuery x, String why) {
-        counters.add(Count.QUERIES_FAILED);
+        counters.increment(Count.QUERIES_FAILED);
         figures.failed(x.query.queryClass());
-        x.reply.failed(why);
+        x.reply.onFailed(why);
         answered(x);
     }
 
     /** Its client has left: no answer is owed. */
     void left(InFlightQuery x) {
-        counters.add(Count.CLIENTS_LEFT);
+        counters.increment(Count.CLIENTS_LEFT);
         answered(x);
     }
 
--- a/src/main/java/junipercourse/core/OptionalComponent.java
+++ b/src/main/java/junipercourse/core/OptionalComponent.java
@@ -3,7 +3,7 @@
 /** A part of the program that only some installations have. Queries never wait for it. */
 public interface OptionalComponent {
     /** Adds its tables. */
-    void showIn(StatusTables shows);
+    void addTables(StatusTables statusTables);
 
     /** Called once clients can connect; returns at once. */
     void start();
@@ -11,5 +11,5 @@
     /**
      * Called after the last answer, before the process ends; waits for a part of a second at most.
      */
-    void end();
+    void shutDown();
 }
--- a/src/main/java/junipercourse/core/ResponseHandler.java
+++ b/src/main/java/junipercourse/core/ResponseHandler.java
@@ -8,16 +8,16 @@
      * Whether the client still waits for it, after all that lies there of the client's has been
      * read: its end may have come and not had its turn. May call {@link Gateway#abandon}.
      */
-    default boolean present() {
+    default boolean isClientWaiting() {
         return true;
     }
 
     /** All pages of the result, whole rows each, in order. */
-    void served(List<byte[]> pages);
+    void onServed(List<byte[]> pages);
 
     /** Trying again is harmless, best after so many seconds. */
-    void refused(double coolDown, String why);
+    void onRejected(double retryAfterSeconds, String reason);
 
     /** Failed; nothing is promised about effects. */
-    void failed(String why);
+    void onFailed(String reason);
 }
--- a/src/main/java/junipercourse/core/ShutdownResponder.java
+++ b/src/main/java/junipercourse/core/ShutdownResponder.java
@@ -30,14 +30,14 @@
      *
      * @param kept so many queries stay in hand at most, if that can be
      */
-    public void handOver(int kept) {
+    public void handOverQueries(int maxKeptQueries) {
         List<InFlightQuery> open =
                 answers.all().stream()
                         .filter(x -> !x.answered)
-                        .sorted(Comparator.comparingDouble(x -> -x.query.arrival().at()))
+                        .sorted(Comparator.comparingDouble(x -> -x.query.arrival().readAt()))
                         .toList();
         for (InFlightQuery x : open) {
-            if (x.sent() == 0 || answers.open() > kept && harmless(x)) {
+            if (x.sent() == 0 || answers.open() > maxKeptQueries && harmless(x)) {
                 answers.refused(x, 0, "the dispatcher is being replaced");
                 abandon.accept(x);
             }
@@ -57,7 +57,7 @@
      * Answers what is still open: a client told now can go elsewhere; one cut off by our end cannot
      * tell.
      */
-    public void answerAll() {
+    public void answerOpenQueries() {
         for (InFlightQuery x : answers.all()) {
             if (!x.answered) {
                 if (harmless(x)) {
--- a/src/main/java/junipercourse/core/SlotTable.java
+++ b/src/main/java/junipercourse/core/SlotTable.java
@@ -44,7 +44,7 @@
     }
 
     /** The holder of the id with these lower 32 bits, or null. */
-    public T find(int lowerBits) {
+    public T findByLowerBits(int lowerBits) {
         int index = (int) (lowerBits & INDEX_MASK);
         long id = index < items.size() ? generations.get(index) << INDEX_BITS | index : 0;
         return id != 0 && (int) id == lowerBits ? items.get(index) : null;
--- a/src/main/java/junipercourse/core/StatusTables.java
+++ b/src/main/java/junipercourse/core/StatusTables.java
@@ -20,11 +20,11 @@
     }
 
     /** Takes the rows of a table. */
-    public static final class Rows {
+    public static final class RowWriter {
         private final StringBuilder text = new StringBuilder();
 
         /** Adds a row; what would break the rows apart is written as a space. */
-        public Rows add(Object... columns) {
+        public RowWriter add(Object... columns) {
             for (int i = 0; i < columns.length; i++) {
                 text.append(i == 0 ? "" : "\t")
                         .append(columns[i].toString().replaceAll("[\t\n\r]", " "));
@@ -35,7 +35,7 @@
     }
 
     /** Adds a table under a name. */
-    public void add(String name, Consumer<Rows> rows, String... columns) {
+    public void add(String name, Consumer<RowWriter> rows, String... columns) {
         Table before =
                 tables.put(
                         name.toLowerCase(Locale.ROOT),
@@ -47,7 +47,7 @@
 
                             @Override
                             public byte[] rows() {
-                                Rows all = new Rows();
+                                RowWriter all = new RowWriter();
                                 rows.accept(all);
                                 return all.text.toString().getBytes(StandardCharsets.UTF_8);
                             }
--- a/src/main/java/junipercourse/discovery/EndpointWatcher.java
+++ b/src/main/java/junipercourse/discovery/EndpointWatcher.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Objects;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.api.EndpointUpdateKind;
@@ -54,7 +54,7 @@
 
     /** Takes the news of the list. */
     public interface Listener {
-        void roster(EndpointUpdateKind kind, List<Member> members);
+        void roster(EndpointUpdateKind kind, List<EngineEndpoint> members);
     }
 
     private final EventLoop loop;
@@ -163,7 +163,7 @@
 
     private void connected(StreamConnection connection) {
         dial = null;
-        counters.add(Count.ROSTER_CONNECTED);
+        counters.increment(Count.ROSTER_CONNECTED);
         watch = new Watch(connection);
     }
 
@@ -214,7 +214,7 @@
                     take(f);
                 }
             } catch (WatchFrameDecoder.GarbledException e) {
-                counters.add(Count.ROSTER_GARBLED);
+                counters.increment(Count.ROSTER_GARBLED);
                 Logger.warn("event bus: {}; connecting again", e.getMessage());
                 again();
             }
@@ -243,7 +243,7 @@
 
         @Override
         public void crashed() {
-            counters.add(Count.INTERNAL_ERRORS);
+            counters.increment(Count.INTERNAL_ERRORS);
             disconnected();
         }
 
--- a/src/main/java/junipercourse/discovery/InitialEventsReader.java
+++ b/src/main/java/junipercourse/discovery/InitialEventsReader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import junipercourse.config.Config;
 import junipercourse.config.ConfigException;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
@@ -15,7 +15,7 @@
 /** Reads the events that the configuration holds under {@code known}. */
 public final class InitialEventsReader {
     /** One event. */
-    public record Event(long offset, boolean whole, List<Member> members) {}
+    public record Event(long offset, boolean whole, List<EngineEndpoint> members) {}
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -49,7 +49,7 @@
         if (list == null || !list.isArray()) {
             throw new ConfigException(path + ".topology.members", "not a list");
         }
-        List<Member> members = new ArrayList<>();
+        List<EngineEndpoint> members = new ArrayList<>();
         for (JsonValue item : list.asArray()) {
             String at = path + ".topology.members." + members.size();
             members.add(member(at, object(at, item)));
@@ -59,9 +59,9 @@
         return new Event((long) number(path, event, "offset"), whole, members);
     }
 
-    private Member member(String path, JsonObject m) {
+    private EngineEndpoint member(String path, JsonObject m) {
         InetSocketAddress address = Config.address(path + ".host_port", text(path, m, "host_port"));
-        return new Member(
+        return new EngineEndpoint(
                 new EngineListing(
                         id(path, text(path, m, "id")),
                         position(path + ".locality", zones, text(path, m, "locality")),
--- a/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
+++ b/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
@@ -26,7 +26,7 @@
     }
 
     /** One frame. */
-    record Frame(Kind kind, long number, List<Member> members) {}
+    record Frame(Kind kind, long number, List<EngineEndpoint> members) {}
 
     /** Bytes that are no frame. */
     static final class GarbledException extends Exception {
@@ -87,14 +87,14 @@
         if (kind >= Kind.values().length || payload % RECORD != 0 || kind == 0 && payload > 0) {
             throw new GarbledException("frame of kind " + kind + " with " + payload + " bytes");
         }
-        List<Member> members = new ArrayList<>();
+        List<EngineEndpoint> members = new ArrayList<>();
         for (int i = 0; i < payload / RECORD; i++) {
             members.add(member());
         }
         return new Frame(Kind.values()[kind], number, members);
     }
 
-    private Member member() throws GarbledException {
+    private EngineEndpoint member() throws GarbledException {
         EngineId id = new EngineId(pending.getInt() & 0xffffffffL);
         byte[] address = new byte[4];
         pending.get(address);
@@ -109,7 +109,7 @@
             throw new GarbledException("engine state " + state);
         }
         try {
-            return new Member(
+            return new EngineEndpoint(
                     new EngineListing(
                             id, zone, kind, cell, EngineStage.values()[state], weight, started),
                     new InetSocketAddress(InetAddress.getByAddress(address), port));
--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -36,7 +36,8 @@
      * need.
      */
     void begin(double overtake) {
-        if (evidence.wasHeard()) { // a silent engine's connection is not kept for its answer
+        if (evidence
+                .hasEngineResponded()) { // a silent engine's connection is not kept for its answer
             calls.dropIgnored(AttemptConnections.ANSWER_S);
             delete();
         } else { // guards against a DELETE that overtakes its POST and leaves the query running
@@ -54,7 +55,7 @@
     /** If nobody answers, the query is surely gone once it has not been asked for long enough. */
     private void untilForgotten() {
         double now = loop.now();
-        double gone = evidence.goneFrom();
+        double gone = evidence.latestExpiryTime();
         if (gone <= now) {
             done.run();
         } else { // a call that is on its way is dropped within the time for its answer
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -161,7 +161,7 @@
         public boolean mayWrite() {
             begins();
             onTheWay = true;
-            calls.evidence.writing(writtenAt, calls.loop.attended());
+            calls.evidence.recordCallStarted(writtenAt, calls.loop.attended());
             return true;
         }
 
@@ -183,7 +183,7 @@
         public final void over() {
             if (onTheWay) {
                 onTheWay = false;
-                calls.evidence.over(calls.loop.now());
+                calls.evidence.recordCallCompleted(calls.loop.now());
             }
         }
 
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import junipercourse.core.Backend;
+import junipercourse.core.Backend.AttemptCompletion;
 import junipercourse.core.Backend.AttemptListener;
-import junipercourse.core.Backend.End;
 import junipercourse.core.Counters;
 import junipercourse.core.Counters.Count;
 import junipercourse.core.Query;
@@ -28,7 +28,7 @@
     private static final int BREAKS = 12;
 
     /** A 202 that comes sooner was not held by the engine; its clock may be a little fast. */
-    private static final double NO_NEWS_S = AttemptLiveness.HOLD_S - 0.01;
+    private static final double NO_NEWS_S = AttemptLiveness.LONG_POLL_SECONDS - 0.01;
 
     /**
      * For what had left before its connection was reset to come in before what follows on another.
@@ -69,7 +69,12 @@
         this.ending = ending;
         calls = new AttemptConnections(loop, pool, evidence);
         givingUp =
-                new AttemptCancellation(loop, query, calls, evidence, () -> end(End.of(givenUpAs)));
+                new AttemptCancellation(
+                        loop,
+                        query,
+                        calls,
+                        evidence,
+                        () -> end(AttemptCompletion.withOutcome(givenUpAs)));
     }
 
     void start() {
@@ -106,18 +111,22 @@
          */
         @Override
         public boolean mayWrite() {
-            posted = ending.mayStart() && pool.ready() && givenUpAs == null && super.mayWrite();
+            posted =
+                    ending.maySendRequest()
+                            && pool.ready()
+                            && givenUpAs == null
+                            && super.mayWrite();
             return posted;
         }
 
         @Override
         public void written() {
-            ending.written();
+            ending.onRequestWritten();
         }
 
         @Override
         public void unreachable(boolean refused) {
-            end(End.of(AttemptOutcome.UNREACHABLE));
+            end(AttemptCompletion.withOutcome(AttemptOutcome.UNREACHABLE));
         }
 
         /** It may have run and may be running: only the engine can tell. */
@@ -126,7 +135,7 @@
             if (posted) {
                 askAgain();
             } else { // no room for a connection in all that time, or facts that have changed
-                end(End.of(AttemptOutcome.NOT_SENT));
+                end(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT));
             }
         }
     }
@@ -149,16 +158,16 @@
      * run.
      */
     private void askAgain() {
-        counters.add(Count.ENGINES_ASKED_AGAIN);
+        counters.increment(Count.ENGINES_ASKED_AGAIN);
         breaks++;
-        switch (evidence.unanswered(loop.now(), loop.attended())) {
-            case ENGINE_LOST -> end(End.of(AttemptOutcome.RESET));
-            case LEFT_ALONE -> leftAlone();
+        switch (evidence.assessUnansweredCall(loop.now(), loop.attended())) {
+            case ENGINE_LOST -> end(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
+            case NOT_POLLED -> leftAlone();
             default -> {
-                if (breaks >= (evidence.wasHeard() ? BREAKS : BREAKS_UNHEARD)) {
-                    giveUp(AttemptOutcome.ERROR);
+                if (breaks >= (evidence.hasEngineResponded() ? BREAKS : BREAKS_UNHEARD)) {
+                    abort(AttemptOutcome.ERROR);
                 } else {
-                    double first = evidence.wasHeard() ? ASK_AGAIN_FIRST_S : OVERTAKE_S;
+                    double first = evidence.hasEngineResponded() ? ASK_AGAIN_FIRST_S : OVERTAKE_S;
                     calls.later(breaks == 1 ? first : ASK_AGAIN_S, this::poll);
                 }
             }
@@ -167,8 +176,8 @@
 
     /** The engine dropped it because we were not there to ask: as if we had called it off. */
     private void leftAlone() {
-        counters.add(Count.ATTEMPTS_LEFT_ALONE);
-        end(End.of(AttemptOutcome.CANCELLED));
+        counters.increment(Count.ATTEMPTS_LEFT_ALONE);
+        end(AttemptCompletion.withOutcome(AttemptOutcome.CANCELLED));
     }
 
     private void poll() {
@@ -180,7 +189,7 @@
      * since whatever else is told ends the asking. But then its call is still on its way.
      */
     private void news(HttpResponse response, boolean trusted) {
-        boolean leftAlone = evidence.droppedByUs();
+        boolean leftAlone = evidence.mayHaveExpiredUnpolled();
         boolean neverRan = "1".equals(response.header("x-unrun"));
         switch (response.status()) {
             case 200 -> goodEnd(response);
@@ -202,7 +211,7 @@
     /** One that came too soon, where another came before: the next call goes elsewhere. */
     private void stillRuns(boolean trusted) {
         if (trusted) {
-            evidence.heard();
+            evidence.recordResponse();
             breaks = 0;
         } else {
             calls.reset();
@@ -211,17 +220,18 @@
     }
 
     private void spoilt() {
-        counters.add(Count.ENGINES_GARBLED);
+        counters.increment(Count.ENGINES_GARBLED);
         calls.reset();
         askAgain();
     }
 
-    private End plain(AttemptOutcome outcome, HttpResponse response) {
-        return new End(outcome, gauges.read(response.header("x-gauges")), 0, 0, List.of());
+    private AttemptCompletion plain(AttemptOutcome outcome, HttpResponse response) {
+        return new AttemptCompletion(
+                outcome, gauges.read(response.header("x-gauges")), 0, 0, List.of());
     }
 
     private void goodEnd(HttpResponse response) {
-        evidence.heard();
+        evidence.recordResponse();
         goodEnd = response;
         if (pages.first(response)) {
             new ResultPageFetcher(query, pages, calls, evidence, counters, this::pagesDone).next();
@@ -233,13 +243,13 @@
     private void pagesDone(boolean whole) {
         if (whole) {
             end(
-                    new End(
+                    new AttemptCompletion(
                             AttemptOutcome.OK,
                             gauges.read(goodEnd.header("x-gauges")),
                             goodEnd.decimal("x-effort") / 1000,
                             goodEnd.decimal("x-footprint"),
                             pages.all()));
-        } else if (evidence.droppedByUs()) {
+        } else if (evidence.mayHaveExpiredUnpolled()) {
             leftAlone();
         } else {
             end(plain(AttemptOutcome.ERROR, goodEnd));
@@ -247,26 +257,26 @@
     }
 
     @Override
-    public void giveUp(AttemptOutcome as) {
+    public void abort(AttemptOutcome as) {
         if (over || givenUpAs != null) {
             return;
         }
         givenUpAs = as;
         calls.ignore();
         if (!calls.began() || !posted) { // nothing was written
-            loop.execute(() -> end(End.of(AttemptOutcome.NOT_SENT)));
+            loop.execute(() -> end(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
             return;
         }
         givingUp.begin(OVERTAKE_S);
     }
 
     /** The one place where an attempt ends. */
-    private void end(End end) {
+    private void end(AttemptCompletion end) {
         if (!over) {
             over = true;
             givingUp.end();
             calls.end();
-            ending.ended(end);
+            ending.onCompleted(end);
         }
     }
 }
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -44,9 +44,9 @@
     }
 
     @Override
-    public void roster(EndpointUpdateKind kind, List<Member> members) {
+    public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> members) {
         Set<EngineId> named = new HashSet<>();
-        for (Member m : members) {
+        for (EngineEndpoint m : members) {
             EngineListing e = m.engine();
             named.add(e.id());
             if (e.stage() == EngineStage.GONE) {
@@ -80,10 +80,14 @@
     }
 
     @Override
-    public Attempt start(EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
+    public Attempt startAttempt(
+            EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
         EnginePool pool = pools.get(engine);
         if (pool == null || !pool.ready()) {
-            loop.execute(() -> ending.ended(End.of(AttemptOutcome.NOT_SENT)));
+            loop.execute(
+                    () ->
+                            ending.onCompleted(
+                                    AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
             return as -> {};
         }
         EngineAttempt fetch =
--- a/src/main/java/junipercourse/engine/EngineConnection.java
+++ b/src/main/java/junipercourse/engine/EngineConnection.java
@@ -60,7 +60,7 @@
             return false;
         }
         if (!link.quiet()) {
-            counters.add(Count.ENGINES_GARBLED);
+            counters.increment(Count.ENGINES_GARBLED);
             close();
             return false;
         }
@@ -105,7 +105,7 @@
             }
             answered(response, bytes.hasRemaining());
         } catch (HttpResponseParser.GarbledException e) {
-            counters.add(Count.ENGINES_GARBLED);
+            counters.increment(Count.ENGINES_GARBLED);
             Logger.warn("engine {}: {}; the connection is closed", pool.name(), e.getMessage());
             link.close();
             disconnected(); // the call on it is told at once, not when its answer is overdue
@@ -121,7 +121,7 @@
             nothingMore();
         }
         if (followed) { // a whole answer counts, but what follows it belongs to no call
-            counters.add(Count.ENGINES_GARBLED);
+            counters.increment(Count.ENGINES_GARBLED);
             close();
         } else if (response.keepAlive()) {
             owner.free(this);
@@ -133,7 +133,7 @@
 
     @Override
     public void crashed() {
-        counters.add(Count.INTERNAL_ERRORS);
+        counters.increment(Count.INTERNAL_ERRORS);
         disconnected();
     }
 
@@ -144,7 +144,7 @@
         call = null;
         if (broken != null) {
             link.abort(); // of a call that is told as broken nothing more may arrive
-            counters.add(Count.ENGINES_BROKEN);
+            counters.increment(Count.ENGINES_BROKEN);
             nothingMore();
             broken.broken();
         } else if (!unproven.isEmpty()) {
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 import java.util.Set;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters;
 import junipercourse.core.Counters.Count;
 import junipercourse.net.DescriptorBudget;
@@ -62,13 +62,17 @@
 
     private final EventLoop loop;
     private final Budget budget;
-    private final Member member;
+    private final EngineEndpoint member;
     private final double dialTimeout;
     private final Counters counters;
     private boolean ready = true;
 
     EnginePool(
-            EventLoop loop, Member member, double dialTimeout, Budget budget, Counters counters) {
+            EventLoop loop,
+            EngineEndpoint member,
+            double dialTimeout,
+            Budget budget,
+            Counters counters) {
         this.loop = loop;
         this.budget = budget;
         this.member = member;
@@ -81,7 +85,7 @@
     }
 
     /** Whether a listed engine is this one, where it was and not started since. */
-    boolean isOf(Member listed) {
+    boolean isOf(EngineEndpoint listed) {
         return member.address().equals(listed.address())
                 && member.engine().startedAt() == listed.engine().startedAt();
     }
@@ -118,7 +122,7 @@
                         member.address(),
                         dialTimeout,
                         c -> {
-                            counters.add(Count.ENGINES_CONNECTED);
+                            counters.increment(Count.ENGINES_CONNECTED);
                             EngineConnection up =
                                     new EngineConnection(loop, c, this, owner, counters);
                             call.dialing(up::close);
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -70,13 +70,13 @@
         @Override
         void told(HttpResponse response, boolean sure) {
             if (pages.further(response)) {
-                evidence.heard();
+                evidence.recordResponse();
                 breaks = 0;
                 next();
             } else if (response.status() >= FIRST_ERROR) {
                 done.done(false); // pages end with their engine, or when nobody asks for them
             } else { // spoilt, or a copy of a 202 or of another page: the engine still has this one
-                counters.add(Count.ENGINES_GARBLED);
+                counters.increment(Count.ENGINES_GARBLED);
                 calls.reset();
                 failed();
             }
@@ -86,7 +86,8 @@
         void failed() {
             breaks++;
             if (breaks >= BREAKS) {
-                evidence.heard(); // it is known to have ended well: nobody has left it alone
+                evidence.recordResponse(); // it is known to have ended well: nobody has left it
+                // alone
                 done.done(false);
             } else {
                 next();
--- a/src/main/java/junipercourse/fleet/FleetService.java
+++ b/src/main/java/junipercourse/fleet/FleetService.java
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void showIn(StatusTables tables) {
+    public void addTables(StatusTables tables) {
         tables.add(
                 "fleet",
                 rows -> table.fill(rows, snapshot, failure, stalls, messagesHeldBack, now()),
@@ -141,7 +141,7 @@
 
     /** Leaves the fleet and stops the thread. */
     @Override
-    public void end() {
+    public void shutDown() {
         ending = true;
         LockSupport.unpark(thread);
         try {
@@ -159,7 +159,7 @@
     private void run() {
         try {
             double now = now();
-            stallDetector.restart(now);
+            stallDetector.restartMeasurement(now);
             membership.start(now);
             double leftAt = Double.POSITIVE_INFINITY;
             while (now < leftAt + LEAVE_SECONDS) {
@@ -182,10 +182,10 @@
 
     /** Runs one turn; returns false if more must be read before timers may be evaluated. */
     private boolean turn(double now) {
-        StallDetector.Stall stall = stallDetector.turn(now);
+        StallDetector.Stall stall = stallDetector.recordIteration(now);
         if (stall != null) {
             stalls++;
-            membership.stalled(now, stall.length());
+            membership.stalled(now, stall.durationSeconds());
             drainTarget = transport.drainCount() + 2;
             drainDeadline = now + MAX_DRAIN_SECONDS;
         }
--- a/src/main/java/junipercourse/fleet/FleetTable.java
+++ b/src/main/java/junipercourse/fleet/FleetTable.java
@@ -37,7 +37,7 @@
      * @param now the protocol's time in seconds
      */
     void fill(
-            StatusTables.Rows rows,
+            StatusTables.RowWriter rows,
             MembershipSnapshot snapshot,
             String failure,
             long stalls,
@@ -60,7 +60,7 @@
         addLimits(rows);
     }
 
-    private void addMembers(StatusTables.Rows rows, MembershipSnapshot snapshot, double now) {
+    private void addMembers(StatusTables.RowWriter rows, MembershipSnapshot snapshot, double now) {
         MemberId self = snapshot.self();
         rows.add(
                 "self",
@@ -86,7 +86,7 @@
         }
     }
 
-    private void addCounters(StatusTables.Rows rows) {
+    private void addCounters(StatusTables.RowWriter rows) {
         TransportCounters counters = transport.counters();
         addFigure(rows, "link", "in", counters.received());
         addFigure(rows, "link", "in_bytes", counters.receivedBytes());
@@ -97,7 +97,7 @@
         }
     }
 
-    private void addLimits(StatusTables.Rows rows) {
+    private void addLimits(StatusTables.RowWriter rows) {
         addFigure(rows, "bound", "budget_bytes_per_s", config.membership().bytesPerSecond());
         addFigure(
                 rows,
@@ -132,7 +132,8 @@
         return text.isEmpty() ? NONE : text;
     }
 
-    private static void addFigure(StatusTables.Rows rows, String group, String name, Object value) {
+    private static void addFigure(
+            StatusTables.RowWriter rows, String group, String name, Object value) {
         rows.add(group, name, value, NONE, NONE, NONE, NONE);
     }
 }
--- a/src/main/java/junipercourse/liveness/ArrivalInterval.java
+++ b/src/main/java/junipercourse/liveness/ArrivalInterval.java
@@ -7,30 +7,30 @@
  * @param after they came no earlier than this: by then all that had come was read
  * @param at they were read at this time, and so came no later
  */
-public record ArrivalInterval(double after, double at) {
+public record ArrivalInterval(double earliest, double readAt) {
     /**
      * A narrow interval is as good as a point: a pass over all sockets and the beat lie within it.
      */
     private static final double NARROW_S = 0.1;
 
     public ArrivalInterval {
-        if (!(after <= at)) {
-            throw new IllegalArgumentException("after " + after + " lies beyond at " + at);
+        if (!(earliest <= readAt)) {
+            throw new IllegalArgumentException("after " + earliest + " lies beyond at " + readAt);
         }
     }
 
     /** Bytes that were read the moment they came. */
-    public static ArrivalInterval exact(double at) {
-        return new ArrivalInterval(at, at);
+    public static ArrivalInterval exact(double readAt) {
+        return new ArrivalInterval(readAt, readAt);
     }
 
-    public double width() {
-        return at - after;
+    public double widthSeconds() {
+        return readAt - earliest;
     }
 
-    /** Whether the time is known well enough to be taken as one point, {@link #at}. */
-    public boolean narrow() {
-        return width() <= NARROW_S;
+    /** Whether the time is known well enough to be taken as one point, {@link #readAt}. */
+    public boolean isNarrow() {
+        return widthSeconds() <= NARROW_S;
     }
 
     /**
@@ -38,8 +38,8 @@
      * long, the earliest: an answer that comes too early harms nobody, one that comes too late is
      * none.
      */
-    public double counted() {
-        return narrow() ? at : after;
+    public double clientWaitStart() {
+        return isNarrow() ? readAt : earliest;
     }
 
     /**
@@ -48,7 +48,7 @@
      * @param apart what at least lies between the writing of two messages whose order matters, in
      *     seconds
      */
-    public boolean mayPrecede(ArrivalInterval readEarlier, double apart) {
-        return after + apart < readEarlier.at;
+    public boolean mayPrecede(ArrivalInterval readEarlier, double minGapSeconds) {
+        return earliest + minGapSeconds < readEarlier.readAt;
     }
 }
--- a/src/main/java/junipercourse/liveness/ArrivalOrder.java
+++ b/src/main/java/junipercourse/liveness/ArrivalOrder.java
@@ -8,7 +8,7 @@
  * two requests that lay unread at the same time, on two connections, may have come either way; the
  * rule on order counts from when they came, not from when they were read.
  *
- * <p>A request may go on once nothing that came before it can still be unread ({@link #settled}).
+ * <p>A request may go on once nothing that came before it can still be unread ({@link #isSettled}).
  * Of several whose order is open, the first one read goes on and the others are to be refused
  * ({@link #admit}): what was refused never ran, so that any order among them was kept.
  *
@@ -16,20 +16,20 @@
  * unread, and so there are at most as many as requests that are read within that time.
  */
 public final class ArrivalOrder {
-    private final double apart;
+    private final double minGapSeconds;
     private final Map<Long, Double> lastAt = new HashMap<>();
 
     /** {@code apart}: seconds that clients leave at least between two requests of one key. */
-    public ArrivalOrder(double apart) {
-        if (!(apart >= 0)) {
-            throw new IllegalArgumentException("apart " + apart);
+    public ArrivalOrder(double minGapSeconds) {
+        if (!(minGapSeconds >= 0)) {
+            throw new IllegalArgumentException("apart " + minGapSeconds);
         }
-        this.apart = apart;
+        this.minGapSeconds = minGapSeconds;
     }
 
     /** Whether all that came before a request has been read, given up to when all has been. */
-    public boolean settled(ArrivalInterval request, double readUpTo) {
-        return readUpTo + apart >= request.at();
+    public boolean isSettled(ArrivalInterval request, double watermark) {
+        return watermark + minGapSeconds >= request.readAt();
     }
 
     /**
@@ -38,10 +38,10 @@
      */
     public boolean admit(long key, ArrivalInterval request) {
         Double last = lastAt.get(key);
-        if (last != null && request.mayPrecede(ArrivalInterval.exact(last), apart)) {
+        if (last != null && request.mayPrecede(ArrivalInterval.exact(last), minGapSeconds)) {
             return false;
         }
-        lastAt.put(key, last == null ? request.at() : Math.max(last, request.at()));
+        lastAt.put(key, last == null ? request.readAt() : Math.max(last, request.readAt()));
         return true;
     }
 
@@ -50,12 +50,12 @@
      * be called only while nothing that was read is still to be admitted: that may have come early,
      * too.
      */
-    public void forget(double readUpTo) {
-        lastAt.values().removeIf(at -> readUpTo + apart >= at);
+    public void discardSettledKeys(double watermark) {
+        lastAt.values().removeIf(at -> watermark + minGapSeconds >= at);
     }
 
     /** Keys that are remembered. */
-    public int size() {
+    public int trackedKeyCount() {
         return lastAt.size();
     }
 }
--- a/src/main/java/junipercourse/liveness/ReadWatermark.java
+++ b/src/main/java/junipercourse/liveness/ReadWatermark.java
@@ -10,50 +10,50 @@
  */
 public final class ReadWatermark {
     private double sentAt = Double.NaN;
-    private boolean seen;
+    private boolean recordProbeRead;
     private boolean behind;
-    private double readUpTo;
+    private double watermark;
 
     public ReadWatermark(double now) {
-        readUpTo = now;
+        watermark = now;
     }
 
     /** Whether a mark is on its way. */
-    public boolean running() {
+    public boolean isProbePending() {
         return !Double.isNaN(sentAt);
     }
 
     /** A mark is sent now. */
-    public void send(double now) {
-        if (running()) {
+    public void recordProbeSent(double now) {
+        if (isProbePending()) {
             throw new IllegalStateException("a mark is on its way");
         }
         sentAt = now;
-        seen = false;
+        recordProbeRead = false;
         behind = false;
     }
 
     /** The mark was read in this pass. */
-    public void seen() {
-        seen = running();
+    public void recordProbeRead() {
+        recordProbeRead = isProbePending();
     }
 
     /**
      * Something is left in this pass: connections that were not accepted, or a socket not read to
      * its end.
      */
-    public void leftOver() {
+    public void recordUnreadData() {
         behind = true;
     }
 
     /** All sockets of this pass were dealt with. Returns whether a mark came home. */
-    public boolean passOver() {
-        if (!seen) {
+    public boolean completePass() {
+        if (!recordProbeRead) {
             return false;
         }
-        seen = false;
+        recordProbeRead = false;
         if (!behind) {
-            readUpTo = sentAt;
+            watermark = sentAt;
         }
         behind = false;
         sentAt = Double.NaN;
@@ -61,7 +61,7 @@
     }
 
     /** All that came before this time has been read. */
-    public double readUpTo() {
-        return readUpTo;
+    public double watermark() {
+        return watermark;
     }
 }
--- a/src/main/java/junipercourse/liveness/StallDetector.java
+++ b/src/main/java/junipercourse/liveness/StallDetector.java
@@ -9,15 +9,15 @@
  * long. Times are seconds; {@code now} is monotonic and never steps, {@code wall} is the system's
  * Unix clock, which may.
  *
- * <p>{@link #attended} counts only the time in which the process could have read what came. A
- * silence that is measured with it never holds a gap of our own against the other side.
+ * <p>{@link #responsiveSeconds} counts only the time in which the process could have read what
+ * came. A silence that is measured with it never holds a gap of our own against the other side.
  */
 public final class StallDetector {
     private final double beat;
     private final double stallLeast;
     private final double stepLeast;
-    private double lastTurn;
-    private double attended;
+    private double lastIterationTime;
+    private double responsiveSeconds;
     private double offset;
 
     /**
@@ -26,10 +26,10 @@
      * @param from the last turn before it, in the loop's time
      * @param to the first turn after it
      */
-    public record Stall(double from, double to) {
+    public record Stall(double startTime, double endTime) {
         /** Its length in seconds. */
-        public double length() {
-            return to - from;
+        public double durationSeconds() {
+            return endTime - startTime;
         }
     }
 
@@ -39,42 +39,48 @@
      * @param stepLeast by how much the wall clock must leave the monotonic one to count as a step
      */
     public StallDetector(
-            double beat, double stallLeast, double stepLeast, double now, double wall) {
-        if (!(beat > 0) || !(stallLeast > 0) || !(stepLeast > 0)) {
+            double maxIterationGapSeconds,
+            double stallThresholdSeconds,
+            double stepThresholdSeconds,
+            double now,
+            double wallClock) {
+        if (!(maxIterationGapSeconds > 0)
+                || !(stallThresholdSeconds > 0)
+                || !(stepThresholdSeconds > 0)) {
             throw new IllegalArgumentException("beat, stall and step are to be above 0");
         }
-        this.beat = beat;
-        this.stallLeast = stallLeast;
-        this.stepLeast = stepLeast;
-        this.lastTurn = now;
-        this.offset = wall - now;
+        this.beat = maxIterationGapSeconds;
+        this.stallLeast = stallThresholdSeconds;
+        this.stepLeast = stepThresholdSeconds;
+        this.lastIterationTime = now;
+        this.offset = wallClock - now;
     }
 
     /** Counts from now on; what has passed since the last turn is no gap. */
-    public void restart(double now) {
-        lastTurn = now;
+    public void restartMeasurement(double now) {
+        lastIterationTime = now;
     }
 
     /**
      * A turn is had now. Returns the stall that has just ended, or null. A time that goes back
      * counts as none.
      */
-    public Stall turn(double now) {
-        double gap = Math.max(0, now - lastTurn);
-        double from = lastTurn;
-        lastTurn = Math.max(now, lastTurn);
-        attended += Math.min(gap, beat + stallLeast);
+    public Stall recordIteration(double now) {
+        double gap = Math.max(0, now - lastIterationTime);
+        double from = lastIterationTime;
+        lastIterationTime = Math.max(now, lastIterationTime);
+        responsiveSeconds += Math.min(gap, beat + stallLeast);
         return gap > beat + stallLeast ? new Stall(from, now) : null;
     }
 
     /** Seconds attended since the start, up to the last turn. */
-    public double attended() {
-        return attended;
+    public double responsiveSeconds() {
+        return responsiveSeconds;
     }
 
     /** The last turn, in the loop's time. */
-    public double lastTurn() {
-        return lastTurn;
+    public double lastIterationTime() {
+        return lastIterationTime;
     }
 
     /**
@@ -82,8 +88,8 @@
      * since the last look, in seconds and signed, or 0 if it kept pace. A machine that was
      * suspended shows as a step forward, since its monotonic clock stood still.
      */
-    public double step(double now, double wall) {
-        double moved = wall - now - offset;
+    public double detectClockStep(double now, double wallClock) {
+        double moved = wallClock - now - offset;
         if (Math.abs(moved) < stepLeast) {
             return 0;
         }
@@ -92,7 +98,7 @@
     }
 
     /** Turns a Unix time that somebody else has told into the loop's time. */
-    public double fromUnix(double unix) {
-        return unix - offset;
+    public double toLoopTime(double unixSeconds) {
+        return unixSeconds - offset;
     }
 }
--- a/src/main/java/junipercourse/liveness/StallStatistics.java
+++ b/src/main/java/junipercourse/liveness/StallStatistics.java
@@ -2,65 +2,65 @@
 
 /** Figures of the stalls seen since the start, for operators. Times are seconds. */
 public final class StallStatistics {
-    private long stalls;
-    private long steps;
-    private double longest;
-    private double total;
-    private double lastLength;
-    private double lastAt = Double.NaN;
-    private double lastStep;
-    private double longestCatchUp;
+    private long stallCount;
+    private long clockStepCount;
+    private double longestStallSeconds;
+    private double totalStallSeconds;
+    private double lastStallSeconds;
+    private double lastStallEndUnixSeconds = Double.NaN;
+    private double lastClockStepSeconds;
+    private double longestCatchUpSeconds;
 
     /** A stall has ended; {@code unix} is the Unix time of its end. */
-    public void stall(StallDetector.Stall stall, double unix) {
-        stalls++;
-        lastLength = stall.length();
-        longest = Math.max(longest, lastLength);
-        total += lastLength;
-        lastAt = unix;
+    public void recordStall(StallDetector.Stall stall, double endUnixSeconds) {
+        stallCount++;
+        lastStallSeconds = stall.durationSeconds();
+        longestStallSeconds = Math.max(longestStallSeconds, lastStallSeconds);
+        totalStallSeconds += lastStallSeconds;
+        lastStallEndUnixSeconds = endUnixSeconds;
     }
 
     /** The wall clock has stepped. */
-    public void step(double by) {
-        steps++;
-        lastStep = by;
+    public void recordClockStep(double stepSeconds) {
+        clockStepCount++;
+        lastClockStepSeconds = stepSeconds;
     }
 
     /** All that came during a stall has been read so long after its end. */
-    public void caughtUp(double seconds) {
-        longestCatchUp = Math.max(longestCatchUp, seconds);
+    public void recordCatchUp(double seconds) {
+        longestCatchUpSeconds = Math.max(longestCatchUpSeconds, seconds);
     }
 
-    public long stalls() {
-        return stalls;
+    public long stallCount() {
+        return stallCount;
     }
 
-    public long steps() {
-        return steps;
+    public long clockStepCount() {
+        return clockStepCount;
     }
 
-    public double longest() {
-        return longest;
+    public double longestStallSeconds() {
+        return longestStallSeconds;
     }
 
-    public double total() {
-        return total;
+    public double totalStallSeconds() {
+        return totalStallSeconds;
     }
 
-    public double lastLength() {
-        return lastLength;
+    public double lastStallSeconds() {
+        return lastStallSeconds;
     }
 
     /** Unix time of the last stall's end; NaN before the first. */
-    public double lastAt() {
-        return lastAt;
+    public double lastStallEndUnixSeconds() {
+        return lastStallEndUnixSeconds;
     }
 
-    public double lastStep() {
-        return lastStep;
+    public double lastClockStepSeconds() {
+        return lastClockStepSeconds;
     }
 
-    public double longestCatchUp() {
-        return longestCatchUp;
+    public double longestCatchUpSeconds() {
+        return longestCatchUpSeconds;
     }
 }
--- a/src/main/java/junipercourse/net/Connection.java
+++ b/src/main/java/junipercourse/net/Connection.java
@@ -61,7 +61,7 @@
         source.setReadListener(c -> readable());
         sink.setWriteListener(c -> writable());
         arrival = loop.arrival();
-        doubt(arrival.after()); // it may have brought bytes with it
+        doubt(arrival.earliest()); // it may have brought bytes with it
         source.resumeReads();
     }
 
@@ -74,7 +74,9 @@
     private ArrivalInterval arrivalNow() {
         ArrivalInterval seen = loop.arrival();
         boolean doubted = !Double.isNaN(unreadSince) && loop.readUpTo() <= doubtedAt;
-        return doubted ? new ArrivalInterval(Math.min(unreadSince, seen.after()), seen.at()) : seen;
+        return doubted
+                ? new ArrivalInterval(Math.min(unreadSince, seen.earliest()), seen.readAt())
+                : seen;
     }
 
     /** When the bytes that were read last have come. */
@@ -101,7 +103,7 @@
                 handler.received(input);
             }
             if (!closed) { // what is left came after what was read
-                doubt(arrival.after());
+                doubt(arrival.earliest());
             }
         } catch (IOException e) {
             fail();
@@ -149,7 +151,7 @@
             return;
         }
         if (on && !source.isReadResumed()) {
-            doubt(Double.isNaN(unreadSince) ? loop.arrival().after() : unreadSince);
+            doubt(Double.isNaN(unreadSince) ? loop.arrival().earliest() : unreadSince);
             source.resumeReads();
         } else if (!on) {
             source.suspendReads();
--- a/src/main/java/junipercourse/net/StallRecovery.java
+++ b/src/main/java/junipercourse/net/StallRecovery.java
@@ -54,18 +54,18 @@
 
     /** From now on gaps are stalls. */
     void attend() {
-        attention.restart(loop.now());
+        attention.restartMeasurement(loop.now());
         attending = true;
     }
 
     /** Seconds in which this process has attended to its sockets. */
     double attended() {
-        return attention.attended();
+        return attention.responsiveSeconds();
     }
 
     /** Turns a Unix time told by others, in seconds, into the loop's. */
     double fromUnix(double unix) {
-        return attention.fromUnix(unix);
+        return attention.toLoopTime(unix);
     }
 
     /** Figures of those that were. */
@@ -97,10 +97,10 @@
     /** The thread has a turn: the first after a gap finds the stall. */
     void turn() {
         double now = loop.now();
-        StallDetector.Stall found = attending ? attention.turn(now) : null;
+        StallDetector.Stall found = attending ? attention.recordIteration(now) : null;
         if (found != null) {
             marksToCome = MARKS_TO_CATCH_UP;
-            stall = stall == null ? found : new StallDetector.Stall(stall.from(), now);
+            stall = stall == null ? found : new StallDetector.Stall(stall.startTime(), now);
             stalledUntil = now;
         }
     }
@@ -108,9 +108,9 @@
     /** Compares the clocks, and ends a catching-up that takes too long. */
     void beat() {
         double wall = clock.unix();
-        double step = attention.step(loop.now(), wall);
+        double step = attention.detectClockStep(loop.now(), wall);
         if (step != 0) {
-            log.step(step);
+            log.recordClockStep(step);
             Logger.warn(
                     "the system's clock has stepped by {} s, or the machine was suspended", step);
         }
@@ -142,12 +142,12 @@
     private void caughtUp() {
         StallDetector.Stall ended = stall;
         stall = null;
-        log.stall(ended, clock.unix());
-        log.caughtUp(loop.now() - ended.to());
+        log.recordStall(ended, clock.unix());
+        log.recordCatchUp(loop.now() - ended.endTime());
         Logger.warn(
                 "this process did nothing for {} ms; read what came meanwhile in {} ms",
-                Math.round(ended.length() * 1e3),
-                Math.round((loop.now() - ended.to()) * 1e3));
+                Math.round(ended.durationSeconds() * 1e3),
+                Math.round((loop.now() - ended.endTime()) * 1e3));
         listeners.forEach(l -> thread.guarded(() -> l.accept(ended)));
         for (Runnable task = afterCatchUp.poll(); task != null; task = afterCatchUp.poll()) {
             thread.guarded(task);
--- a/src/main/java/junipercourse/net/WatermarkProbe.java
+++ b/src/main/java/junipercourse/net/WatermarkProbe.java
@@ -49,12 +49,12 @@
 
     /** All that came before this time has been read. */
     double readUpTo() {
-        return tide.readUpTo();
+        return tide.watermark();
     }
 
     /** Something is left in this pass, so that the mark on its way proves nothing. */
     void leftOver() {
-        tide.leftOver();
+        tide.recordUnreadData();
     }
 
     /**
@@ -76,12 +76,12 @@
 
     /** Sends a mark, unless one is on its way. */
     void send() {
-        if (tide.running()) {
+        if (tide.isProbePending()) {
             return;
         }
-        tide.send(loop.now());
+        tide.recordProbeSent(loop.now());
         if (acceptors.markGoesOut(stalls.catchingUp())) {
-            tide.leftOver();
+            tide.recordUnreadData();
         }
         mark.clear().limit(1);
         try {
@@ -98,7 +98,7 @@
         mark.clear();
         try {
             if (source.read(mark) > 0) {
-                tide.seen();
+                tide.recordProbeRead();
             }
         } catch (IOException e) {
             Logger.error(e, "the loop cannot read from its own pipe");
@@ -109,16 +109,16 @@
     private void passOver() {
         passOpen = false;
         if (acceptors.behind()) {
-            tide.leftOver();
+            tide.recordUnreadData();
         }
-        boolean looked = tide.passOver();
+        boolean looked = tide.completePass();
         if (looked) {
             List<Runnable> due = thisPass;
             thisPass = nextPass;
             nextPass = new ArrayList<>();
             due.forEach(thread::guarded);
         }
-        if (stalls.wantMark(looked, tide.readUpTo())) {
+        if (stalls.wantMark(looked, tide.watermark())) {
             send();
         }
     }
--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -51,7 +51,7 @@
     }
 
     Session find(int process) {
-        return sessions.find(process);
+        return sessions.findByLowerBits(process);
     }
 
     /** Whether all connections are closed. */
--- a/src/main/java/junipercourse/pg/PgProtocolHandler.java
+++ b/src/main/java/junipercourse/pg/PgProtocolHandler.java
@@ -69,7 +69,7 @@
     private void start(StartupPacket packet) {
         started = true;
         if (session.inLobby()) { // what follows the start-up packet is answered by this, too
-            front.counters().add(Count.CLIENTS_TURNED_AWAY);
+            front.counters().increment(Count.CLIENTS_TURNED_AWAY);
             session.fatal("53300", "too many clients" + front.comeBack());
             return;
         }
@@ -87,7 +87,7 @@
                 }
             }
             default -> {
-                front.counters().add(Count.CLIENTS_GARBLED);
+                front.counters().increment(Count.CLIENTS_GARBLED);
                 session.fatal(
                         "0A000",
                         "only simple queries are taken here, no message of type " + (int) m.type());
@@ -98,7 +98,7 @@
     private void query(byte[] body) {
         session.asks();
         if (body.length == 0 || body[body.length - 1] != 0) {
-            front.counters().add(Count.CLIENTS_GARBLED);
+            front.counters().increment(Count.CLIENTS_GARBLED);
             session.fatal("08P01", "a query without its end");
             return;
         }
@@ -121,11 +121,11 @@
         try {
             query = front.reader().read(Arrays.copyOf(body, body.length - 1), session.arrival());
         } catch (InvalidQueryFieldException e) {
-            front.counters().add(Count.QUERIES_MALFORMED);
+            front.counters().increment(Count.QUERIES_MALFORMED);
             say(error("22023", e.getMessage()));
             return;
         }
-        open = front.gateway().take(query, this);
+        open = front.gateway().submit(query, this);
         waiting = open != 0;
         if (!waiting) {
             say(error("55006", "req: a query of this id is open"));
@@ -143,24 +143,24 @@
     // ---- what goes out ----
 
     @Override
-    public boolean present() {
+    public boolean isClientWaiting() {
         session.poll();
         return waiting;
     }
 
     @Override
-    public void served(List<byte[]> pages) {
+    public void onServed(List<byte[]> pages) {
         answer(new BackendMessageEncoder().result(pages, "c1", "c2", "c3"));
     }
 
     @Override
-    public void refused(double coolDown, String why) {
+    public void onRejected(double coolDown, String why) {
         String wait = coolDown > 0 ? "; holdoff=" + Math.round(coolDown * 1000) : "";
         answer(error("53300", why + wait));
     }
 
     @Override
-    public void failed(String why) {
+    public void onFailed(String why) {
         answer(error("58000", why));
     }
 
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -151,7 +151,7 @@
     private void accepted(StreamConnection connection) {
         Session session = new Session(connection, this, random.nextInt());
         if (places.room()) {
-            counters.add(Count.CLIENTS_ACCEPTED);
+            counters.increment(Count.CLIENTS_ACCEPTED);
         } else {
             session.toLobby();
         }
@@ -193,7 +193,7 @@
 
     /** A CancelRequest: the session's number and its secret must both be right. */
     void cancel(int process, int secret) {
-        counters.add(Count.CLIENTS_CANCELLED);
+        counters.increment(Count.CLIENTS_CANCELLED);
         Session session = places.find(process);
         if (session != null && session.secret == secret) {
             session.poll(); // after a pause of ours, the query that it is for may lie there unread
--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -120,7 +120,7 @@
                 kind,
                 at,
                 tenant(fields),
-                arrived.counted() + timeout / 1000,
+                arrived.clientWaitStart() + timeout / 1000,
                 dedupe,
                 subject == null ? 0 : hex("subject", subject, 16),
                 TableGroupExtractor.of(statement),
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -134,7 +134,7 @@
     }
 
     private void tooMuchAhead() {
-        front.counters().add(Count.CLIENTS_GARBLED);
+        front.counters().increment(Count.CLIENTS_GARBLED);
         fatal("08P01", "too much was sent ahead of an answer");
     }
 
@@ -164,7 +164,7 @@
                             || overrun > 0
                             || in.held() < FrontendMessageDecoder.MAX_MESSAGE + 5);
         } catch (FrontendMessageDecoder.GarbledException e) {
-            front.counters().add(Count.CLIENTS_GARBLED);
+            front.counters().increment(Count.CLIENTS_GARBLED);
             fatal("08P01", e.getMessage());
         }
     }
@@ -229,7 +229,7 @@
 
     @Override
     public void crashed() {
-        front.counters().add(Count.INTERNAL_ERRORS);
+        front.counters().increment(Count.INTERNAL_ERRORS);
         disconnected();
     }
 
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -24,7 +24,7 @@
 import junipercourse.config.Config;
 import junipercourse.core.Backend;
 import junipercourse.core.Backend.AttemptListener;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters;
 import junipercourse.core.Gateway;
 import junipercourse.core.Query;
@@ -93,8 +93,8 @@
         Config config = Config.parse(text, Map.of());
         loop =
                 new EventLoop(
-                        () -> counters.add(Counters.Count.INTERNAL_ERRORS),
-                        error -> counters.add(Counters.Count.INTERNAL_ERRORS));
+                        () -> counters.increment(Counters.Count.INTERNAL_ERRORS),
+                        error -> counters.increment(Counters.Count.INTERNAL_ERRORS));
         descriptors = new DescriptorBudget(config.resources().sockets(), 28);
         EngineClient engines =
                 new EngineClient(
@@ -103,7 +103,7 @@
                         descriptors.share("engines", engineConnections, 4),
                         counters);
         StatusTables shows = new StatusTables();
-        counters.showIn(shows);
+        counters.addTable(shows);
         gateway = new Gateway(loop, config.settings(), 7, 50, new Stopping(engines), counters);
         front =
                 new PgServer(
@@ -171,7 +171,8 @@
         EngineListing entry = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
         loop.execute(
                 () -> {
-                    gateway.roster(EndpointUpdateKind.DELTA, List.of(new Member(entry, address)));
+                    gateway.updateEndpoints(
+                            EndpointUpdateKind.DELTA, List.of(new EngineEndpoint(entry, address)));
                     loop.execute(done::countDown);
                 });
         await(() -> done.getCount() == 0);
@@ -182,7 +183,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    front.end(() -> gateway.whenIdle(idle));
+                    front.end(() -> gateway.runWhenIdle(idle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
@@ -524,14 +525,14 @@
         }
 
         @Override
-        public void roster(EndpointUpdateKind kind, List<Member> members) {
-            engines.roster(kind, members);
+        public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> members) {
+            engines.updateEndpoints(kind, members);
         }
 
         @Override
-        public Attempt start(
+        public Attempt startAttempt(
                 EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
-            Attempt attempt = engines.start(engine, query, giveUpAt, ending);
+            Attempt attempt = engines.startAttempt(engine, query, giveUpAt, ending);
             Stop here = stop;
             if (here != null) {
                 loop.execute(
@@ -550,11 +551,11 @@
             double startedAt,
             EngineStage stage,
             Map<Integer, StubEngine> engines) {
-        List<Member> members =
+        List<EngineEndpoint> members =
                 engines.entrySet().stream()
                         .map(
                                 e ->
-                                        new Member(
+                                        new EngineEndpoint(
                                                 new EngineListing(
                                                         new EngineId(e.getKey()),
                                                         0,
@@ -565,6 +566,6 @@
                                                         startedAt),
                                                 e.getValue().address()))
                         .toList();
-        loop.execute(() -> gateway.roster(kind, members));
+        loop.execute(() -> gateway.updateEndpoints(kind, members));
     }
 }
--- a/src/test/java/junipercourse/core/AttemptEndCountTest.java
+++ b/src/test/java/junipercourse/core/AttemptEndCountTest.java
@@ -23,7 +23,7 @@
     })
     void countsEachOutcomeUnderItsLabel(AttemptOutcome outcome, String label) {
         Count count = Count.endOf(outcome);
-        assertEquals("ends", count.side());
+        assertEquals("ends", count.category());
         assertEquals(label, count.label());
     }
 }
--- a/src/test/java/junipercourse/core/SlotTableTest.java
+++ b/src/test/java/junipercourse/core/SlotTableTest.java
@@ -18,8 +18,8 @@
         long c = slots.add("c");
         assertNotEquals(a, c);
         assertNull(slots.get(a));
-        assertNull(slots.find((int) a));
-        assertEquals("c", slots.find((int) c));
+        assertNull(slots.findByLowerBits((int) a));
+        assertEquals("c", slots.findByLowerBits((int) c));
         assertEquals("b", slots.get(b));
         assertEquals(List.of("c", "b"), slots.all());
         assertEquals(2, slots.size());
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import junipercourse.ScriptedBus;
 import junipercourse.SocketTestSupport;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.net.EventLoop;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -131,7 +131,7 @@
      */
     @Test
     void anEngineThatChangesUnderItsIdIsToldAsItIs() throws Exception {
-        List<Member> members = new CopyOnWriteArrayList<>();
+        List<EngineEndpoint> members = new CopyOnWriteArrayList<>();
         loop.execute(bus.client(loop, (kind, all) -> members.addAll(all))::start);
         String id = "00000002";
         Socket s = bus.accept();
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -97,7 +97,7 @@
     }
 
     private double slack() {
-        return SLACK_S + loop.stallLog().total();
+        return SLACK_S + loop.stallLog().totalStallSeconds();
     }
 
     private void add(String name, double seconds, Fault fault) {
@@ -287,7 +287,7 @@
             assertEquals(List.of(), p.faults);
             assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), p.told);
             assertEquals(List.of(0L, 2L), bus.asked);
-            assertTrue(loop.stallLog().total() >= 4, "no stalls were seen");
+            assertTrue(loop.stallLog().totalStallSeconds() >= 4, "no stalls were seen");
             double took = p.newsAt - bus.lastFrameAt;
             assertTrue(took < SILENCE_S + slack() - 3, took + " s");
         }
--- a/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
+++ b/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import junipercourse.config.Config;
 import junipercourse.config.ConfigException;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
@@ -38,8 +38,8 @@
                     + "0002"
                     + "00000fa0"
                     + "0000000000001388";
-    private static final Member MEMBER =
-            new Member(
+    private static final EngineEndpoint MEMBER =
+            new EngineEndpoint(
                     new EngineListing(new EngineId(0xc41f7aL), 0, 0, 2, EngineStage.DRAINING, 4, 5),
                     Config.address("x", "10.1.0.9:7001"));
 
--- a/src/test/java/junipercourse/engine/CrossedDialTest.java
+++ b/src/test/java/junipercourse/engine/CrossedDialTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import junipercourse.SocketTestSupport;
 import junipercourse.core.Backend;
-import junipercourse.core.Backend.End;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.AttemptCompletion;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters;
 import junipercourse.core.Counters.Count;
 import junipercourse.core.Query;
@@ -39,13 +39,13 @@
     private static final int PATIENCE_MS = 3000;
     private final Counters counters = new Counters();
     private final EventLoop loop =
-            new EventLoop(() -> counters.add(Count.INTERNAL_ERRORS), e -> {});
+            new EventLoop(() -> counters.increment(Count.INTERNAL_ERRORS), e -> {});
     private final DescriptorBudget.Share share =
             new DescriptorBudget(1024, 28).share("engines", 16, 4);
     private final EngineClient engines =
             new EngineClient(loop, SocketTestSupport.settings(), share, counters);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<End> ends = new CopyOnWriteArrayList<>();
+    private final List<AttemptCompletion> ends = new CopyOnWriteArrayList<>();
 
     CrossedDialTest() throws Exception {
         server.setSoTimeout(PATIENCE_MS);
@@ -59,9 +59,11 @@
 
     private void list(EngineStage stage) {
         EngineListing entry = new EngineListing(new EngineId(1), 0, 0, 0, stage, 1, 0);
-        engines.roster(
+        engines.updateEndpoints(
                 EndpointUpdateKind.DELTA,
-                List.of(new Member(entry, (InetSocketAddress) server.getLocalSocketAddress())));
+                List.of(
+                        new EngineEndpoint(
+                                entry, (InetSocketAddress) server.getLocalSocketAddress())));
     }
 
     private Backend.Attempt start() {
@@ -81,7 +83,7 @@
                         false,
                         "SELECT 1".getBytes(StandardCharsets.UTF_8),
                         new ArrivalInterval(now, now));
-        return engines.start(new EngineId(1), query, now + 5, ends::add);
+        return engines.startAttempt(new EngineId(1), query, now + 5, ends::add);
     }
 
     /** What the engine reads before the connection ends, or until it has a call. */
@@ -128,7 +130,7 @@
                                                     : EngineStage.DRAINING);
                                 }
                                 if (event.endsWith("given up")) {
-                                    attempt.giveUp(AttemptOutcome.CANCELLED);
+                                    attempt.abort(AttemptOutcome.CANCELLED);
                                 }
                             });
                 });
--- a/src/test/java/junipercourse/liveness/ArrivalOrderTest.java
+++ b/src/test/java/junipercourse/liveness/ArrivalOrderTest.java
@@ -46,26 +46,26 @@
     @CsvSource({"10, 10.02, 10.02", "10, 10.1, 10.1", "10, 11, 10", "10, 20, 10"})
     void patienceIsCountedFromTheEarliestTimeOfWhatLayLong(
             double after, double at, double counted) {
-        assertEquals(counted, new ArrivalInterval(after, at).counted());
+        assertEquals(counted, new ArrivalInterval(after, at).clientWaitStart());
         assertThrows(IllegalArgumentException.class, () -> new ArrivalInterval(at + 1, at));
     }
 
     @Test
     void onlyAPassThatReadTheMarkAndLeftNothingProvesThatAllWasRead() {
         ReadWatermark tide = new ReadWatermark(1);
-        tide.send(2);
-        assertFalse(tide.passOver(), "the mark did not come in this pass");
-        assertEquals(1, tide.readUpTo());
-        tide.seen();
-        assertTrue(tide.passOver());
-        assertEquals(2, tide.readUpTo());
-        tide.send(3);
-        tide.leftOver();
-        tide.seen();
-        assertTrue(tide.passOver());
-        assertEquals(2, tide.readUpTo(), "connections were left unaccepted");
-        tide.send(4);
-        assertThrows(IllegalStateException.class, () -> tide.send(5));
+        tide.recordProbeSent(2);
+        assertFalse(tide.completePass(), "the mark did not come in this pass");
+        assertEquals(1, tide.watermark());
+        tide.recordProbeRead();
+        assertTrue(tide.completePass());
+        assertEquals(2, tide.watermark());
+        tide.recordProbeSent(3);
+        tide.recordUnreadData();
+        tide.recordProbeRead();
+        assertTrue(tide.completePass());
+        assertEquals(2, tide.watermark(), "connections were left unaccepted");
+        tide.recordProbeSent(4);
+        assertThrows(IllegalStateException.class, () -> tide.recordProbeSent(5));
     }
 
     @Test
@@ -74,10 +74,10 @@
         assertTrue(order.admit(7, new ArrivalInterval(0, 10)));
         assertFalse(order.admit(7, new ArrivalInterval(0, 10)));
         assertTrue(order.admit(8, new ArrivalInterval(0, 10)), "another key");
-        order.forget(9.9);
-        assertEquals(2, order.size());
-        order.forget(9.96);
-        assertEquals(0, order.size());
+        order.discardSettledKeys(9.9);
+        assertEquals(2, order.trackedKeyCount());
+        order.discardSettledKeys(9.96);
+        assertEquals(0, order.trackedKeyCount());
     }
 
     private record Written(double at, int socket, int number) {}
@@ -108,13 +108,14 @@
         int refused = 0;
         double now = 99.95;
         while (!coming.isEmpty() || !unread.isEmpty() || !unsettled.isEmpty()) {
-            if (!tide.running() && random.nextInt(4) > 0) {
-                tide.send(now);
+            if (!tide.isProbePending() && random.nextInt(4) > 0) {
+                tide.recordProbeSent(now);
             }
             boolean marked =
-                    tide.running(); // the select that follows sees a mark that was sent before it
+                    tide.isProbePending(); // the select that follows sees a mark that was sent
+            // before it
             double select = now + random.nextDouble() * 0.01;
-            double before = tide.readUpTo();
+            double before = tide.watermark();
             List<Written> pass = new ArrayList<>();
             while (!coming.isEmpty() && coming.peek().at <= select) {
                 unread.add(coming.poll());
@@ -133,14 +134,14 @@
                         w.at >= before, "not read: " + w + " up to " + before + ", seed " + seed);
             }
             if (marked) {
-                tide.seen();
+                tide.recordProbeRead();
             }
-            tide.passOver();
+            tide.completePass();
             if (stalls && random.nextInt(10) == 0) {
                 now += random.nextDouble() * 3;
             }
             while (!unsettled.isEmpty()
-                    && order.settled(unsettled.peek().arrival, tide.readUpTo())) {
+                    && order.isSettled(unsettled.peek().arrival, tide.watermark())) {
                 Read r = unsettled.poll();
                 if (order.admit(1, r.arrival)) {
                     admitted.add(r.what.number);
@@ -148,7 +149,7 @@
                     refused++;
                 }
             }
-            order.forget(tide.readUpTo());
+            order.discardSettledKeys(tide.watermark());
             now += 0.001;
         }
         List<Integer> sorted = new ArrayList<>(admitted);
--- a/src/test/java/junipercourse/liveness/AttemptLivenessTest.java
+++ b/src/test/java/junipercourse/liveness/AttemptLivenessTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import junipercourse.liveness.AttemptLiveness.Verdict;
+import junipercourse.liveness.AttemptLiveness.Assessment;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
@@ -29,29 +29,29 @@
         "110, 2.1, ENGINE_LOST"
     })
     void silenceIsHeldAgainstTheEngineOnlyWhileWeAttended(
-            double now, double attended, Verdict verdict) {
+            double now, double attended, Assessment verdict) {
         AttemptLiveness e = new AttemptLiveness();
-        e.writing(100, 50);
-        e.over(100);
-        assertEquals(verdict, e.unanswered(now, 50 + attended));
+        e.recordCallStarted(100, 50);
+        e.recordCallCompleted(100);
+        assertEquals(verdict, e.assessUnansweredCall(now, 50 + attended));
     }
 
     @Test
     void whatWasNeverWrittenRunsNowhere() {
         AttemptLiveness e = new AttemptLiveness();
-        assertFalse(e.mayHaveArrived());
-        assertEquals(Double.NEGATIVE_INFINITY, e.goneFrom());
-        assertEquals(Verdict.ASK_AGAIN, e.unanswered(500, 500));
+        assertFalse(e.mayHaveReachedEngine());
+        assertEquals(Double.NEGATIVE_INFINITY, e.latestExpiryTime());
+        assertEquals(Assessment.POLL_AGAIN, e.assessUnansweredCall(500, 500));
     }
 
     @Test
     void aCallThatIsOnItsWayMayArriveAtAnyTimeUntilItsConnectionIsReset() {
         AttemptLiveness e = new AttemptLiveness();
-        e.writing(100, 50);
-        assertEquals(Double.POSITIVE_INFINITY, e.goneFrom());
-        assertEquals(Verdict.ASK_AGAIN, e.unanswered(200, 150));
-        e.over(200);
-        assertEquals(202.65, e.goneFrom(), 1e-9);
+        e.recordCallStarted(100, 50);
+        assertEquals(Double.POSITIVE_INFINITY, e.latestExpiryTime());
+        assertEquals(Assessment.POLL_AGAIN, e.assessUnansweredCall(200, 150));
+        e.recordCallCompleted(200);
+        assertEquals(202.65, e.latestExpiryTime(), 1e-9);
     }
 
     /**
@@ -69,13 +69,13 @@
     void theEngineIsNotToBlameForWhatItDroppedDuringOurStall(
             double apart, double attended, boolean byUs) {
         AttemptLiveness e = new AttemptLiveness();
-        e.writing(100, 50);
-        e.over(100);
-        e.writing(100 + apart, 50 + attended);
-        assertEquals(byUs, e.droppedByUs());
-        e.heard();
-        assertFalse(e.droppedByUs(), "it knew the query when it answered");
-        assertTrue(e.wasHeard());
+        e.recordCallStarted(100, 50);
+        e.recordCallCompleted(100);
+        e.recordCallStarted(100 + apart, 50 + attended);
+        assertEquals(byUs, e.mayHaveExpiredUnpolled());
+        e.recordResponse();
+        assertFalse(e.mayHaveExpiredUnpolled(), "it knew the query when it answered");
+        assertTrue(e.hasEngineResponded());
     }
 
     /**
@@ -99,42 +99,52 @@
             double gap = stall ? random.nextDouble() * 6 : random.nextDouble() * 0.8;
             now += gap;
             attended += Math.min(gap, 0.12 + (stall ? 0 : 1));
-            boolean over = e.mayHaveArrived() && e.unanswered(now, attended) != Verdict.ASK_AGAIN;
+            boolean over =
+                    e.mayHaveReachedEngine()
+                            && e.assessUnansweredCall(now, attended) != Assessment.POLL_AGAIN;
             assertFalse(
                     over && now < runsUntil,
                     "over at " + now + ", runs until " + runsUntil + ", seed " + seed);
-            assertFalse(now >= e.goneFrom() && now < runsUntil, "gone, seed " + seed);
+            assertFalse(now >= e.latestExpiryTime() && now < runsUntil, "gone, seed " + seed);
             if (over) {
                 return;
             }
             if (random.nextInt(3) > 0) {
-                e.writing(now, attended);
-                assertEquals(Double.POSITIVE_INFINITY, e.goneFrom(), "on its way, seed " + seed);
+                e.recordCallStarted(now, attended);
+                assertEquals(
+                        Double.POSITIVE_INFINITY, e.latestExpiryTime(), "on its way, seed " + seed);
                 double way =
                         random.nextInt(3) == 0
                                 ? random.nextDouble() * 6
                                 : random.nextDouble() * 0.25;
-                double arrives = now + random.nextDouble() * (way + AttemptLiveness.MARGIN_S);
+                double arrives =
+                        now
+                                + random.nextDouble()
+                                        * (way + AttemptLiveness.READ_DELAY_MARGIN_SECONDS);
                 now += way;
                 attended += Math.min(way, 0.72);
-                e.over(now);
+                e.recordCallCompleted(now);
                 lastOver = now;
                 runsUntil =
                         Math.max(
                                 runsUntil,
-                                arrives + AttemptLiveness.HOLD_S + AttemptLiveness.FORGOTTEN_S);
+                                arrives
+                                        + AttemptLiveness.LONG_POLL_SECONDS
+                                        + AttemptLiveness.QUERY_EXPIRY_SECONDS);
             }
         }
-        if (e.mayHaveArrived()) {
+        if (e.mayHaveReachedEngine()) {
             assertEquals(
                     lastOver
-                            + AttemptLiveness.HOLD_S
-                            + AttemptLiveness.FORGOTTEN_S
-                            + AttemptLiveness.MARGIN_S,
-                    e.goneFrom(),
+                            + AttemptLiveness.LONG_POLL_SECONDS
+                            + AttemptLiveness.QUERY_EXPIRY_SECONDS
+                            + AttemptLiveness.READ_DELAY_MARGIN_SECONDS,
+                    e.latestExpiryTime(),
                     1e-9,
                     "seed " + seed);
-            assertTrue(e.unanswered(e.goneFrom() + 0.001, attended) != Verdict.ASK_AGAIN);
+            assertTrue(
+                    e.assessUnansweredCall(e.latestExpiryTime() + 0.001, attended)
+                            != Assessment.POLL_AGAIN);
         }
     }
 }
--- a/src/test/java/junipercourse/liveness/StallDetectorTest.java
+++ b/src/test/java/junipercourse/liveness/StallDetectorTest.java
@@ -35,11 +35,11 @@
     })
     void aGapLongerThanABeatIsAStallAndIsNotAttended(double gap, double stall, double attended) {
         StallDetector a = at(50);
-        StallDetector.Stall found = a.turn(50 + gap);
-        assertEquals(stall, found == null ? 0 : found.length(), 1e-9);
-        assertEquals(attended, a.attended(), 1e-9);
+        StallDetector.Stall found = a.recordIteration(50 + gap);
+        assertEquals(stall, found == null ? 0 : found.durationSeconds(), 1e-9);
+        assertEquals(attended, a.responsiveSeconds(), 1e-9);
         if (found != null) {
-            assertEquals(50, found.from());
+            assertEquals(50, found.startTime());
         }
     }
 
@@ -48,17 +48,18 @@
     @CsvSource({"0.1, 0", "-0.1, 0", "0.3, 0.3", "-0.3, -0.3", "3600, 3600", "-86400, -86400"})
     void aStepOfTheWallClockIsToldOnceAndIsNoStall(double moved, double told) {
         StallDetector a = at(50);
-        assertNull(a.turn(50.01));
-        assertEquals(told, a.step(50.01, 1050.01 + moved), 1e-9);
-        assertEquals(0, a.step(50.02, 1050.02 + moved), 1e-9);
-        assertEquals(50.02, a.fromUnix(1050.02 + told), 1e-9, "what others tell follows the clock");
+        assertNull(a.recordIteration(50.01));
+        assertEquals(told, a.detectClockStep(50.01, 1050.01 + moved), 1e-9);
+        assertEquals(0, a.detectClockStep(50.02, 1050.02 + moved), 1e-9);
+        assertEquals(
+                50.02, a.toLoopTime(1050.02 + told), 1e-9, "what others tell follows the clock");
     }
 
     @Test
     void theStartIsNoStall() {
         StallDetector a = at(50);
-        a.restart(53);
-        assertNull(a.turn(53.01));
+        a.restartMeasurement(53);
+        assertNull(a.recordIteration(53.01));
     }
 
     /**
@@ -73,11 +74,11 @@
         int stalls = 0;
         for (double gap : gaps) {
             now += gap;
-            StallDetector.Stall s = a.turn(now);
+            StallDetector.Stall s = a.recordIteration(now);
             stalls += s == null ? 0 : 1;
-            stalled += s == null ? 0 : s.length();
+            stalled += s == null ? 0 : s.durationSeconds();
         }
-        assertTrue(a.attended() <= now + 1e-9);
-        assertEquals(now, a.attended() + stalled - stalls * (BEAT + STALL), 1e-6);
+        assertTrue(a.responsiveSeconds() <= now + 1e-9);
+        assertEquals(now, a.responsiveSeconds() + stalled - stalls * (BEAT + STALL), 1e-6);
     }
 }
--- a/src/test/java/junipercourse/scale/HollowThread.java
+++ b/src/test/java/junipercourse/scale/HollowThread.java
@@ -87,7 +87,7 @@
 
     private void run() {
         try {
-            attention.restart(Network.now());
+            attention.restartMeasurement(Network.now());
             while (!closed) {
                 turn();
             }
@@ -109,10 +109,10 @@
             selector.select(Math.max(1, (long) Math.ceil(Math.min(wait, PARK_MOST_S) * 1e3)));
         }
         double now = Network.now();
-        StallDetector.Stall stall = attention.turn(now);
+        StallDetector.Stall stall = attention.recordIteration(now);
         if (stall != null) {
             stalls++;
-            members.forEach(member -> member.stalled(now, stall.length()));
+            members.forEach(member -> member.stalled(now, stall.durationSeconds()));
             catchUpUntil = now + READ_FIRST_MOST_S;
         } else if (selector.selectedKeys().isEmpty() || now > catchUpUntil) {
             catchUpUntil = Double.NEGATIVE_INFINITY;
