--- a/src/test/java/junipercourse/DispatcherProcess.java
+++ b/src/test/java/junipercourse/DispatcherProcess.java
@@ -35,13 +35,13 @@
      */
     public DispatcherProcess(Path folder, int descriptors, Path config, String first)
             throws IOException {
-        this(folder.resolve("log"), config, first + command(descriptors));
+        this(folder.resolve("log"), config, first + shellCommand(descriptors));
     }
 
     /**
      * A shell's command that runs the program, bound to so many descriptors, in the shell's place.
      */
-    static String command(int descriptors) {
+    static String shellCommand(int descriptors) {
         return "ulimit -n "
                 + descriptors
                 + " && exec '"
@@ -72,12 +72,12 @@
      * The packaged program by the deploy file's command line, with the class archive beside the
      * jar.
      */
-    public static DispatcherProcess deployed(Path log, Path config) throws IOException {
-        return deployed(log, config, "");
+    public static DispatcherProcess startDeployed(Path log, Path config) throws IOException {
+        return startDeployed(log, config, "");
     }
 
     /** The same after a shell's command. */
-    public static DispatcherProcess deployed(Path log, Path config, String first)
+    public static DispatcherProcess startDeployed(Path log, Path config, String first)
             throws IOException {
         String run =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -89,7 +89,7 @@
     }
 
     /** What the system tells of it under {@code /proc}, such as {@code stat} or {@code maps}. */
-    public String told(String what) throws IOException {
+    public String readProcFile(String what) throws IOException {
         return Files.readString(Path.of("/proc/" + process.pid() + "/" + what));
     }
 
@@ -100,7 +100,8 @@
     /** Waits until clients can connect, and returns where. */
     public InetSocketAddress address() {
         SocketTestSupport.await(
-                () -> log().contains("listens on") || !isAlive(), InheritedSocket.PATIENCE_MS);
+                () -> log().contains("listens on") || !isAlive(),
+                ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         if (!log().contains("listens on")) {
             throw new AssertionError(log());
         }
@@ -123,7 +124,7 @@
     }
 
     /** Descriptors that it holds now, by the system's count. */
-    public int descriptors() {
+    public int countDescriptors() {
         String[] all = new File("/proc/" + process.pid() + "/fd").list();
         return all == null ? 0 : all.length;
     }
@@ -133,7 +134,7 @@
     }
 
     /** True if it has ended within so many seconds. */
-    public boolean endsWithin(int seconds) throws InterruptedException {
+    public boolean exitsWithin(int seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/junipercourse/InheritedSocket.java
+++ b/src/test/java/junipercourse/ListeningSocketHolder.java
@@ -24,8 +24,8 @@
  * which is part of any Debian, hold it. They end with this JVM and kill what still runs of theirs
  * then.
  */
-public final class InheritedSocket implements Closeable {
-    private static final String HOLDER =
+public final class ListeningSocketHolder implements Closeable {
+    private static final String HOLDER_SCRIPT =
             """
             use Socket; $| = 1; my ($held, $given, %runs) = (undef, '');
             socket($held, PF_INET, SOCK_STREAM, 0) && bind($held, sockaddr_in(0, INADDR_LOOPBACK))
@@ -44,40 +44,40 @@
             kill 'KILL', keys %runs;
             """;
     private static final int BACKLOG = 512;
-    private static final int DESCRIPTORS = 1024;
+    private static final int MAX_DESCRIPTORS = 1024;
 
     /** A process may take 5.2 s to end by itself, and longer to start on a busy machine. */
-    public static final long PATIENCE_MS = 20_000;
+    public static final long AWAIT_TIMEOUT_MILLIS = 20_000;
 
     private final Process holder;
-    private final Writer lines;
+    private final Writer holderCommands;
     private final List<String> told = new CopyOnWriteArrayList<>();
-    private final Map<Long, Integer> ended = new ConcurrentHashMap<>();
+    private final Map<Long, Integer> exitStatuses = new ConcurrentHashMap<>();
     private final Path folder;
     private final int port;
-    private int programs;
+    private int startedCount;
 
     /** Listens; logs, the configuration and {@code $TMPDIR} of what it starts are in the folder. */
-    public InheritedSocket(Path folder) throws IOException {
+    public ListeningSocketHolder(Path folder) throws IOException {
         this(folder, BACKLOG);
     }
 
     /** The same with a backlog; without one it is bound only. */
-    public InheritedSocket(Path folder, int backlog) throws IOException {
+    public ListeningSocketHolder(Path folder, int backlog) throws IOException {
         this.folder = folder;
-        Files.createDirectories(temporary());
+        Files.createDirectories(tempFolder());
         holder =
-                new ProcessBuilder("perl", "-e", HOLDER, Integer.toString(backlog))
+                new ProcessBuilder("perl", "-e", HOLDER_SCRIPT, Integer.toString(backlog))
                         .redirectError(folder.resolve("holder.log").toFile())
                         .start();
-        lines = holder.outputWriter(StandardCharsets.UTF_8);
+        holderCommands = holder.outputWriter(StandardCharsets.UTF_8);
         BufferedReader from = holder.inputReader(StandardCharsets.UTF_8);
-        SocketTestSupport.daemon(
+        SocketTestSupport.startDaemon(
                 () -> {
                     for (String line = from.readLine(); line != null; line = from.readLine()) {
                         String[] words = line.split(" ");
                         if (words[0].equals("ended")) {
-                            ended.put(Long.parseLong(words[1]), Integer.parseInt(words[2]));
+                            exitStatuses.put(Long.parseLong(words[1]), Integer.parseInt(words[2]));
                         } else {
                             told.add(line);
                         }
@@ -88,7 +88,8 @@
 
     private long told(String start, int number) {
         Predicate<String> sought = line -> line.startsWith(start);
-        SocketTestSupport.await(() -> told.stream().filter(sought).count() > number, PATIENCE_MS);
+        SocketTestSupport.await(
+                () -> told.stream().filter(sought).count() > number, AWAIT_TIMEOUT_MILLIS);
         return Long.parseLong(
                 told.stream()
                         .filter(sought)
@@ -104,23 +105,23 @@
     }
 
     /** What the programs share as their {@code $TMPDIR}. */
-    public Path temporary() {
+    public Path tempFolder() {
         return folder.resolve("tmp");
     }
 
     /** Writes the configuration of what is started from now on. */
-    public void configure(String text) throws IOException {
+    public void writeConfig(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
     /** Starts one more dispatcher at this socket, with a second address of its own. */
-    public Program start() throws IOException {
+    public InheritingProcess start() throws IOException {
         return start("", Map.of());
     }
 
     /** The same with other variables, and after a shell's commands. */
-    public Program start(String first, Map<String, String> other) throws IOException {
-        Path log = folder.resolve("log" + programs);
+    public InheritingProcess start(String first, Map<String, String> other) throws IOException {
+        Path log = folder.resolve("log" + startedCount);
         Map<String, String> variables =
                 new TreeMap<>(
                         Map.of(
@@ -131,7 +132,7 @@
                                 "RELAY_LISTEN",
                                 "127.0.0.1:" + port,
                                 "TMPDIR",
-                                temporary().toString(),
+                                tempFolder().toString(),
                                 "RELAY_CONFIG",
                                 folder.resolve("config.json").toString()));
         variables.putAll(other);
@@ -139,14 +140,14 @@
         variables.forEach(
                 (k, v) -> line.append("export ").append(k).append("='").append(v).append("'; "));
         Files.createFile(log);
-        lines.write(line + first + DispatcherProcess.command(DESCRIPTORS) + "\n");
-        lines.flush();
-        return new Program(log, told("runs ", programs++));
+        holderCommands.write(line + first + DispatcherProcess.shellCommand(MAX_DESCRIPTORS) + "\n");
+        holderCommands.flush();
+        return new InheritingProcess(log, told("runs ", startedCount++));
     }
 
     @Override
     public void close() throws IOException {
-        lines.close();
+        holderCommands.close();
         try {
             holder.waitFor();
         } catch (InterruptedException e) {
@@ -155,14 +156,14 @@
     }
 
     /** An answer at the second address. */
-    public record Answer(int status, String body) {}
+    public record HttpAnswer(int status, String body) {}
 
     /** One process that has the socket as its descriptor 0. */
-    public final class Program {
+    public final class InheritingProcess {
         private final Path log;
         private final long pid;
 
-        private Program(Path log, long pid) {
+        private InheritingProcess(Path log, long pid) {
             this.log = log;
             this.pid = pid;
         }
@@ -184,23 +185,23 @@
         }
 
         public boolean isAlive() {
-            return !ended.containsKey(pid);
+            return !exitStatuses.containsKey(pid);
         }
 
         /**
          * Waits for its end and returns its exit code; that of one killed by a signal is 128 and
          * more.
          */
-        public int exitCode() {
-            SocketTestSupport.await(() -> !isAlive(), PATIENCE_MS);
-            int status = ended.get(pid);
+        public int awaitExitCode() {
+            SocketTestSupport.await(() -> !isAlive(), AWAIT_TIMEOUT_MILLIS);
+            int status = exitStatuses.get(pid);
             return status > 255 ? status >> 8 : 128 + status;
         }
 
         /** Calls its second address, such as {@code GET /ops/stats}. */
-        public Answer call(String call) throws IOException {
+        public HttpAnswer callAdmin(String call) throws IOException {
             SocketTestSupport.await(
-                    () -> log().contains("second address is ") || !isAlive(), PATIENCE_MS);
+                    () -> log().contains("second address is ") || !isAlive(), AWAIT_TIMEOUT_MILLIS);
             int at = Integer.parseInt(log().split("second address is [^:]*:")[1].split("\\D")[0]);
             try (Socket s = new Socket(InetAddress.getLoopbackAddress(), at)) {
                 s.setSoTimeout(5000);
@@ -210,28 +211,28 @@
                                         .getBytes(StandardCharsets.US_ASCII));
                 InputStream in = s.getInputStream();
                 String answer = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
-                return new Answer(
+                return new HttpAnswer(
                         Integer.parseInt(answer.split(" ")[1]),
                         answer.substring(answer.indexOf("\r\n\r\n") + 4));
             }
         }
 
         /** Waits until it says yes. */
-        public Program ready() {
-            return told("GET /ops/readiness", answer -> answer.status() == 200);
+        public InheritingProcess awaitReady() {
+            return awaitAnswer("GET /ops/readiness", answer -> answer.status() == 200);
         }
 
         /** Waits until a call is answered as it is sought. */
-        public Program told(String call, Predicate<Answer> sought) {
+        public InheritingProcess awaitAnswer(String call, Predicate<HttpAnswer> sought) {
             SocketTestSupport.await(
                     () -> {
                         try {
-                            return sought.test(call(call));
+                            return sought.test(callAdmin(call));
                         } catch (IOException e) {
                             throw new AssertionError(log(), e);
                         }
                     },
-                    PATIENCE_MS);
+                    AWAIT_TIMEOUT_MILLIS);
             return this;
         }
     }
--- a/src/test/java/junipercourse/ScriptedBus.java
+++ b/src/test/java/junipercourse/ScriptedBus.java
@@ -20,20 +20,20 @@
 
 /** An event bus that a test plays by hand, one connection after the other. */
 public final class ScriptedBus implements Closeable {
-    public static final String NOTHING = "00000009%016x00";
+    public static final String EMPTY_FRAME = "00000009%016x00";
 
     /** A change of one engine, whose id is the number of the event. */
-    public static final String CHANGE =
+    public static final String DELTA_FRAME =
             "00000024%1$016x02%1$08x0a0100091b59010000000200000fa00000000000001388";
 
-    public static final String WHOLE = CHANGE.replace("02%1$08x", "01%1$08x");
+    public static final String FULL_FRAME = DELTA_FRAME.replace("02%1$08x", "01%1$08x");
 
     private final ServerSocket server;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
-    private final List<Socket> fillers = new CopyOnWriteArrayList<>();
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
+    private final List<Socket> queueFillers = new CopyOnWriteArrayList<>();
 
     /** The numbers that connections asked from. */
-    public final List<Long> asked = new CopyOnWriteArrayList<>();
+    public final List<Long> requestedOffsets = new CopyOnWriteArrayList<>();
 
     public volatile double lastFrameAt;
 
@@ -52,13 +52,13 @@
     }
 
     /** A frame with one ready or draining engine at an address of this machine. */
-    public static String frame(
+    public static String endpointFrame(
             boolean whole, int number, int id, InetSocketAddress at, boolean draining) {
         return "00000024%016x%02x%08x7f000001%04x%02x00000000000003e80000000000000000"
                 .formatted(number, whole ? 1 : 2, id, at.getPort(), draining ? 1 : 0);
     }
 
-    public static double now() {
+    public static double nowSeconds() {
         return System.nanoTime() / 1e9;
     }
 
@@ -66,14 +66,14 @@
      * Takes the next connection that asks, and what it asks from: one may come up just as it is
      * given up.
      */
-    public Socket accept() throws IOException {
+    public Socket acceptSubscription() throws IOException {
         while (true) {
             Socket s = server.accept();
-            open.add(s);
+            connections.add(s);
             s.setTcpNoDelay(true);
             s.setSoTimeout(20_000);
             try {
-                asked.add(new DataInputStream(s.getInputStream()).readLong());
+                requestedOffsets.add(new DataInputStream(s.getInputStream()).readLong());
                 return s;
             } catch (EOFException e) {
                 s.close();
@@ -82,25 +82,25 @@
     }
 
     /** Takes a connection that ends without asking anything. */
-    public void awaitUnasked() throws IOException {
+    public void awaitConnectionWithoutRequest() throws IOException {
         try (Socket s = server.accept()) {
             s.setSoTimeout(5000);
-            awaitEnd(s);
+            awaitDisconnect(s);
         }
     }
 
     /** Writes frames, such as {@code CHANGE.formatted(2)}, in one write. */
-    public void frames(Socket s, String hex) throws IOException {
-        lastFrameAt = now();
-        bytes(s, hex);
+    public void sendFrames(Socket s, String hex) throws IOException {
+        lastFrameAt = nowSeconds();
+        sendBytes(s, hex);
     }
 
-    public static void bytes(Socket s, String hex) throws IOException {
+    public static void sendBytes(Socket s, String hex) throws IOException {
         s.getOutputStream().write(HexFormat.of().parseHex(hex));
     }
 
     /** Waits until the other side has left a connection. */
-    public static void awaitEnd(Socket s) throws IOException {
+    public static void awaitDisconnect(Socket s) throws IOException {
         try {
             if (s.getInputStream().read() >= 0) {
                 throw new AssertionError("more was asked");
@@ -111,11 +111,11 @@
     }
 
     /** From now on no connection comes up: the system's queue is full. */
-    public void deaf() throws IOException {
+    public void stopAccepting() throws IOException {
         try {
             for (int i = 0; i < 10; i++) {
                 Socket s = new Socket();
-                fillers.add(s);
+                queueFillers.add(s);
                 s.connect(address(), 300);
             }
         } catch (SocketTimeoutException e) {
@@ -125,17 +125,17 @@
     }
 
     /** Connections come up again; what came up by now is left. */
-    public void hearing() throws IOException {
-        for (Socket s : fillers.subList(0, fillers.size() - 1)) {
+    public void resumeAccepting() throws IOException {
+        for (Socket s : queueFillers.subList(0, queueFillers.size() - 1)) {
             server.accept().close();
             s.close();
         }
-        fillers.get(fillers.size() - 1).close();
-        fillers.clear();
+        queueFillers.get(queueFillers.size() - 1).close();
+        queueFillers.clear();
     }
 
     /** A client of this bus that tells a list, such as {@code [FULL 1, DELTA 2]}. */
-    public EndpointWatcher client(EventLoop loop, EndpointWatcher.Listener listener) {
+    public EndpointWatcher createWatcher(EventLoop loop, EndpointWatcher.Listener listener) {
         return new EndpointWatcher(
                 loop,
                 address(),
@@ -147,13 +147,13 @@
     }
 
     /** A listener that notes each list as its kind and its engine. */
-    public static EndpointWatcher.Listener noting(List<String> told) {
+    public static EndpointWatcher.Listener recordingListener(List<String> told) {
         return (kind, members) -> told.add(kind + " " + members.get(0).engine().id().value());
     }
 
     /** Plays a script on a thread of its own; what fails in it is noted. */
-    public void play(SocketTestSupport.Task script, List<Throwable> faults) {
-        SocketTestSupport.daemon(
+    public void runScript(SocketTestSupport.IoTask script, List<Throwable> faults) {
+        SocketTestSupport.startDaemon(
                 () -> {
                     try {
                         script.run();
@@ -166,10 +166,10 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : open) {
+        for (Socket s : connections) {
             s.close();
         }
-        for (Socket s : fillers) {
+        for (Socket s : queueFillers) {
             s.close();
         }
     }
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -59,25 +59,25 @@
     public static final String OK =
             "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
     public static final String RUNNING = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    public static final String GIVEN_UP = "HTTP/1.1 204 No Content\r\n\r\n";
-    public static final String FULL =
+    public static final String CANCELLED = "HTTP/1.1 204 No Content\r\n\r\n";
+    public static final String AT_CAPACITY =
             "HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
     public static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
     /** Scripts' words for an engine that breaks the connection, and for one that says nothing. */
-    public static final String BREAK = "break";
+    public static final String CLOSE_CONNECTION = "break";
 
-    public static final String SILENCE = "silence";
-    public static final int MOST_CLIENTS = 100;
-    private static final long PATIENCE_MS = 5000;
+    public static final String NO_RESPONSE = "silence";
+    public static final int MAX_CLIENTS = 100;
+    private static final long AWAIT_TIMEOUT_MILLIS = 5000;
 
     public final Counters counters = new Counters();
-    private final List<Closeable> parts = new ArrayList<>();
-    public final DescriptorBudget descriptors;
+    private final List<Closeable> resources = new ArrayList<>();
+    public final DescriptorBudget descriptorBudget;
     private final EventLoop loop;
     private final Gateway gateway;
-    private final PgServer front;
-    private volatile Stop stop;
+    private final PgServer pgServer;
+    private volatile LoopPause pauseLoop;
 
     public SocketTestSupport() throws IOException {
         this(512);
@@ -95,27 +95,28 @@
                 new EventLoop(
                         () -> counters.increment(Counters.Count.INTERNAL_ERRORS),
                         error -> counters.increment(Counters.Count.INTERNAL_ERRORS));
-        descriptors = new DescriptorBudget(config.resources().sockets(), 28);
+        descriptorBudget = new DescriptorBudget(config.resources().sockets(), 28);
         EngineClient engines =
                 new EngineClient(
                         loop,
                         config.settings(),
-                        descriptors.share("engines", engineConnections, 4),
+                        descriptorBudget.share("engines", engineConnections, 4),
                         counters);
         StatusTables shows = new StatusTables();
         counters.addTable(shows);
-        gateway = new Gateway(loop, config.settings(), 7, 50, new Stopping(engines), counters);
-        front =
+        gateway =
+                new Gateway(loop, config.settings(), 7, 50, new PausingBackend(engines), counters);
+        pgServer =
                 new PgServer(
                         loop,
                         config.settings(),
                         gateway,
-                        descriptors.share("clients", MOST_CLIENTS, 0),
+                        descriptorBudget.share("clients", MAX_CLIENTS, 0),
                         1 << 20,
                         7,
                         counters,
                         shows);
-        front.listen(config.listen());
+        pgServer.listen(config.listen());
         loop.execute(loop::attend);
     }
 
@@ -124,27 +125,27 @@
     }
 
     /** A query of a class with fresh fields around a statement. */
-    public static String query(String kind, int number, long timeoutMs) {
+    public static String query(String queryClass, int number, long timeoutMillis) {
         return "/* kind=%s,req=%016x,timeout=%d,owner=acme,opkey=k%d,subject=00000000000000aa */ SELECT 1"
-                .formatted(kind, number, timeoutMs, number);
+                .formatted(queryClass, number, timeoutMillis, number);
     }
 
     public static void await(BooleanSupplier condition) {
-        await(condition, PATIENCE_MS);
+        await(condition, AWAIT_TIMEOUT_MILLIS);
     }
 
     /** The same with a patience in ms, such as a process needs on a busy machine. */
-    public static void await(BooleanSupplier condition, long patienceMs) {
-        long end = System.nanoTime() + patienceMs * 1_000_000;
+    public static void await(BooleanSupplier condition, long timeoutMillis) {
+        long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("not within " + patienceMs + " ms");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("not within " + timeoutMillis + " ms");
             }
-            pause(2);
+            sleepMillis(2);
         }
     }
 
-    public static void pause(long ms) {
+    public static void sleepMillis(long ms) {
         try {
             Thread.sleep(ms);
         } catch (InterruptedException e) {
@@ -153,20 +154,20 @@
     }
 
     /** Starts an engine and puts it on the list. */
-    public StubEngine engine(int id, Function<String, String> script) throws IOException {
+    public StubEngine startEngine(int id, Function<String, String> script) throws IOException {
         StubEngine e = new StubEngine(script);
-        parts.add(e);
-        list(id, e, EngineStage.READY);
+        resources.add(e);
+        updateEndpointAndWait(id, e, EngineStage.READY);
         return e;
     }
 
     /** Tells a change of the list and returns once it has been taken in. */
-    public void list(int id, StubEngine e, EngineStage stage) {
-        list(id, e.address(), stage);
+    public void updateEndpointAndWait(int id, StubEngine e, EngineStage stage) {
+        updateEndpointAndWait(id, e.address(), stage);
     }
 
     /** The same for whatever listens there. */
-    public void list(int id, InetSocketAddress address, EngineStage stage) {
+    public void updateEndpointAndWait(int id, InetSocketAddress address, EngineStage stage) {
         CountDownLatch done = new CountDownLatch(1);
         EngineListing entry = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
         loop.execute(
@@ -179,11 +180,11 @@
     }
 
     /** Begins the end, as after SIGTERM; {@code idle} runs once all that was taken is answered. */
-    public void end(Runnable idle) {
+    public void shutDownGracefully(Runnable idle) {
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    front.end(() -> gateway.runWhenIdle(idle));
+                    pgServer.end(() -> gateway.runWhenIdle(idle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
@@ -192,7 +193,7 @@
     /**
      * Holds the dispatcher's thread, as a long turn of its own does; the task returned lets it go.
      */
-    public Runnable hold() {
+    public Runnable blockLoop() {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(
@@ -208,19 +209,19 @@
      * Runs a task on the dispatcher's thread, right behind what is held there, before sockets are
      * read.
      */
-    public void behind(Consumer<PgServer> task) {
-        loop.execute(() -> task.accept(front));
+    public void executeOnLoop(Consumer<PgServer> task) {
+        loop.execute(() -> task.accept(pgServer));
     }
 
-    public Client client() throws IOException {
-        Client c = new Client(front.address());
-        parts.add(c);
+    public Client connectClient() throws IOException {
+        Client c = new Client(pgServer.address());
+        resources.add(c);
         return c;
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable part : parts) {
+        for (Closeable part : resources) {
             part.close();
         }
         loop.stop();
@@ -231,29 +232,29 @@
         public final List<String> calls = new CopyOnWriteArrayList<>();
 
         /** How long the dispatcher would wait, in ms, by each POST. */
-        public final List<Integer> limits = new CopyOnWriteArrayList<>();
+        public final List<Integer> limitsMillis = new CopyOnWriteArrayList<>();
 
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final List<Socket> open = new CopyOnWriteArrayList<>();
+        private final List<Socket> connections = new CopyOnWriteArrayList<>();
         private final Function<String, String> script;
-        public final AtomicInteger connectionsOver = new AtomicInteger();
-        private volatile CountDownLatch cut = new CountDownLatch(0);
+        public final AtomicInteger closedConnections = new AtomicInteger();
+        private volatile CountDownLatch partitionHealed = new CountDownLatch(0);
 
         public StubEngine(Function<String, String> script) throws IOException {
             this.script = script;
             server.setReceiveBufferSize(4096); // so that what is not read lies with the sender
-            daemon(
+            startDaemon(
                     () -> {
                         while (true) {
                             Socket s = server.accept();
-                            open.add(s);
-                            daemon(
+                            connections.add(s);
+                            startDaemon(
                                     () -> {
                                         try {
                                             serve(s);
                                         } finally {
-                                            connectionsOver.incrementAndGet();
+                                            closedConnections.incrementAndGet();
                                         }
                                     });
                         }
@@ -264,39 +265,39 @@
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        public long count(String start) {
+        public long countCalls(String start) {
             return calls.stream().filter(c -> c.startsWith(start)).count();
         }
 
         /**
          * Cuts the network to this engine until the latch opens: calls lie in buffers on the way.
          */
-        public void cutUntil(CountDownLatch healed) {
-            cut = healed;
+        public void partitionUntil(CountDownLatch healed) {
+            partitionHealed = healed;
         }
 
         /** Refuses new connections and goes on serving the open ones. */
-        public void acceptNoMore() throws IOException {
+        public void stopAccepting() throws IOException {
             server.close();
         }
 
         private void serve(Socket s) throws IOException {
             InputStream in = s.getInputStream();
-            for (String first = line(in); !first.isEmpty(); first = line(in)) {
+            for (String first = readLine(in); !first.isEmpty(); first = readLine(in)) {
                 try {
-                    cut.await();
+                    partitionHealed.await();
                 } catch (InterruptedException e) {
                     return;
                 }
                 int body = 0;
                 String id = "";
-                for (String h = line(in); !h.isEmpty(); h = line(in)) {
+                for (String h = readLine(in); !h.isEmpty(); h = readLine(in)) {
                     body =
                             h.startsWith("Content-Length: ")
                                     ? Integer.parseInt(h.substring(16))
                                     : body;
                     if (h.startsWith("X-Limit-Ms: ")) {
-                        limits.add(Integer.parseInt(h.substring(12)));
+                        limitsMillis.add(Integer.parseInt(h.substring(12)));
                     }
                     id = h.startsWith("X-Txn: ") ? " " + h.substring(7) : id;
                 }
@@ -306,11 +307,11 @@
                 String call = first.replace(" HTTP/1.1", "") + id;
                 calls.add(call);
                 String answer = script.apply(call);
-                if (answer.equals(BREAK)) {
+                if (answer.equals(CLOSE_CONNECTION)) {
                     s.close();
                     return;
                 }
-                if (!answer.equals(SILENCE)) {
+                if (!answer.equals(NO_RESPONSE)) {
                     send(s, call, answer);
                 }
             }
@@ -320,7 +321,7 @@
             s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        private static String line(InputStream in) throws IOException {
+        private static String readLine(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
             for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
                 line.append((char) c);
@@ -332,7 +333,7 @@
         @Override
         public void close() throws IOException {
             server.close();
-            for (Socket s : open) {
+            for (Socket s : connections) {
                 s.close();
             }
         }
@@ -343,16 +344,16 @@
         public final Socket socket;
         private final InetSocketAddress front;
         private final DataInputStream in;
-        private byte[] key;
+        private byte[] cancelKey;
 
         public Client(InetSocketAddress front) throws IOException {
             this.front = front;
             socket = new Socket(front.getAddress(), front.getPort());
-            socket.setSoTimeout((int) PATIENCE_MS * 2);
+            socket.setSoTimeout((int) AWAIT_TIMEOUT_MILLIS * 2);
             in = new DataInputStream(socket.getInputStream());
         }
 
-        public static byte[] startup() {
+        public static byte[] startupMessage() {
             byte[] words = "user\0app\0database\0analytics\0\0".getBytes(StandardCharsets.UTF_8);
             return ByteBuffer.allocate(8 + words.length)
                     .putInt(8 + words.length)
@@ -361,7 +362,7 @@
                     .array();
         }
 
-        public static byte[] message(String sql) {
+        public static byte[] queryMessage(String sql) {
             byte[] text = (sql + "\0").getBytes(StandardCharsets.UTF_8);
             return ByteBuffer.allocate(5 + text.length)
                     .put((byte) 'Q')
@@ -378,29 +379,29 @@
         }
 
         /** Starts the session. */
-        public Client start() throws IOException {
-            write(startup());
-            answer();
+        public Client startSession() throws IOException {
+            write(startupMessage());
+            readAnswer();
             return this;
         }
 
-        public String ask(String sql) throws IOException {
-            write(message(sql));
-            return answer();
+        public String query(String sql) throws IOException {
+            write(queryMessage(sql));
+            return readAnswer();
         }
 
         /**
          * What comes until the server is ready or closes, such as {@code T D(a b c) C(SELECT 1)}.
          */
-        public String answer() throws IOException {
+        public String readAnswer() throws IOException {
             StringBuilder out = new StringBuilder();
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - 4);
-                key = type == 'K' ? body : key;
+                cancelKey = type == 'K' ? body : cancelKey;
                 if ("TDCEI".indexOf(type) >= 0) {
                     out.append(out.isEmpty() ? "" : " ")
                             .append((char) type)
-                            .append(shown((char) type, body));
+                            .append(format((char) type, body));
                 }
                 if (type == 'E' && new String(body, StandardCharsets.UTF_8).contains("FATAL")) {
                     return out.append(" closed=").append(in.read() < 0).toString();
@@ -410,7 +411,7 @@
             return out.toString();
         }
 
-        private static String shown(char type, byte[] body) {
+        private static String format(char type, byte[] body) {
             String text = new String(body, StandardCharsets.UTF_8);
             return switch (type) {
                 case 'C' -> "(" + text.substring(0, text.length() - 1) + ")";
@@ -431,8 +432,8 @@
         }
 
         /** The session's number and its secret, by which it is cancelled. */
-        public ByteBuffer key() {
-            return ByteBuffer.wrap(key);
+        public ByteBuffer cancelKey() {
+            return ByteBuffer.wrap(cancelKey);
         }
 
         /** Sends a CancelRequest with this session's key over a connection of its own. */
@@ -444,7 +445,7 @@
         }
 
         public byte[] cancelRequest() {
-            return ByteBuffer.allocate(16).putInt(16).putInt(80877102).put(key).array();
+            return ByteBuffer.allocate(16).putInt(16).putInt(80877102).put(cancelKey).array();
         }
 
         @Override
@@ -454,11 +455,11 @@
     }
 
     /** Work that may end with its socket. */
-    public interface Task {
+    public interface IoTask {
         void run() throws IOException;
     }
 
-    public static void daemon(Task task) {
+    public static void startDaemon(IoTask task) {
         Thread t =
                 new Thread(
                         () -> {
@@ -476,51 +477,51 @@
      * Stops the loop's turn right after the dials of so many attempts from now on have begun, and
      * before it looks for connections that came up.
      */
-    public Stop stopAfterDials(int attempts) {
-        stop = new Stop(attempts);
-        return stop;
+    public LoopPause pauseAfterDials(int attempts) {
+        pauseLoop = new LoopPause(attempts);
+        return pauseLoop;
     }
 
     /** Stops the loop's turn now: what comes meanwhile is found in one pass. */
-    public Stop stop() {
-        Stop now = new Stop(1);
-        loop.execute(now::passed);
-        return now.reached();
+    public LoopPause pauseLoop() {
+        LoopPause now = new LoopPause(1);
+        loop.execute(now::reachPause);
+        return now.awaitPaused();
     }
 
     /** A place where the loop's turn is held until {@link #goOn}. */
-    public static final class Stop {
-        private final CountDownLatch reached = new CountDownLatch(1);
-        private final CountDownLatch over = new CountDownLatch(1);
-        private int toCome;
+    public static final class LoopPause {
+        private final CountDownLatch awaitPaused = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
+        private int remainingAttempts;
 
-        private Stop(int attempts) {
-            toCome = attempts;
+        private LoopPause(int attempts) {
+            remainingAttempts = attempts;
         }
 
-        private void passed() {
-            if (--toCome == 0) {
-                reached.countDown();
-                await(() -> over.getCount() == 0, 4 * PATIENCE_MS);
+        private void reachPause() {
+            if (--remainingAttempts == 0) {
+                awaitPaused.countDown();
+                await(() -> resumed.getCount() == 0, 4 * AWAIT_TIMEOUT_MILLIS);
             }
         }
 
         /** Waits until the turn is held. */
-        public Stop reached() {
-            await(() -> reached.getCount() == 0);
+        public LoopPause awaitPaused() {
+            await(() -> awaitPaused.getCount() == 0);
             return this;
         }
 
-        public void goOn() {
-            over.countDown();
+        public void resume() {
+            resumed.countDown();
         }
     }
 
     /** The engines, with a place to stop at. */
-    private final class Stopping implements Backend {
+    private final class PausingBackend implements Backend {
         private final Backend engines;
 
-        Stopping(Backend engines) {
+        PausingBackend(Backend engines) {
             this.engines = engines;
         }
 
@@ -533,10 +534,10 @@
         public Attempt startAttempt(
                 EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
             Attempt attempt = engines.startAttempt(engine, query, giveUpAt, ending);
-            Stop here = stop;
+            LoopPause here = pauseLoop;
             if (here != null) {
-                loop.execute(
-                        here::passed); // the dial is begun by a task that stands before this one
+                loop.execute(here::reachPause); // the dial is begun by a task that stands before
+                // this one
             }
             return attempt;
         }
@@ -546,7 +547,7 @@
      * Tells a change of the list, in which engines were started at that Unix second, and returns at
      * once.
      */
-    public void tell(
+    public void updateEndpoints(
             EndpointUpdateKind kind,
             double startedAt,
             EngineStage stage,
--- a/src/test/java/junipercourse/Engines.java
+++ b/src/test/java/junipercourse/StubEngines.java
@@ -8,63 +8,65 @@
 import junipercourse.SocketTestSupport.StubEngine;
 
 /** Scripted engines, {@code s-00000001} and on, and a configuration that knows them. */
-public final class Engines implements Closeable {
-    private static final String MEMBER =
+public final class StubEngines implements Closeable {
+    private static final String ENDPOINT =
             """
             {"id":"s-%08x","host_port":"127.0.0.1:%d","locality":"east","flavor":"std","cell":0,
             "phase":"Ready","size":12.0,"up_since_ms":0}\
             """;
-    private static final String KNOWN =
+    private static final String ENDPOINT_LIST =
             """
             "offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[%s]}}]\
             """;
-    private final List<StubEngine> all = new ArrayList<>();
+    private final List<StubEngine> engines = new ArrayList<>();
 
-    public Engines(int number, Function<String, String> script) throws IOException {
+    public StubEngines(int number, Function<String, String> script) throws IOException {
         for (int i = 0; i < number; i++) {
-            all.add(new StubEngine(script));
+            engines.add(new StubEngine(script));
         }
     }
 
     /** The engine of that number, from 1 on. */
     public StubEngine get(int id) {
-        return all.get(id - 1);
+        return engines.get(id - 1);
     }
 
     /** Attempts that the engines have read whole, of queries whose id begins so. */
-    public long attempts(String id) {
-        return all.stream().mapToLong(e -> e.count("POST /fetch " + id)).sum();
+    public long countAttempts(String idPrefix) {
+        return engines.stream().mapToLong(e -> e.countCalls("POST /fetch " + idPrefix)).sum();
     }
 
     /** The calls that the engines have read of the queries whose ids the texts hold. */
-    public List<String> calls(List<String> texts) {
-        return all.stream()
+    public List<String> callsFor(List<String> queries) {
+        return engines.stream()
                 .flatMap(e -> e.calls.stream())
-                .filter(c -> texts.stream().anyMatch(t -> t.contains(id(c))))
+                .filter(c -> queries.stream().anyMatch(t -> t.contains(queryId(c))))
                 .toList();
     }
 
     /** The id of the query that a call is about. */
-    public static String id(String call) {
+    public static String queryId(String call) {
         return call.startsWith("POST")
                 ? call.substring(call.lastIndexOf(' ') + 1)
                 : call.split("/")[2];
     }
 
     /** A dispatcher's configuration with these engines and room for many queries. */
-    public String config() {
+    public String dispatcherConfig() {
         List<String> members = new ArrayList<>();
-        for (StubEngine e : all) {
-            members.add(MEMBER.formatted(members.size() + 1, e.address().getPort()));
+        for (StubEngine e : engines) {
+            members.add(ENDPOINT.formatted(members.size() + 1, e.address().getPort()));
         }
         return SocketTestSupport.CONFIG
-                .replace("\"offset\":0,\"batch\":[]", KNOWN.formatted(String.join(",", members)))
+                .replace(
+                        "\"offset\":0,\"batch\":[]",
+                        ENDPOINT_LIST.formatted(String.join(",", members)))
                 .replace("_per_s\":50.0", "_per_s\":5000.0");
     }
 
     @Override
     public void close() throws IOException {
-        for (StubEngine e : all) {
+        for (StubEngine e : engines) {
             e.close();
         }
     }
--- a/src/test/java/junipercourse/cli/DiscoveryDownTest.java
+++ b/src/test/java/junipercourse/cli/DiscoveryDownTest.java
@@ -55,7 +55,7 @@
                 new StubEngine(
                         call -> {
                             if (call.startsWith("POST")) {
-                                startedAtFirst.add(ScriptedBus.now());
+                                startedAtFirst.add(ScriptedBus.nowSeconds());
                             }
                             return answer(call);
                         });
@@ -65,12 +65,12 @@
 
     private String answer(String call) {
         if (call.startsWith("DELETE")) {
-            return SocketTestSupport.GIVEN_UP;
+            return SocketTestSupport.CANCELLED;
         }
         if (!call.contains("%016x".formatted(HELD))) {
             return SocketTestSupport.OK;
         }
-        SocketTestSupport.pause(call.startsWith("POST") ? 0 : 100);
+        SocketTestSupport.sleepMillis(call.startsWith("POST") ? 0 : 100);
         return SocketTestSupport.RUNNING;
     }
 
@@ -117,12 +117,13 @@
     private void askUntilServed() throws IOException {
         String answer = "";
         int number = 0;
-        for (double end = ScriptedBus.now() + 2; !answer.equals(QueryStream.SERVED); ) {
-            assertTrue(ScriptedBus.now() < end, answer);
+        for (double end = ScriptedBus.nowSeconds() + 2;
+                !answer.equals(QueryStream.EXPECTED_ANSWER); ) {
+            assertTrue(ScriptedBus.nowSeconds() < end, answer);
             try (Client c = new Client(front)) {
-                c.write(Client.startup(), Client.message(query(++number)));
-                answer = c.answer();
-                answer = answer.isEmpty() ? c.answer() : answer;
+                c.write(Client.startupMessage(), Client.queryMessage(query(++number)));
+                answer = c.readAnswer();
+                answer = answer.isEmpty() ? c.readAnswer() : answer;
             }
         }
     }
@@ -138,33 +139,33 @@
         int port = bus.address().getPort();
         bus.close();
         start(limit);
-        int own = process.descriptors();
+        int own = process.countDescriptors();
         int most = 0;
         try {
             for (int i = 0; i < 2; i++) {
                 fill(limit);
-                most = Math.max(most, process.descriptors());
-                SocketTestSupport.pause(300);
-                most = Math.max(most, process.descriptors());
+                most = Math.max(most, process.countDescriptors());
+                SocketTestSupport.sleepMillis(300);
+                most = Math.max(most, process.countDescriptors());
             }
             bus = new ScriptedBus(port);
-            Socket watch = bus.accept();
-            most = Math.max(most, process.descriptors());
-            bus.frames(watch, ScriptedBus.frame(true, 1, 1, first.address(), false));
+            Socket watch = bus.acceptSubscription();
+            most = Math.max(most, process.countDescriptors());
+            bus.sendFrames(watch, ScriptedBus.endpointFrame(true, 1, 1, first.address(), false));
             askUntilServed();
             for (Socket s : idle) {
                 s.close();
             }
-            SocketTestSupport.await(() -> process.descriptors() < own + 4);
-            try (Client held = new Client(front).start()) {
-                held.write(Client.message(query(HELD)));
-                SocketTestSupport.await(() -> first.count("GET") > 0);
+            SocketTestSupport.await(() -> process.countDescriptors() < own + 4);
+            try (Client held = new Client(front).startSession()) {
+                held.write(Client.queryMessage(query(HELD)));
+                SocketTestSupport.await(() -> first.countCalls("GET") > 0);
                 fill(limit / 3 - 2); // with the one that asked, and the CancelRequest
-                double at = ScriptedBus.now();
+                double at = ScriptedBus.nowSeconds();
                 held.cancel();
-                SocketTestSupport.await(() -> first.count("DELETE") == 1);
-                double took = ScriptedBus.now() - at;
-                most = Math.max(most, process.descriptors());
+                SocketTestSupport.await(() -> first.countCalls("DELETE") == 1);
+                double took = ScriptedBus.nowSeconds() - at;
+                most = Math.max(most, process.countDescriptors());
                 assertTrue(took < CANCEL_S, "a CancelRequest took " + took + " s");
             }
         } catch (IOException | AssertionError e) {
@@ -183,21 +184,22 @@
     @Test
     void aDrainThatIsPublishedDuringSilenceIsFollowed() throws Exception {
         start(1024);
-        Socket watch = bus.accept();
-        bus.frames(watch, ScriptedBus.frame(true, 1, 1, first.address(), false));
-        try (Client c = new Client(front).start()) {
-            bus.frames(watch, ScriptedBus.frame(false, 2, 2, second.address(), false));
+        Socket watch = bus.acceptSubscription();
+        bus.sendFrames(watch, ScriptedBus.endpointFrame(true, 1, 1, first.address(), false));
+        try (Client c = new Client(front).startSession()) {
+            bus.sendFrames(watch, ScriptedBus.endpointFrame(false, 2, 2, second.address(), false));
             AtomicReference<Double> toldAt = new AtomicReference<>(Double.POSITIVE_INFINITY);
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
-                        Socket s = bus.accept();
-                        ScriptedBus.bytes(s, ScriptedBus.frame(false, 3, 1, first.address(), true));
-                        toldAt.set(ScriptedBus.now());
+                        Socket s = bus.acceptSubscription();
+                        ScriptedBus.sendBytes(
+                                s, ScriptedBus.endpointFrame(false, 3, 1, first.address(), true));
+                        toldAt.set(ScriptedBus.nowSeconds());
                     });
             int number = 0;
-            while (ScriptedBus.now() < Math.min(toldAt.get() + 2, bus.lastFrameAt + 8)) {
-                assertEquals(QueryStream.SERVED, c.ask(query(++number)));
-                SocketTestSupport.pause(10);
+            while (ScriptedBus.nowSeconds() < Math.min(toldAt.get() + 2, bus.lastFrameAt + 8)) {
+                assertEquals(QueryStream.EXPECTED_ANSWER, c.query(query(++number)));
+                SocketTestSupport.sleepMillis(10);
             }
             double told = toldAt.get();
             assertTrue(told - bus.lastFrameAt < SILENCE_S + SLACK_S, "told at " + told);
--- a/src/test/java/junipercourse/cli/FiguresTest.java
+++ b/src/test/java/junipercourse/cli/FiguresTest.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import junipercourse.Engines;
-import junipercourse.InheritedSocket;
-import junipercourse.InheritedSocket.Program;
+import junipercourse.ListeningSocketHolder;
+import junipercourse.ListeningSocketHolder.InheritingProcess;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
+import junipercourse.StubEngines;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -45,24 +45,25 @@
 
     private String script(String call) {
         boolean post = call.startsWith("POST");
-        String id = Engines.id(call);
+        String id = StubEngines.queryId(call);
         if (call.startsWith("DELETE")) {
-            return SocketTestSupport.GIVEN_UP;
+            return SocketTestSupport.CANCELLED;
         }
         return switch (Integer.parseInt(id, 16) / 1000) {
             case FAILS -> SocketTestSupport.FAILED;
-            case FINDS_NO_ROOM -> SocketTestSupport.FULL;
-            case BREAKS_ONCE -> broken.add(id) ? SocketTestSupport.BREAK : SocketTestSupport.OK;
+            case FINDS_NO_ROOM -> SocketTestSupport.AT_CAPACITY;
+            case BREAKS_ONCE ->
+                    broken.add(id) ? SocketTestSupport.CLOSE_CONNECTION : SocketTestSupport.OK;
             case HELD -> {
-                SocketTestSupport.pause(post ? 0 : 100);
+                SocketTestSupport.sleepMillis(post ? 0 : 100);
                 yield released ? SocketTestSupport.OK : SocketTestSupport.RUNNING;
             }
             default -> SocketTestSupport.OK;
         };
     }
 
-    private static JsonObject stats(Program p) throws IOException {
-        return Json.parse(p.call("GET /ops/stats").body()).asObject();
+    private static JsonObject stats(InheritingProcess p) throws IOException {
+        return Json.parse(p.callAdmin("GET /ops/stats").body()).asObject();
     }
 
     private static JsonObject byClass(long... counts) {
@@ -70,21 +71,22 @@
     }
 
     /** Waits for figures, which may lag, and shows those there are if they do not come. */
-    private static void awaitFigures(JsonObject expected, Program p) throws IOException {
+    private static void awaitFigures(JsonObject expected, InheritingProcess p) throws IOException {
         long end = System.nanoTime() + 5_000_000_000L;
         while (!stats(p).equals(expected) && System.nanoTime() < end) {
-            SocketTestSupport.pause(20);
+            SocketTestSupport.sleepMillis(20);
         }
         assertEquals(expected.toString(), stats(p).toString());
     }
 
     @Test
     void figuresAreWhatEnginesAndClientsSee() throws Exception {
-        try (InheritedSocket socket = new InheritedSocket(folder);
-                Engines engines = new Engines(3, this::script)) {
-            socket.configure(
-                    engines.config().replace("\"key_scope\":\"all\"", "\"key_scope\":\"zone\""));
-            Program p = socket.start().ready();
+        try (ListeningSocketHolder socket = new ListeningSocketHolder(folder);
+                StubEngines engines = new StubEngines(3, this::script)) {
+            socket.writeConfig(
+                    engines.dispatcherConfig()
+                            .replace("\"key_scope\":\"all\"", "\"key_scope\":\"zone\""));
+            InheritingProcess p = socket.start().awaitReady();
             JsonObject none = byClass(0, 0);
             JsonObject expected =
                     Json.object()
@@ -96,35 +98,35 @@
                             .add("known_engines", 3)
                             .add("skipped_engines", 0);
             awaitFigures(expected, p);
-            assertEquals(200, p.call("POST /ops/engines/down/s-00000002").status());
+            assertEquals(200, p.callAdmin("POST /ops/engines/down/s-00000002").status());
             awaitFigures(expected.set("skipped_engines", 1), p);
             long[] passed = new long[2];
             List<Client> held = new ArrayList<>();
             for (int i = 0; i < EACH; i++) {
-                Client c = new Client(socket.address()).start();
-                c.write(Client.message(query(HELD, i % 2, i)));
+                Client c = new Client(socket.address()).startSession();
+                c.write(Client.queryMessage(query(HELD, i % 2, i)));
                 held.add(c);
                 passed[i % 2]++;
             }
-            SocketTestSupport.await(() -> engines.attempts("") == EACH);
+            SocketTestSupport.await(() -> engines.countAttempts("") == EACH);
             awaitFigures(
                     expected.set("in_progress", EACH).set("upstream_tries", tries(engines)), p);
             released = true;
             for (Client c : held) {
-                assertEquals(QueryStream.SERVED, c.answer());
+                assertEquals(QueryStream.EXPECTED_ANSWER, c.readAnswer());
                 c.close();
             }
             awaitFigures(expected.set("in_progress", 0).set("passed", byClass(passed)), p);
-            assertEquals(200, p.call("POST /ops/engines/up/s-00000002").status());
+            assertEquals(200, p.callAdmin("POST /ops/engines/up/s-00000002").status());
             awaitFigures(expected.set("skipped_engines", 0), p);
-            engines.get(3).acceptNoMore(); // nothing is written in an attempt at it
+            engines.get(3).stopAccepting(); // nothing is written in an attempt at it
             long[] dropped = new long[2];
             long[] failed = new long[2];
-            try (Client c = new Client(socket.address()).start()) {
+            try (Client c = new Client(socket.address()).startSession()) {
                 for (int i = 0; i < EACH * HELD; i++) {
-                    String answer = c.ask(query(i / 2 % HELD, i % 2, i));
+                    String answer = c.query(query(i / 2 % HELD, i % 2, i));
                     long[] count =
-                            answer.equals(QueryStream.SERVED)
+                            answer.equals(QueryStream.EXPECTED_ANSWER)
                                     ? passed
                                     : answer.startsWith("E(53300 ") ? dropped : failed;
                     assertTrue(count != failed || answer.startsWith("E(58000 "), answer);
@@ -151,12 +153,12 @@
     }
 
     /** What the engines have read whole, by the class that a query's number tells. */
-    private static JsonObject tries(Engines engines) {
+    private static JsonObject tries(StubEngines engines) {
         long[] read = new long[2];
         for (int i = 1; i <= 3; i++) {
             for (String call : engines.get(i).calls) {
                 if (call.startsWith("POST")) {
-                    read[Integer.parseInt(Engines.id(call), 16) % 1000 / LOADS]++;
+                    read[Integer.parseInt(StubEngines.queryId(call), 16) % 1000 / LOADS]++;
                 }
             }
         }
--- a/src/test/java/junipercourse/cli/IdleClientFloodTest.java
+++ b/src/test/java/junipercourse/cli/IdleClientFloodTest.java
@@ -78,9 +78,9 @@
             engines.add(
                     new SocketTestSupport.StubEngine(
                             call -> {
-                                SocketTestSupport.pause(250);
+                                SocketTestSupport.sleepMillis(250);
                                 return call.startsWith("DELETE")
-                                        ? SocketTestSupport.GIVEN_UP
+                                        ? SocketTestSupport.CANCELLED
                                         : SocketTestSupport.RUNNING;
                             }));
         }
@@ -145,21 +145,21 @@
     @Test
     void aCrowdOfIdleClientsStaysWithinTheShares() throws Exception {
         InetSocketAddress front = start();
-        int atRest = process.descriptors();
+        int atRest = process.countDescriptors();
         AtomicInteger most = new AtomicInteger();
         AtomicInteger looks = new AtomicInteger();
-        SocketTestSupport.daemon(
+        SocketTestSupport.startDaemon(
                 () -> {
                     while (!over.get()) {
-                        most.accumulateAndGet(process.descriptors(), Math::max);
+                        most.accumulateAndGet(process.countDescriptors(), Math::max);
                         looks.incrementAndGet();
-                        SocketTestSupport.pause(2);
+                        SocketTestSupport.sleepMillis(2);
                     }
                 });
         List<Client> held = new ArrayList<>();
         for (int i = 1; i <= HELD; i++) {
-            Client c = new Client(front).start();
-            c.write(Client.message(SocketTestSupport.query("check", i, 7000)));
+            Client c = new Client(front).startSession();
+            c.write(Client.queryMessage(SocketTestSupport.query("check", i, 7000)));
             held.add(c);
         }
         for (int i = 0; i < CROWD; i++) {
@@ -170,7 +170,7 @@
                 0; // connections of the crowd as its own side counts them, also those not accepted
         for (int round = 0; round < ROUNDS; round++) {
             renew(front, random, new int[] {0, 1, 5, 10}[round % 4]);
-            SocketTestSupport.pause(150);
+            SocketTestSupport.sleepMillis(150);
             outside =
                     Math.max(
                             outside,
@@ -180,13 +180,13 @@
             c.close(); // each query that is out is given up by a call of its own
         }
         renew(front, random, 10);
-        SocketTestSupport.pause(500);
+        SocketTestSupport.sleepMillis(500);
         over.set(true);
         for (SocketChannel c : crowd) {
             c.close();
         }
         process.signal("TERM");
-        assertTrue(process.endsWithin(10), process.log());
+        assertTrue(process.exitsWithin(10), process.log());
         Matcher peaks = PEAKS.matcher(process.log());
         assertTrue(peaks.find(), process.log());
         int toEngines = Integer.parseInt(peaks.group(1));
--- a/src/test/java/junipercourse/cli/MaintenanceModeTest.java
+++ b/src/test/java/junipercourse/cli/MaintenanceModeTest.java
@@ -13,12 +13,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junipercourse.Engines;
-import junipercourse.InheritedSocket;
-import junipercourse.InheritedSocket.Answer;
-import junipercourse.InheritedSocket.Program;
+import junipercourse.ListeningSocketHolder;
+import junipercourse.ListeningSocketHolder.HttpAnswer;
+import junipercourse.ListeningSocketHolder.InheritingProcess;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
+import junipercourse.StubEngines;
 import junipercourse.config.Config;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -34,23 +34,23 @@
     private static final String UP = "POST /ops/engines/up/s-00000001";
     private static final int SOME = 30;
     @TempDir private Path folder;
-    private InheritedSocket held;
+    private ListeningSocketHolder held;
     private QueryStream stream;
-    private Engines engines;
+    private StubEngines engines;
 
     @BeforeEach
     void start() throws IOException {
-        held = new InheritedSocket(folder);
+        held = new ListeningSocketHolder(folder);
         stream = new QueryStream(held.address());
         engines =
-                new Engines(
+                new StubEngines(
                         3,
-                        stream.watched(
+                        stream.detectDuplicates(
                                 call ->
                                         call.startsWith("DELETE")
-                                                ? SocketTestSupport.GIVEN_UP
+                                                ? SocketTestSupport.CANCELLED
                                                 : SocketTestSupport.OK));
-        held.configure(engines.config());
+        held.writeConfig(engines.dispatcherConfig());
     }
 
     @AfterEach
@@ -60,27 +60,27 @@
         engines.close();
     }
 
-    private static JsonObject stats(Answer a) {
+    private static JsonObject stats(HttpAnswer a) {
         return Json.parse(a.body()).asObject();
     }
 
-    private static void skips(Program p, int engines) {
-        p.told("GET /ops/stats", a -> stats(a).getInt("skipped_engines", -1) == engines);
+    private static void skips(InheritingProcess p, int engines) {
+        p.awaitAnswer("GET /ops/stats", a -> stats(a).getInt("skipped_engines", -1) == engines);
     }
 
     /** Waits until it has served some more. */
-    private static void serves(Program p) throws IOException {
-        int before = served(p.call("GET /ops/stats"));
-        p.told("GET /ops/stats", a -> served(a) >= before + SOME / 3);
+    private static void serves(InheritingProcess p) throws IOException {
+        int before = served(p.callAdmin("GET /ops/stats"));
+        p.awaitAnswer("GET /ops/stats", a -> served(a) >= before + SOME / 3);
     }
 
-    private static int served(Answer a) {
+    private static int served(HttpAnswer a) {
         JsonObject passed = stats(a).get("passed").asObject();
         return passed.getInt("check", 0) + passed.getInt("load", 0);
     }
 
     private long atTheFirst() {
-        return engines.get(1).count("POST");
+        return engines.get(1).countCalls("POST");
     }
 
     private void isInUse() {
@@ -89,45 +89,45 @@
     }
 
     /** Nothing goes to the first engine while each of the processes serves. */
-    private void isOut(Program... all) throws IOException {
-        for (Program p : all) {
+    private void isOut(InheritingProcess... all) throws IOException {
+        for (InheritingProcess p : all) {
             skips(p, 1);
         }
-        stream.more(SOME); // what was written to it before is read by now
+        stream.awaitServed(SOME); // what was written to it before is read by now
         long before = atTheFirst();
-        for (Program p : all) {
+        for (InheritingProcess p : all) {
             serves(p);
         }
-        stream.more(SOME);
+        stream.awaitServed(SOME);
         assertEquals(before, atTheFirst());
     }
 
     /** An order to one process is all processes', now and later, until one order back. */
     @Test
     void ordersHoldForBothProcessesAndOutliveThem() throws Exception {
-        Program old = held.start().ready();
+        InheritingProcess old = held.start().awaitReady();
         stream.start();
-        Program next = held.start().ready();
+        InheritingProcess next = held.start().awaitReady();
         isInUse();
-        assertEquals(404, old.call("POST /ops/engines/down/s-0000ffff").status());
-        assertEquals(404, old.call("POST /ops/engines/down/engine").status());
-        assertEquals(404, old.call("POST /ops/engines/up/s-0000ffff").status());
-        assertEquals(200, old.call(DOWN).status());
-        assertEquals(200, old.call(DOWN).status(), "twice is once");
+        assertEquals(404, old.callAdmin("POST /ops/engines/down/s-0000ffff").status());
+        assertEquals(404, old.callAdmin("POST /ops/engines/down/engine").status());
+        assertEquals(404, old.callAdmin("POST /ops/engines/up/s-0000ffff").status());
+        assertEquals(200, old.callAdmin(DOWN).status());
+        assertEquals(200, old.callAdmin(DOWN).status(), "twice is once");
         isOut(old, next);
-        assertEquals(200, next.call(UP).status());
+        assertEquals(200, next.callAdmin(UP).status());
         skips(old, 0);
         skips(next, 0);
         isInUse();
-        assertEquals(200, next.call(DOWN).status());
+        assertEquals(200, next.callAdmin(DOWN).status());
         isOut(old, next);
         old.signal("KILL");
         next.signal("KILL");
-        old.exitCode();
-        next.exitCode();
-        Program afresh = held.start().ready();
+        old.awaitExitCode();
+        next.awaitExitCode();
+        InheritingProcess afresh = held.start().awaitReady();
         isOut(afresh);
-        assertEquals(200, afresh.call(UP).status());
+        assertEquals(200, afresh.callAdmin(UP).status());
         skips(afresh, 0);
         isInUse();
     }
@@ -140,31 +140,31 @@
     void whatCannotBeKeptIsNotPromised() throws Exception {
         Path orders =
                 Files.createDirectories(
-                        held.temporary()
+                        held.tempFolder()
                                 .resolve(
                                         "junipercourse-out-n1-127.0.0.1-"
                                                 + held.address().getPort()));
         Files.writeString(orders.resolve("s-1.tmp"), "s-00000002");
-        Program p = held.start().ready();
+        InheritingProcess p = held.start().awaitReady();
         stream.start();
         assertTrue(p.log().contains("s-1.tmp, which names no engine"), p.log());
-        assertEquals(200, p.call(DOWN).status());
+        assertEquals(200, p.callAdmin(DOWN).status());
         isOut(p);
         Files.delete(orders.resolve("s-1.tmp"));
         Files.delete(orders.resolve("s-00000001"));
         skips(p, 0); // the file is the order
-        assertEquals(200, p.call(DOWN).status());
+        assertEquals(200, p.callAdmin(DOWN).status());
         Path moved = folder.resolve("moved");
         Files.move(orders, moved);
-        assertEquals(503, p.call("POST /ops/engines/down/s-00000002").status());
-        assertEquals(503, p.call(UP).status());
+        assertEquals(503, p.callAdmin("POST /ops/engines/down/s-00000002").status());
+        assertEquals(503, p.callAdmin(UP).status());
         Files.createFile(orders);
-        assertEquals(503, p.call("POST /ops/engines/down/s-00000002").status());
-        assertEquals(503, p.call(UP).status());
+        assertEquals(503, p.callAdmin("POST /ops/engines/down/s-00000002").status());
+        assertEquals(503, p.callAdmin(UP).status());
         isOut(p);
         Files.delete(orders);
         Files.move(moved, orders);
-        assertEquals(200, p.call(UP).status());
+        assertEquals(200, p.callAdmin(UP).status());
         skips(p, 0);
         isInUse();
         assertEquals(1, p.log().split("NotDirectoryException", -1).length - 1, p.log());
@@ -176,24 +176,27 @@
      */
     @Test
     void aDispatcherAtAnotherAddressHasOrdersAndClaimsOfItsOwn() throws Exception {
-        try (InheritedSocket other = new InheritedSocket(folder.resolve("other"))) {
-            other.configure(engines.config());
-            Program one = held.start().ready();
-            assertEquals(200, one.call(DOWN).status());
+        try (ListeningSocketHolder other = new ListeningSocketHolder(folder.resolve("other"))) {
+            other.writeConfig(engines.dispatcherConfig());
+            InheritingProcess one = held.start().awaitReady();
+            assertEquals(200, one.callAdmin(DOWN).status());
             skips(one, 1);
-            Program two = other.start("", Map.of("TMPDIR", held.temporary().toString())).ready();
+            InheritingProcess two =
+                    other.start("", Map.of("TMPDIR", held.tempFolder().toString())).awaitReady();
             assertEquals(
-                    0, stats(two.call("GET /ops/stats")).getInt("skipped_engines", -1), two.log());
-            assertEquals(200, two.call(UP).status());
+                    0,
+                    stats(two.callAdmin("GET /ops/stats")).getInt("skipped_engines", -1),
+                    two.log());
+            assertEquals(200, two.callAdmin(UP).status());
             assertTrue(
                     Files.exists(
-                            held.temporary()
+                            held.tempFolder()
                                     .resolve(
                                             "junipercourse-out-n1-127.0.0.1-"
                                                     + held.address().getPort()
                                                     + "/s-00000001")),
                     "the order to the first one stands");
-            for (Program p : List.of(one, two)) {
+            for (InheritingProcess p : List.of(one, two)) {
                 assertFalse(p.log().contains("another process runs"), p.log());
             }
         }
--- a/src/test/java/junipercourse/cli/ManyStarts.java
+++ b/src/test/java/junipercourse/cli/ManyStarts.java
@@ -55,11 +55,11 @@
                     Path config = config(i, bus.isEmpty() ? "" : at);
                     long begun = System.nanoTime();
                     DispatcherProcess p =
-                            DispatcherProcess.deployed(
+                            DispatcherProcess.startDeployed(
                                     folder.resolve("log" + i), config, product(i));
                     all.add(p);
                     int number = i;
-                    SocketTestSupport.daemon(
+                    SocketTestSupport.startDaemon(
                             () -> {
                                 answers(p);
                                 readyS[number] = (System.nanoTime() - begun) * 1e-9;
@@ -79,7 +79,7 @@
             print("resident MB", all.stream().mapToDouble(ManyStarts::residentMb).toArray());
             double[] before = all.stream().mapToDouble(ManyStarts::processorS).toArray();
             int hold = Integer.getInteger("hold", 0);
-            SocketTestSupport.pause(hold * 1000L);
+            SocketTestSupport.sleepMillis(hold * 1000L);
             if (hold > 0) {
                 print(
                         "processor seconds in " + hold + " s after",
@@ -101,7 +101,7 @@
     /** Waits until it listens and has answered an empty query as PostgreSQL does. */
     static void answers(DispatcherProcess p) throws IOException {
         try (SocketTestSupport.Client client = new SocketTestSupport.Client(p.address())) {
-            assertEquals("I", client.start().ask(" "));
+            assertEquals("I", client.startSession().query(" "));
         }
     }
 
@@ -118,9 +118,9 @@
         if (heldMs > 0) {
             ServerSocket old = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
             root.set("listen", "127.0.0.1:" + old.getLocalPort());
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
-                        SocketTestSupport.pause(heldMs);
+                        SocketTestSupport.sleepMillis(heldMs);
                         old.close();
                     });
         }
@@ -143,7 +143,7 @@
 
     private static String told(DispatcherProcess p, String what) {
         try {
-            return p.told(what);
+            return p.readProcFile(what);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/junipercourse/cli/MixedBuildReplacement.java
+++ b/src/test/java/junipercourse/cli/MixedBuildReplacement.java
@@ -9,11 +9,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import junipercourse.Engines;
-import junipercourse.InheritedSocket;
-import junipercourse.InheritedSocket.Program;
+import junipercourse.ListeningSocketHolder;
+import junipercourse.ListeningSocketHolder.InheritingProcess;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
+import junipercourse.StubEngines;
 import junipercourse.multiprocess.OtherBuild;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -39,23 +39,23 @@
     private static final String DOWN = "POST /ops/engines/down/s-00000001";
     private static final String UP = "POST /ops/engines/up/s-00000001";
     @TempDir private Path folder;
-    private InheritedSocket held;
+    private ListeningSocketHolder held;
     private QueryStream stream;
-    private Engines engines;
+    private StubEngines engines;
 
     @BeforeEach
     void start() throws IOException {
-        held = new InheritedSocket(folder);
+        held = new ListeningSocketHolder(folder);
         stream = new QueryStream(held.address());
-        engines = new Engines(3, stream.watched(MixedBuildReplacement::answer));
-        held.configure(engines.config());
+        engines = new StubEngines(3, stream.detectDuplicates(MixedBuildReplacement::answer));
+        held.writeConfig(engines.dispatcherConfig());
     }
 
     private static String answer(String call) {
         if (call.startsWith("DELETE")) {
-            return SocketTestSupport.GIVEN_UP;
+            return SocketTestSupport.CANCELLED;
         }
-        SocketTestSupport.pause(
+        SocketTestSupport.sleepMillis(
                 call.matches(".*[0-9ab]") ? FAST_ANSWER_MILLIS : SLOW_ANSWER_MILLIS);
         return SocketTestSupport.OK;
     }
@@ -67,50 +67,50 @@
         engines.close();
     }
 
-    private Program startThisBuild() throws IOException {
-        return held.start().ready();
+    private InheritingProcess startThisBuild() throws IOException {
+        return held.start().awaitReady();
     }
 
-    private Program startOtherBuild() throws IOException {
-        return held.start(OtherBuild.command(), Map.of()).ready();
+    private InheritingProcess startOtherBuild() throws IOException {
+        return held.start(OtherBuild.command(), Map.of()).awaitReady();
     }
 
     @Test
     void replacementsBetweenTwoBuildsLoseNoQuery() throws Exception {
-        Program old = startOtherBuild();
+        InheritingProcess old = startOtherBuild();
         stream.start();
         int lostBefore = 0;
         for (int i = 0; i < REPLACEMENTS; i++) {
-            Program next = i % 2 == 0 ? startThisBuild() : startOtherBuild();
-            stream.more(QUERIES);
+            InheritingProcess next = i % 2 == 0 ? startThisBuild() : startOtherBuild();
+            stream.awaitServed(QUERIES);
             old.signal("TERM");
-            assertEquals(128 + 15, old.exitCode(), old.log());
+            assertEquals(128 + 15, old.awaitExitCode(), old.log());
             assertFalse(old.log().contains("ERROR"), old.log());
-            stream.more(QUERIES);
-            int lost = stream.atTheDoor.size();
-            assertTrue(lost - lostBefore <= FREE_AT_THE_DOOR, () -> "lost: " + stream.atTheDoor);
+            stream.awaitServed(QUERIES);
+            int lost = stream.notAdmitted.size();
+            assertTrue(lost - lostBefore <= FREE_AT_THE_DOOR, () -> "lost: " + stream.notAdmitted);
             lostBefore = lost;
             old = next;
         }
         stream.close();
-        assertEquals(List.of(), stream.twice);
+        assertEquals(List.of(), stream.duplicateAttempts);
         assertEquals(
                 List.of(),
-                stream.unserved,
-                () -> "engine calls: " + engines.calls(stream.unserved));
+                stream.unexpectedAnswers,
+                () -> "engine calls: " + engines.callsFor(stream.unexpectedAnswers));
         System.out.println(
                 REPLACEMENTS
                         + " replacements between two builds: "
                         + stream.served
                         + " served, "
-                        + stream.sentOn
+                        + stream.redirected
                         + " sent on, at the door "
-                        + stream.atTheDoor.size());
+                        + stream.notAdmitted.size());
     }
 
-    private static void skipsEngines(int count, Program... programs) {
-        for (Program program : programs) {
-            program.told(
+    private static void skipsEngines(int count, InheritingProcess... programs) {
+        for (InheritingProcess program : programs) {
+            program.awaitAnswer(
                     "GET /ops/stats",
                     answer ->
                             Json.parse(answer.body()).asObject().getInt("skipped_engines", -1)
@@ -121,24 +121,24 @@
     /** An engine that one build puts into maintenance mode is in it for the other build too. */
     @Test
     void maintenanceMarkersOfOneBuildAreReadByTheOther() throws Exception {
-        Program other = startOtherBuild();
-        Program current = startThisBuild();
+        InheritingProcess other = startOtherBuild();
+        InheritingProcess current = startThisBuild();
         stream.start();
-        stream.more(QUERIES);
-        assertEquals(200, other.call(DOWN).status());
+        stream.awaitServed(QUERIES);
+        assertEquals(200, other.callAdmin(DOWN).status());
         skipsEngines(1, other, current);
-        assertEquals(200, current.call(UP).status());
+        assertEquals(200, current.callAdmin(UP).status());
         skipsEngines(0, other, current);
-        assertEquals(200, current.call(DOWN).status());
+        assertEquals(200, current.callAdmin(DOWN).status());
         skipsEngines(1, other, current);
         other.signal("KILL");
         current.signal("KILL");
-        other.exitCode();
-        current.exitCode();
-        Program otherAgain = startOtherBuild();
-        Program currentAgain = startThisBuild();
+        other.awaitExitCode();
+        current.awaitExitCode();
+        InheritingProcess otherAgain = startOtherBuild();
+        InheritingProcess currentAgain = startThisBuild();
         skipsEngines(1, otherAgain, currentAgain);
-        assertEquals(200, otherAgain.call(UP).status());
+        assertEquals(200, otherAgain.callAdmin(UP).status());
         skipsEngines(0, otherAgain, currentAgain);
     }
 }
--- a/src/test/java/junipercourse/cli/ProcessTest.java
+++ b/src/test/java/junipercourse/cli/ProcessTest.java
@@ -40,9 +40,9 @@
         engine =
                 new SocketTestSupport.StubEngine(
                         call -> {
-                            SocketTestSupport.pause(100);
+                            SocketTestSupport.sleepMillis(100);
                             return call.startsWith("DELETE")
-                                    ? SocketTestSupport.GIVEN_UP
+                                    ? SocketTestSupport.CANCELLED
                                     : SocketTestSupport.RUNNING;
                         });
         oldBus.setSoTimeout(10_000);
@@ -92,7 +92,7 @@
         assertEquals(-1, before.getInputStream().read(), "the old bus is left");
         assertTrue(process.isAlive(), process.log());
         process.signal("TERM");
-        assertTrue(process.endsWithin(5), process.log());
+        assertTrue(process.exitsWithin(5), process.log());
         assertTrue(process.log().contains("config_reloaded=1 config_rejected=1"), process.log());
     }
 
@@ -122,7 +122,7 @@
         try (DispatcherProcess next = new DispatcherProcess(other, 1024, config, "")) {
             assertEquals(front.getPort(), next.address().getPort());
             try (SocketTestSupport.Client client = new SocketTestSupport.Client(front)) {
-                assertEquals("I", client.start().ask(" "));
+                assertEquals("I", client.startSession().query(" "));
             }
         }
     }
@@ -153,7 +153,7 @@
                 config, Files.readString(config).replace("127.0.0.1:0\"", "192.0.2.1:7001\""));
         process.close();
         process = new DispatcherProcess(folder, 1024);
-        assertTrue(process.endsWithin(10), process.log());
+        assertTrue(process.exitsWithin(10), process.log());
         assertTrue(process.log().contains("cannot listen on /192.0.2.1:7001"), process.log());
     }
 
@@ -165,20 +165,22 @@
     void terminationAnswersAllBeforeItIsForced() throws Exception {
         InetSocketAddress front = process.address();
         try (SocketTestSupport.Client taken = new SocketTestSupport.Client(front)) {
-            taken.start()
+            taken.startSession()
                     .write(
-                            SocketTestSupport.Client.message(
+                            SocketTestSupport.Client.queryMessage(
                                     SocketTestSupport.query("load", 1, 19_000)));
-            SocketTestSupport.await(() -> engine.count("POST") == 1);
+            SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
             long from = System.nanoTime();
             process.signal("TERM");
-            SocketTestSupport.pause(300);
+            SocketTestSupport.sleepMillis(300);
             try (SocketTestSupport.Client late = new SocketTestSupport.Client(front)) {
                 assertEquals(
-                        "I", late.start().ask(" "), "a client that comes 0.3 s later is served");
+                        "I",
+                        late.startSession().query(" "),
+                        "a client that comes 0.3 s later is served");
             }
-            assertEquals("E(53300 the dispatcher is shutting down)", taken.answer());
-            assertTrue(process.endsWithin(1), process.log());
+            assertEquals("E(53300 the dispatcher is shutting down)", taken.readAnswer());
+            assertTrue(process.exitsWithin(1), process.log());
             assertEquals(
                     0, Math.max(0, (System.nanoTime() - from) / 1_000_000 - 3700), "ms too late");
         }
--- a/src/test/java/junipercourse/cli/RecoveryTest.java
+++ b/src/test/java/junipercourse/cli/RecoveryTest.java
@@ -139,10 +139,10 @@
         RuleEngine(Rules rules) throws IOException {
             this.rules = rules;
             stub = new SocketTestSupport.StubEngine(this::answer);
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
-                            SocketTestSupport.pause(10);
+                            SocketTestSupport.sleepMillis(10);
                             sweep(System.currentTimeMillis());
                         }
                     });
@@ -184,10 +184,10 @@
                     endsAt.remove(id);
                     askedAt.remove(id);
                     rules.over(id);
-                    return SocketTestSupport.GIVEN_UP;
+                    return SocketTestSupport.CANCELLED;
                 }
             }
-            SocketTestSupport.pause(
+            SocketTestSupport.sleepMillis(
                     Math.max(1, endsAt.getOrDefault(id, 0L) - System.currentTimeMillis()));
             synchronized (this) {
                 sweep(System.currentTimeMillis());
@@ -221,7 +221,7 @@
             Random random = new Random(seed);
             long[] keyFree = new long[KEYS + 1];
             while (now() < seconds) {
-                SocketTestSupport.pause(5 + random.nextInt(20));
+                SocketTestSupport.sleepMillis(5 + random.nextInt(20));
                 int k = random.nextInt(2 * KEYS);
                 long key = k < KEYS && System.currentTimeMillis() >= keyFree[k + 1] ? k + 1 : 0;
                 Client c = spare();
@@ -242,9 +242,9 @@
                                                         + "%016x".formatted(key));
                 double at = now();
                 sent++;
-                byte[] query = Client.message(sql);
+                byte[] query = Client.queryMessage(sql);
                 try {
-                    client.write(fresh ? joined(Client.startup(), query) : query);
+                    client.write(fresh ? joined(Client.startupMessage(), query) : query);
                     threads.execute(() -> await(client, fresh, at));
                 } catch (IOException e) { // closed just now: nothing of it has been taken
                     answers.add(new Answered(at, "not written", 0));
@@ -278,7 +278,7 @@
             String answer;
             try {
                 client.socket.setSoTimeout(3000);
-                answer = fresh ? client.answer() + client.answer() : client.answer();
+                answer = fresh ? client.readAnswer() + client.readAnswer() : client.readAnswer();
                 spare.add(new Spare(client, now()));
             } catch (IOException e) {
                 answer = "none " + e;
@@ -323,12 +323,12 @@
         start(4, sockets, rules);
         Load load = new Load();
         double stopAt = 2.5;
-        SocketTestSupport.daemon(
+        SocketTestSupport.startDaemon(
                 () -> {
                     try {
-                        SocketTestSupport.pause((long) (stopAt * 1000));
+                        SocketTestSupport.sleepMillis((long) (stopAt * 1000));
                         process.signal("STOP");
-                        SocketTestSupport.pause((long) (stall * 1000));
+                        SocketTestSupport.sleepMillis((long) (stall * 1000));
                         process.signal("CONT");
                     } catch (InterruptedException e) {
                         throw new IOException(e);
@@ -365,21 +365,21 @@
         for (int round = 0; round < 6; round++) {
             for (int i = 0; i < 100; i++) {
                 silent.add(new Socket(front.getAddress(), front.getPort()));
-                most = Math.max(most, process.descriptors());
+                most = Math.max(most, process.countDescriptors());
             }
             for (int i = 0; i < 4; i++) {
                 try (Client c = new Client(front)) {
                     c.socket.setSoTimeout(3000);
                     String sql = SocketTestSupport.query("check", 100 * round + i, 2500);
-                    c.write(Client.startup(), Client.message(sql));
-                    String answer = c.answer();
-                    answer += answer.isEmpty() ? c.answer() : "";
+                    c.write(Client.startupMessage(), Client.queryMessage(sql));
+                    String answer = c.readAnswer();
+                    answer += answer.isEmpty() ? c.readAnswer() : "";
                     served += answer.startsWith("T D(a b c)") ? 1 : 0;
                     assertTrue(
                             answer.startsWith("T D(a b c)") || answer.startsWith("E(53300"),
                             answer);
                 }
-                most = Math.max(most, process.descriptors());
+                most = Math.max(most, process.countDescriptors());
             }
         }
         for (Socket s : silent) {
--- a/src/test/java/junipercourse/cli/ReplacementTest.java
+++ b/src/test/java/junipercourse/cli/ReplacementTest.java
@@ -9,11 +9,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import junipercourse.Engines;
-import junipercourse.InheritedSocket;
-import junipercourse.InheritedSocket.Program;
+import junipercourse.ListeningSocketHolder;
+import junipercourse.ListeningSocketHolder.InheritingProcess;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
+import junipercourse.StubEngines;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -33,16 +33,16 @@
     private static final int QUICK_MS = 20;
     private static final int SLOW_MS = 250;
     @TempDir private Path folder;
-    private InheritedSocket held;
+    private ListeningSocketHolder held;
     private QueryStream stream;
-    private Engines engines;
+    private StubEngines engines;
 
     @BeforeEach
     void start() throws IOException {
-        held = new InheritedSocket(folder);
+        held = new ListeningSocketHolder(folder);
         stream = new QueryStream(held.address());
-        engines = new Engines(3, stream.watched(ReplacementTest::slowly));
-        held.configure(engines.config());
+        engines = new StubEngines(3, stream.detectDuplicates(ReplacementTest::slowly));
+        held.writeConfig(engines.dispatcherConfig());
     }
 
     /**
@@ -50,9 +50,9 @@
      */
     private static String slowly(String call) {
         if (call.startsWith("DELETE")) {
-            return SocketTestSupport.GIVEN_UP;
+            return SocketTestSupport.CANCELLED;
         }
-        SocketTestSupport.pause(call.matches(".*[0-9ab]") ? QUICK_MS : SLOW_MS);
+        SocketTestSupport.sleepMillis(call.matches(".*[0-9ab]") ? QUICK_MS : SLOW_MS);
         return SocketTestSupport.OK;
     }
 
@@ -69,97 +69,101 @@
      */
     @Test
     void manyReplacementsInARowLoseNothing() throws Exception {
-        Program old = held.start().ready();
+        InheritingProcess old = held.start().awaitReady();
         stream.start();
         int lostBefore = 0;
         for (int i = 0; i < REPLACEMENTS; i++) {
-            Program next = held.start().ready();
-            stream.more(SOME);
+            InheritingProcess next = held.start().awaitReady();
+            stream.awaitServed(SOME);
             old.signal("TERM");
-            assertEquals(128 + 15, old.exitCode(), old.log());
+            assertEquals(128 + 15, old.awaitExitCode(), old.log());
             assertTrue(old.log().contains("n1 ends: ") && !old.log().contains("ERROR"), old.log());
-            stream.more(SOME);
-            int lost = stream.atTheDoor.size();
-            assertTrue(lost - lostBefore <= FREE_AT_THE_DOOR, () -> "lost: " + stream.atTheDoor);
+            stream.awaitServed(SOME);
+            int lost = stream.notAdmitted.size();
+            assertTrue(lost - lostBefore <= FREE_AT_THE_DOOR, () -> "lost: " + stream.notAdmitted);
             lostBefore = lost;
             old = next;
         }
         stream.close();
-        assertEquals(List.of(), stream.twice);
+        assertEquals(List.of(), stream.duplicateAttempts);
         assertEquals(
                 List.of(),
-                stream.unserved,
-                () -> "asked of engines: " + engines.calls(stream.unserved));
+                stream.unexpectedAnswers,
+                () -> "asked of engines: " + engines.callsFor(stream.unexpectedAnswers));
         System.out.println(
                 REPLACEMENTS
                         + " replacements: "
                         + stream.served
                         + " served, "
-                        + stream.sentOn
+                        + stream.redirected
                         + " sent on, at the door "
-                        + stream.atTheDoor.size());
+                        + stream.notAdmitted.size());
     }
 
     /** A new one that cannot have its second address takes no connection before it ends. */
     @Test
     void aNewOneThatNeverGetsReadyLeavesTheOldOneServing() throws Exception {
-        Program old = held.start().ready();
+        InheritingProcess old = held.start().awaitReady();
         stream.start();
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
-            Program next = held.start("", Map.of("RELAY_ADMIN", address));
-            assertEquals(1, next.exitCode(), next.log());
+            InheritingProcess next = held.start("", Map.of("RELAY_ADMIN", address));
+            assertEquals(1, next.awaitExitCode(), next.log());
             assertTrue(next.log().contains(address), next.log());
         }
-        stream.more(SOME);
-        assertEquals(200, old.call("GET /ops/readiness").status());
+        stream.awaitServed(SOME);
+        assertEquals(200, old.callAdmin("GET /ops/readiness").status());
         stream.close();
-        assertEquals(List.of(), stream.atTheDoor);
-        assertEquals(List.of(), stream.twice);
-        assertEquals(List.of(), stream.unserved);
+        assertEquals(List.of(), stream.notAdmitted);
+        assertEquals(List.of(), stream.duplicateAttempts);
+        assertEquals(List.of(), stream.unexpectedAnswers);
     }
 
     /** What the old one had accepted is lost with it; all that comes after is served. */
     @Test
     void theNewOneGoesOnWhenTheOldOneIsKilledBesideIt() throws Exception {
-        Program old = held.start().ready();
+        InheritingProcess old = held.start().awaitReady();
         stream.start();
-        Program next = held.start().ready();
-        stream.more(SOME);
+        InheritingProcess next = held.start().awaitReady();
+        stream.awaitServed(SOME);
         old.signal("KILL");
-        assertEquals(128 + 9, old.exitCode(), old.log());
+        assertEquals(128 + 9, old.awaitExitCode(), old.log());
         for (int i = 0; i < SOME; i++) {
             assertEquals(
-                    QueryStream.SERVED, QueryStream.ask(held.address(), QueryStream.query("load")));
+                    QueryStream.EXPECTED_ANSWER,
+                    QueryStream.queryOnce(held.address(), QueryStream.query("load")));
         }
-        stream.more(SOME);
-        assertEquals(200, next.call("GET /ops/readiness").status());
+        stream.awaitServed(SOME);
+        assertEquals(200, next.callAdmin("GET /ops/readiness").status());
         stream.close(); // what clients sent again then may have run twice: nobody could know
-        assertEquals(List.of(), stream.unserved);
+        assertEquals(List.of(), stream.unexpectedAnswers);
     }
 
     /** Without a list of engines, and on its way out with a query still open. */
     @Test
     void whoCannotTakeQueriesIsNotReady() throws Exception {
-        held.configure(SocketTestSupport.CONFIG);
-        Program without = held.start();
-        without.told("GET /ops/readiness", a -> a.status() == 503 && a.body().contains("no list"));
+        held.writeConfig(SocketTestSupport.CONFIG);
+        InheritingProcess without = held.start();
+        without.awaitAnswer(
+                "GET /ops/readiness", a -> a.status() == 503 && a.body().contains("no list"));
         without.signal("KILL");
-        without.exitCode();
-        try (Engines silent =
-                        new Engines(
+        without.awaitExitCode();
+        try (StubEngines silent =
+                        new StubEngines(
                                 1,
                                 call ->
                                         call.startsWith("DELETE")
-                                                ? SocketTestSupport.GIVEN_UP
-                                                : SocketTestSupport.SILENCE);
+                                                ? SocketTestSupport.CANCELLED
+                                                : SocketTestSupport.NO_RESPONSE);
                 SocketTestSupport.Client client = new SocketTestSupport.Client(held.address())) {
-            held.configure(silent.config());
-            Program p = held.start().ready();
-            client.start().write(SocketTestSupport.Client.message(QueryStream.query("load")));
-            SocketTestSupport.await(() -> silent.attempts("") == 1);
+            held.writeConfig(silent.dispatcherConfig());
+            InheritingProcess p = held.start().awaitReady();
+            client.startSession()
+                    .write(SocketTestSupport.Client.queryMessage(QueryStream.query("load")));
+            SocketTestSupport.await(() -> silent.countAttempts("") == 1);
             p.signal("TERM");
-            p.told("GET /ops/readiness", a -> a.status() == 503 && a.body().contains("ending"));
+            p.awaitAnswer(
+                    "GET /ops/readiness", a -> a.status() == 503 && a.body().contains("ending"));
             assertTrue(p.isAlive(), p.log());
         }
     }
@@ -170,9 +174,9 @@
      */
     @Test
     void aWrongDescriptorIsNamed() throws Exception {
-        try (InheritedSocket bound = new InheritedSocket(folder.resolve("bound"), 0)) {
-            bound.configure(engines.config());
-            Map<Program, String> faults =
+        try (ListeningSocketHolder bound = new ListeningSocketHolder(folder.resolve("bound"), 0)) {
+            bound.writeConfig(engines.dispatcherConfig());
+            Map<InheritingProcess, String> faults =
                     Map.of(
                             held.start("exec </dev/null; ", Map.of()),
                                     "descriptor 0 is no TCP socket",
@@ -181,9 +185,9 @@
                             held.start("", Map.of("RELAY_FD", "3")),
                                     "only descriptor 0 can be taken over, not 3",
                             bound.start(), "descriptor 0 does not listen on");
-            for (Map.Entry<Program, String> fault : faults.entrySet()) {
-                Program p = fault.getKey();
-                assertEquals(2, p.exitCode(), p.log());
+            for (Map.Entry<InheritingProcess, String> fault : faults.entrySet()) {
+                InheritingProcess p = fault.getKey();
+                assertEquals(2, p.awaitExitCode(), p.log());
                 assertTrue(p.log().contains("configuration: RELAY_FD: "), p.log());
                 assertTrue(p.log().contains(fault.getValue()), p.log());
             }
--- a/src/test/java/junipercourse/cli/SettingsApartTest.java
+++ b/src/test/java/junipercourse/cli/SettingsApartTest.java
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
-import junipercourse.Engines;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
+import junipercourse.StubEngines;
 import junipercourse.config.Config;
 import org.junit.jupiter.api.Test;
 
@@ -17,7 +17,7 @@
     private static final String SHORT = "deadline_s\":0.4";
 
     private static String script(String call) {
-        return call.startsWith("DELETE") ? SocketTestSupport.GIVEN_UP : SocketTestSupport.OK;
+        return call.startsWith("DELETE") ? SocketTestSupport.CANCELLED : SocketTestSupport.OK;
     }
 
     private static DispatcherServer server(String config) throws IOException {
@@ -29,7 +29,7 @@
     private static String ask(DispatcherServer s, String kind, String owner, int timeoutMs)
             throws IOException {
         InetSocketAddress at = s.address();
-        return QueryStream.ask(
+        return QueryStream.queryOnce(
                 at,
                 QueryStream.query(kind)
                         .replace("acme", owner)
@@ -49,35 +49,35 @@
      */
     @Test
     void eachAnswersByItsOwnSettings() throws Exception {
-        try (Engines ours = new Engines(1, SettingsApartTest::script);
-                Engines theirs = new Engines(1, SettingsApartTest::script)) {
+        try (StubEngines ours = new StubEngines(1, SettingsApartTest::script);
+                StubEngines theirs = new StubEngines(1, SettingsApartTest::script)) {
             String other =
-                    theirs.config()
+                    theirs.dispatcherConfig()
                             .replace("\"check\"", "\"audit\"")
                             .replace("\"acme\"", "\"umbrella\"")
                             .replace("deadline_s\":7.5", SHORT)
                             .replace("\"n1\"", "\"n2\"")
                             .replace("\"goal_time_s\":1.5", "\"goal_time_s\":0.2")
                             .replace("\"east\"", "\"west\"");
-            DispatcherServer first = server(ours.config());
+            DispatcherServer first = server(ours.dispatcherConfig());
             DispatcherServer second = server(other);
             DispatcherServer third = null;
             try {
-                assertEquals(QueryStream.SERVED, ask(first, "check", "acme", 7000));
-                assertEquals(QueryStream.SERVED, ask(second, "audit", "umbrella", 400));
+                assertEquals(QueryStream.EXPECTED_ANSWER, ask(first, "check", "acme", 7000));
+                assertEquals(QueryStream.EXPECTED_ANSWER, ask(second, "audit", "umbrella", 400));
                 refuses(first, "audit", "acme", 400, "unknown class");
                 refuses(second, "check", "umbrella", 400, "unknown class");
                 refuses(first, "check", "umbrella", 400, "unknown tenant");
                 refuses(second, "audit", "acme", 400, "unknown tenant");
                 refuses(second, "audit", "umbrella", 7000, "timeout");
-                assertEquals(QueryStream.SERVED, ask(first, "check", "acme", 7000));
-                assertEquals(2, ours.attempts(""));
-                assertEquals(1, theirs.attempts(""));
+                assertEquals(QueryStream.EXPECTED_ANSWER, ask(first, "check", "acme", 7000));
+                assertEquals(2, ours.countAttempts(""));
+                assertEquals(1, theirs.countAttempts(""));
                 first.stop();
-                third = server(ours.config().replace("\"check\"", "\"third\""));
+                third = server(ours.dispatcherConfig().replace("\"check\"", "\"third\""));
                 refuses(third, "check", "acme", 7000, "unknown class");
-                assertEquals(QueryStream.SERVED, ask(third, "third", "acme", 7000));
-                assertEquals(QueryStream.SERVED, ask(second, "audit", "umbrella", 400));
+                assertEquals(QueryStream.EXPECTED_ANSWER, ask(third, "third", "acme", 7000));
+                assertEquals(QueryStream.EXPECTED_ANSWER, ask(second, "audit", "umbrella", 400));
             } finally {
                 first.stop();
                 second.stop();
--- a/src/test/java/junipercourse/cli/ShutdownTest.java
+++ b/src/test/java/junipercourse/cli/ShutdownTest.java
@@ -7,9 +7,9 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import junipercourse.DispatcherProcess;
-import junipercourse.Engines;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
+import junipercourse.StubEngines;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -23,24 +23,24 @@
     private static final double KILL_S = 1.5 + 0.7;
     private static final String GONE = "E(57P03 the dispatcher is shutting down) closed=true";
     @TempDir private Path folder;
-    private Engines engines;
+    private StubEngines engines;
     private DispatcherProcess process;
     private InetSocketAddress front;
 
     @BeforeEach
     void start() throws IOException {
         engines =
-                new Engines(
+                new StubEngines(
                         1,
                         call -> {
-                            SocketTestSupport.pause(100);
+                            SocketTestSupport.sleepMillis(100);
                             return call.startsWith("DELETE")
-                                    ? SocketTestSupport.GIVEN_UP
+                                    ? SocketTestSupport.CANCELLED
                                     : SocketTestSupport.RUNNING;
                         });
         java.nio.file.Files.writeString(
                 folder.resolve("config.json"),
-                engines.config()
+                engines.dispatcherConfig()
                         .replace(
                                 "\"goal_time_s\":1.5,\"deadline_s\":7.5",
                                 "\"goal_time_s\":0.5,\"deadline_s\":1.5")
@@ -64,16 +64,16 @@
     @Test
     void withShortDeadlinesAllIsAnsweredBeforeTheKill() throws Exception {
         try (Client late = new Client(front)) {
-            late.start();
+            late.startSession();
             process.signal("TERM");
             long from = System.nanoTime();
             SocketTestSupport.await(() -> process.log().contains("asked to end"));
-            SocketTestSupport.pause(450); // a query in its last moments of being taken
-            late.write(Client.message(SocketTestSupport.query("check", 1, 1500)));
-            assertEquals("E(53300 the dispatcher is shutting down)", late.answer());
+            SocketTestSupport.sleepMillis(450); // a query in its last moments of being taken
+            late.write(Client.queryMessage(SocketTestSupport.query("check", 1, 1500)));
+            assertEquals("E(53300 the dispatcher is shutting down)", late.readAnswer());
             double took = (System.nanoTime() - from) / 1e9;
             assertTrue(took < KILL_S, took + " s");
-            assertTrue(process.endsWithin(1), process.log());
+            assertTrue(process.exitsWithin(1), process.log());
         }
     }
 
@@ -86,14 +86,14 @@
         try (Client rests = new Client(front);
                 Client silent = new Client(front);
                 Client half = new Client(front)) {
-            assertEquals("I", rests.start().ask(" "));
-            silent.start();
-            half.start().write(new byte[] {'Q', 0, 0, 0, 99, 'S'});
+            assertEquals("I", rests.startSession().query(" "));
+            silent.startSession();
+            half.startSession().write(new byte[] {'Q', 0, 0, 0, 99, 'S'});
             process.signal("TERM");
-            assertEquals(GONE, rests.answer());
-            assertEquals(GONE, silent.answer());
-            assertEquals(GONE, half.answer());
-            assertTrue(process.endsWithin(1), process.log());
+            assertEquals(GONE, rests.readAnswer());
+            assertEquals(GONE, silent.readAnswer());
+            assertEquals(GONE, half.readAnswer());
+            assertTrue(process.exitsWithin(1), process.log());
         }
     }
 
@@ -104,19 +104,22 @@
     @Test
     void aClientThatSentMoreThanItsQueryReadsItsAnswerAndAnEnd() throws Exception {
         try (Client busy = new Client(front)) {
-            busy.start().write(Client.message(SocketTestSupport.query("check", 1, 1500)));
-            SocketTestSupport.await(() -> engines.attempts("") == 1);
+            busy.startSession()
+                    .write(Client.queryMessage(SocketTestSupport.query("check", 1, 1500)));
+            SocketTestSupport.await(() -> engines.countAttempts("") == 1);
             process.signal("TERM");
             SocketTestSupport.await(() -> process.log().contains("asked to end"));
-            SocketTestSupport.pause(450);
-            busy.write(Client.message(SocketTestSupport.query("check", 2, 1500)), new byte[30_000]);
-            String first = busy.answer();
+            SocketTestSupport.sleepMillis(450);
+            busy.write(
+                    Client.queryMessage(SocketTestSupport.query("check", 2, 1500)),
+                    new byte[30_000]);
+            String first = busy.readAnswer();
             assertTrue(first.startsWith("E(5"), first);
-            String next = busy.answer(); // the second query, refused before any row
+            String next = busy.readAnswer(); // the second query, refused before any row
             assertEquals("E(57P03 the dispatcher is shutting down)", next);
-            String last = busy.answer();
+            String last = busy.readAnswer();
             assertTrue(last.endsWith("closed=true"), last);
-            assertTrue(process.endsWithin(1), process.log());
+            assertTrue(process.exitsWithin(1), process.log());
         }
     }
 }
--- a/src/test/java/junipercourse/cli/SignalsTest.java
+++ b/src/test/java/junipercourse/cli/SignalsTest.java
@@ -11,10 +11,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import junipercourse.DispatcherProcess;
-import junipercourse.Engines;
-import junipercourse.InheritedSocket;
+import junipercourse.ListeningSocketHolder;
 import junipercourse.QueryStream;
 import junipercourse.SocketTestSupport;
+import junipercourse.StubEngines;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
     private static final String IN_USE = " is in use; trying again";
     private static final String READ_AGAIN = "the configuration has been read again";
     @TempDir private Path folder;
-    private Engines engines;
+    private StubEngines engines;
     private Path config;
     private ServerSocket holder;
     private DispatcherProcess process;
@@ -36,11 +36,11 @@
     @BeforeEach
     void start() throws IOException {
         engines =
-                new Engines(
+                new StubEngines(
                         1,
                         call ->
                                 call.startsWith("DELETE")
-                                        ? SocketTestSupport.GIVEN_UP
+                                        ? SocketTestSupport.CANCELLED
                                         : SocketTestSupport.OK);
         config = folder.resolve("config.json");
         holder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -56,7 +56,7 @@
     }
 
     private String at(int port) {
-        return engines.config().replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
+        return engines.dispatcherConfig().replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
     }
 
     /** Starts it at an address that is taken, so that it is held in the middle of its start. */
@@ -69,7 +69,7 @@
     private void logs(String text) {
         SocketTestSupport.await(
                 () -> process.log().contains(text) || !process.isAlive(),
-                InheritedSocket.PATIENCE_MS);
+                ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         assertTrue(process.log().contains(text), process.log());
     }
 
@@ -87,7 +87,7 @@
         long from = System.nanoTime();
         process.signal("TERM");
         holder.close();
-        assertTrue(process.endsWithin(20), process.log());
+        assertTrue(process.exitsWithin(20), process.log());
         assertTrue(process.log().contains("n1 ends: "), process.log());
         assertFalse(process.log().contains("listens on"), process.log());
         assertTrue(System.nanoTime() - from < 3_700_000_000L, "later than a SIGKILL may come");
@@ -96,15 +96,17 @@
     /** The second one changes nothing, neither for who comes after it nor for when the end is. */
     @Test
     void terminationThatComesAgainChangesNothing() throws Exception {
-        Files.writeString(config, engines.config());
+        Files.writeString(config, engines.dispatcherConfig());
         process = new DispatcherProcess(folder, 1024);
         InetSocketAddress front = process.address();
         process.signal("TERM");
         logs("asked to end");
         process.signal("TERM");
         process.signal("TERM");
-        assertEquals(QueryStream.SERVED, QueryStream.ask(front, QueryStream.query("check")));
-        assertTrue(process.endsWithin(20), process.log());
+        assertEquals(
+                QueryStream.EXPECTED_ANSWER,
+                QueryStream.queryOnce(front, QueryStream.query("check")));
+        assertTrue(process.exitsWithin(20), process.log());
         assertEquals(1, told("asked to end"), process.log());
         assertEquals(1, told("n1 ends: "), process.log());
         assertFalse(process.log().contains("ERROR"), process.log());
@@ -113,17 +115,19 @@
     /** The reload is held in the middle of reading: its file is a pipe to which nobody writes. */
     @Test
     void terminationDuringAReloadDoesNotWaitForIt() throws Exception {
-        Files.writeString(config, engines.config());
+        Files.writeString(config, engines.dispatcherConfig());
         process = new DispatcherProcess(folder, 1024);
         InetSocketAddress front = process.address();
         Files.delete(config);
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
         process.signal("HUP");
-        SocketTestSupport.await(() -> readsThePipe(), InheritedSocket.PATIENCE_MS);
+        SocketTestSupport.await(() -> readsThePipe(), ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         process.signal("TERM");
         logs("asked to end");
-        assertEquals(QueryStream.SERVED, QueryStream.ask(front, QueryStream.query("check")));
-        assertTrue(process.endsWithin(20), process.log());
+        assertEquals(
+                QueryStream.EXPECTED_ANSWER,
+                QueryStream.queryOnce(front, QueryStream.query("check")));
+        assertTrue(process.exitsWithin(20), process.log());
         assertTrue(process.log().contains("n1 ends: "), process.log());
         assertFalse(process.log().contains(READ_AGAIN), process.log());
     }
@@ -172,11 +176,13 @@
         holder.close();
         assertEquals(holder.getLocalPort(), process.address().getPort(), process.log());
         assertEquals(
-                QueryStream.SERVED, QueryStream.ask(process.address(), QueryStream.query("check")));
-        String unknown = QueryStream.ask(process.address(), QueryStream.query("audit"));
+                QueryStream.EXPECTED_ANSWER,
+                QueryStream.queryOnce(process.address(), QueryStream.query("check")));
+        String unknown = QueryStream.queryOnce(process.address(), QueryStream.query("audit"));
         assertTrue(unknown.startsWith("E("), unknown);
         process.signal("HUP");
-        SocketTestSupport.await(() -> told(READ_AGAIN) == 2, InheritedSocket.PATIENCE_MS);
+        SocketTestSupport.await(
+                () -> told(READ_AGAIN) == 2, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         for (String key : new String[] {"name", "listen", "limits", "settings"}) {
             assertEquals(
                     2,
@@ -184,10 +190,12 @@
                     process.log());
         }
         assertEquals(
-                QueryStream.SERVED, QueryStream.ask(process.address(), QueryStream.query("check")));
+                QueryStream.EXPECTED_ANSWER,
+                QueryStream.queryOnce(process.address(), QueryStream.query("check")));
         Files.writeString(config, at(holder.getLocalPort()));
         process.signal("HUP");
-        SocketTestSupport.await(() -> told(READ_AGAIN) == 3, InheritedSocket.PATIENCE_MS);
+        SocketTestSupport.await(
+                () -> told(READ_AGAIN) == 3, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         assertEquals(
                 2,
                 told("settings has changed"),
--- a/src/test/java/junipercourse/core/FirstByteTest.java
+++ b/src/test/java/junipercourse/core/FirstByteTest.java
@@ -1,7 +1,7 @@
 package junipercourse.core;
 
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.FAILED;
-import static junipercourse.SocketTestSupport.GIVEN_UP;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.query;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
-import junipercourse.SocketTestSupport.Stop;
+import junipercourse.SocketTestSupport.LoopPause;
 import junipercourse.SocketTestSupport.StubEngine;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.api.EndpointUpdateKind;
@@ -73,27 +73,27 @@
         int clients = 8;
         List<StubEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            engines.add(bench.engine(i, call -> OK));
+            engines.add(bench.startEngine(i, call -> OK));
         }
         List<Client> all = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
-            all.add(bench.client().start());
+            all.add(bench.connectClient().startSession());
         }
-        Stop read = bench.stop();
-        Stop stop = bench.stopAfterDials(clients);
+        LoopPause read = bench.pauseLoop();
+        LoopPause stop = bench.pauseAfterDials(clients);
         for (int i = 0; i < clients; i++) {
-            all.get(i).write(Client.message(query("check", i + 1, 7000)));
+            all.get(i).write(Client.queryMessage(query("check", i + 1, 7000)));
         }
-        read.goOn();
-        stop.reached();
+        read.resume();
+        stop.awaitPaused();
         for (Client c : all) {
             c.socket.setSoLinger(reset, 0);
             c.close();
         }
-        SocketTestSupport.pause(heldMs);
-        stop.goOn();
+        SocketTestSupport.sleepMillis(heldMs);
+        stop.resume();
         awaitUnsent(clients);
-        assertEquals(0, engines.stream().mapToLong(e -> e.count("POST")).sum());
+        assertEquals(0, engines.stream().mapToLong(e -> e.countCalls("POST")).sum());
         assertEquals(clients, count(Count.CLIENTS_LEFT));
     }
 
@@ -102,18 +102,18 @@
      */
     @Test
     void nothingIsSentForACancelThatLiesUnacceptedAndItsKeysNextGoesOn() throws Exception {
-        StubEngine e = bench.engine(1, call -> call.startsWith("DELETE") ? GIVEN_UP : OK);
-        Client first = bench.client().start();
-        Client next = bench.client().start();
-        Stop stop = bench.stopAfterDials(1);
-        first.write(Client.message(query("load", 1, 9000)));
-        stop.reached();
-        SocketTestSupport.daemon(first::cancel);
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.pause(STALL_MS);
-        stop.goOn();
-        assertEquals("E(57014 canceling statement due to user request)", first.answer());
-        assertEquals(SERVED, next.answer());
+        StubEngine e = bench.startEngine(1, call -> call.startsWith("DELETE") ? CANCELLED : OK);
+        Client first = bench.connectClient().startSession();
+        Client next = bench.connectClient().startSession();
+        LoopPause stop = bench.pauseAfterDials(1);
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        stop.awaitPaused();
+        SocketTestSupport.startDaemon(first::cancel);
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.sleepMillis(STALL_MS);
+        stop.resume();
+        assertEquals("E(57014 canceling statement due to user request)", first.readAnswer());
+        assertEquals(SERVED, next.readAnswer());
         assertEquals(List.of("POST /fetch 0000000000000002"), posts(e));
         assertEquals(1, count(Count.ENDS_UNSENT));
         assertEquals(0, count(Count.ENDS_CANCELLED), "what was not written did not run");
@@ -126,30 +126,36 @@
     @ParameterizedTest
     @CsvSource({"drains", "gone", "restarted", "replaced"})
     void nothingIsSentToAnEngineThatIsNoLongerTheOneItWas(String how) throws Exception {
-        StubEngine e = bench.engine(1, call -> OK);
-        Client client = bench.client().start();
-        Stop stop = bench.stopAfterDials(1);
-        client.write(Client.message(query("load", 1, 7000)));
-        stop.reached();
+        StubEngine e = bench.startEngine(1, call -> OK);
+        Client client = bench.connectClient().startSession();
+        LoopPause stop = bench.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("load", 1, 7000)));
+        stop.awaitPaused();
         StubEngine other = new StubEngine(call -> OK);
         double now = System.currentTimeMillis() / 1e3;
         switch (how) {
             case "drains" ->
-                    bench.tell(EndpointUpdateKind.DELTA, 0, EngineStage.DRAINING, Map.of(1, e));
-            case "gone" -> bench.tell(EndpointUpdateKind.DELTA, 0, EngineStage.GONE, Map.of(1, e));
+                    bench.updateEndpoints(
+                            EndpointUpdateKind.DELTA, 0, EngineStage.DRAINING, Map.of(1, e));
+            case "gone" ->
+                    bench.updateEndpoints(
+                            EndpointUpdateKind.DELTA, 0, EngineStage.GONE, Map.of(1, e));
             case "restarted" ->
-                    bench.tell(EndpointUpdateKind.DELTA, now, EngineStage.READY, Map.of(1, e));
-            default -> bench.tell(EndpointUpdateKind.FULL, 0, EngineStage.READY, Map.of(2, e));
+                    bench.updateEndpoints(
+                            EndpointUpdateKind.DELTA, now, EngineStage.READY, Map.of(1, e));
+            default ->
+                    bench.updateEndpoints(
+                            EndpointUpdateKind.FULL, 0, EngineStage.READY, Map.of(2, e));
         }
         boolean stays = how.equals("restarted") || how.equals("replaced");
         if (!stays) {
-            bench.tell(EndpointUpdateKind.DELTA, 0, EngineStage.READY, Map.of(2, other));
+            bench.updateEndpoints(EndpointUpdateKind.DELTA, 0, EngineStage.READY, Map.of(2, other));
         }
-        stop.goOn();
-        assertEquals(SERVED, client.answer());
+        stop.resume();
+        assertEquals(SERVED, client.readAnswer());
         assertEquals(1, count(Count.ENDS_UNSENT), "the attempt for the old one");
-        assertEquals(stays ? 1 : 0, e.count("POST"));
-        assertEquals(stays ? 0 : 1, other.count("POST"));
+        assertEquals(stays ? 1 : 0, e.countCalls("POST"));
+        assertEquals(stays ? 0 : 1, other.countCalls("POST"));
         other.close();
     }
 
@@ -159,46 +165,46 @@
      */
     @Test
     void aRepeatWhoseConnectionCameUpTooLateForItsWindowIsNotSent() throws Exception {
-        StubEngine one = bench.engine(1, call -> FAILED);
-        StubEngine two = bench.engine(2, call -> FAILED);
-        Client client = bench.client().start();
-        Stop stop = bench.stopAfterDials(2);
-        client.write(Client.message(query("load", 1, 9000)));
-        stop.reached();
-        SocketTestSupport.pause(1100);
-        stop.goOn();
-        assertTrue(client.answer().startsWith("E(53"));
-        assertEquals(1, one.count("POST") + two.count("POST"));
+        StubEngine one = bench.startEngine(1, call -> FAILED);
+        StubEngine two = bench.startEngine(2, call -> FAILED);
+        Client client = bench.connectClient().startSession();
+        LoopPause stop = bench.pauseAfterDials(2);
+        client.write(Client.queryMessage(query("load", 1, 9000)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(1100);
+        stop.resume();
+        assertTrue(client.readAnswer().startsWith("E(53"));
+        assertEquals(1, one.countCalls("POST") + two.countCalls("POST"));
         assertEquals(1, count(Count.ENDS_UNSENT));
     }
 
     /** An attempt's first byte leaves while there is time for its answer, or not at all. */
     @Test
     void aQueryWhoseTimeIsUpWhenItsConnectionIsUpIsNotSent() throws Exception {
-        StubEngine e = bench.engine(1, call -> OK);
-        Client client = bench.client().start();
-        Stop stop = bench.stopAfterDials(1);
-        client.write(Client.message(query("check", 1, 800)));
-        stop.reached();
-        SocketTestSupport.pause(900);
-        stop.goOn();
-        assertTrue(client.answer().startsWith("E(5"));
+        StubEngine e = bench.startEngine(1, call -> OK);
+        Client client = bench.connectClient().startSession();
+        LoopPause stop = bench.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("check", 1, 800)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(900);
+        stop.resume();
+        assertTrue(client.readAnswer().startsWith("E(5"));
         awaitUnsent(1);
-        assertEquals(0, e.count("POST"));
+        assertEquals(0, e.countCalls("POST"));
     }
 
     /** The engine is told how long is left when the first byte leaves, not when the dial began. */
     @Test
     void theTimeThatADialTookIsNotToldToTheEngineAsLeft() throws Exception {
-        StubEngine e = bench.engine(1, call -> OK);
-        Client client = bench.client().start();
-        Stop stop = bench.stopAfterDials(1);
-        client.write(Client.message(query("check", 1, 7000)));
-        stop.reached();
-        SocketTestSupport.pause(600);
-        stop.goOn();
-        assertEquals(SERVED, client.answer());
-        assertTrue(e.limits.get(0) <= 6400, e.limits::toString);
+        StubEngine e = bench.startEngine(1, call -> OK);
+        Client client = bench.connectClient().startSession();
+        LoopPause stop = bench.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(600);
+        stop.resume();
+        assertEquals(SERVED, client.readAnswer());
+        assertTrue(e.limitsMillis.get(0) <= 6400, e.limitsMillis::toString);
     }
 
     /**
@@ -211,25 +217,25 @@
         CountDownLatch answer = new CountDownLatch(1);
         try (SocketTestSupport narrow = new SocketTestSupport(1)) {
             StubEngine e =
-                    narrow.engine(
+                    narrow.startEngine(
                             1,
                             call -> {
                                 SocketTestSupport.await(() -> answer.getCount() == 0);
                                 return OK;
                             });
-            Client first = narrow.client().start();
-            Client second = narrow.client().start();
-            Client third = narrow.client().start();
-            first.write(Client.message(query(kind, 1, 7000)));
-            SocketTestSupport.await(() -> e.count("POST") == 1);
-            second.write(Client.message(query(kind, 2, 7000)));
+            Client first = narrow.connectClient().startSession();
+            Client second = narrow.connectClient().startSession();
+            Client third = narrow.connectClient().startSession();
+            first.write(Client.queryMessage(query(kind, 1, 7000)));
+            SocketTestSupport.await(() -> e.countCalls("POST") == 1);
+            second.write(Client.queryMessage(query(kind, 2, 7000)));
             SocketTestSupport.await(() -> narrow.counters.get(Count.QUERIES_TAKEN) == 2);
-            Stop stop = narrow.stop();
+            LoopPause stop = narrow.pauseLoop();
             answer.countDown(); // the answer and the client's end are found in one pass
             second.close();
-            stop.goOn();
-            assertEquals(SERVED, first.answer());
-            assertEquals(SERVED, third.ask(query(kind, 3, 7000)));
+            stop.resume();
+            assertEquals(SERVED, first.readAnswer());
+            assertEquals(SERVED, third.query(query(kind, 3, 7000)));
             assertEquals(
                     List.of("POST /fetch 0000000000000001", "POST /fetch 0000000000000003"),
                     posts(e));
@@ -247,19 +253,20 @@
             for (int i = 0; i < 2; i++) {
                 waiting.add(new Socket(full.getInetAddress(), full.getLocalPort()));
             }
-            bench.list(1, (InetSocketAddress) full.getLocalSocketAddress(), EngineStage.READY);
-            Client client = bench.client().start();
-            Stop stop = bench.stopAfterDials(1);
-            client.write(Client.message(query("check", 1, 7000)));
-            stop.reached();
-            stop.goOn();
-            SocketTestSupport.pause(
+            bench.updateEndpointAndWait(
+                    1, (InetSocketAddress) full.getLocalSocketAddress(), EngineStage.READY);
+            Client client = bench.connectClient().startSession();
+            LoopPause stop = bench.pauseAfterDials(1);
+            client.write(Client.queryMessage(query("check", 1, 7000)));
+            stop.awaitPaused();
+            stop.resume();
+            SocketTestSupport.sleepMillis(
                     700); // its first SYN is lost in the full queue; the system's next is 1 s later
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
                             Socket s = full.accept();
-                            SocketTestSupport.daemon(
+                            SocketTestSupport.startDaemon(
                                     () -> {
                                         if (s.getInputStream().read() >= 0) {
                                             posts.incrementAndGet();
@@ -268,7 +275,7 @@
                                     });
                         }
                     });
-            assertEquals(SERVED, client.answer());
+            assertEquals(SERVED, client.readAnswer());
             assertEquals(1, posts.get());
             assertEquals(1, count(Count.ATTEMPTS_SENT));
             for (Socket s : waiting) {
--- a/src/test/java/junipercourse/core/RulesOnSocketsTest.java
+++ b/src/test/java/junipercourse/core/RulesOnSocketsTest.java
@@ -1,8 +1,8 @@
 package junipercourse.core;
 
+import static junipercourse.SocketTestSupport.AT_CAPACITY;
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.FAILED;
-import static junipercourse.SocketTestSupport.FULL;
-import static junipercourse.SocketTestSupport.GIVEN_UP;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.RUNNING;
 import static junipercourse.SocketTestSupport.query;
@@ -36,20 +36,20 @@
     }
 
     private static String slowly(long ms, String answer) {
-        SocketTestSupport.pause(ms);
+        SocketTestSupport.sleepMillis(ms);
         return answer;
     }
 
     /** Rule 1: a silent engine costs its answer, not the answer's time. */
     @Test
     void everyQueryIsAnsweredBeforeItsClientGivesUp() throws Exception {
-        bench.engine(1, call -> SocketTestSupport.SILENCE);
-        Client client = bench.client().start();
+        bench.startEngine(1, call -> SocketTestSupport.NO_RESPONSE);
+        Client client = bench.connectClient().startSession();
         long from = System.nanoTime();
-        assertTrue(client.ask(query("check", 1, 700)).startsWith("E(53"));
+        assertTrue(client.query(query("check", 1, 700)).startsWith("E(53"));
         assertTrue(System.nanoTime() - from < 700_000_000L);
-        bench.engine(2, call -> OK); // and the session goes on
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        bench.startEngine(2, call -> OK); // and the session goes on
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
     }
 
     /**
@@ -57,33 +57,34 @@
      * twice.
      */
     @ParameterizedTest
-    @ValueSource(strings = {SocketTestSupport.BREAK, "SSH-2.0 hello\r\n", RUNNING + RUNNING})
+    @ValueSource(
+            strings = {SocketTestSupport.CLOSE_CONNECTION, "SSH-2.0 hello\r\n", RUNNING + RUNNING})
     void aBrokenConnectionDoesNotSendTheQueryTwice(String broken) throws Exception {
         AtomicInteger polls = new AtomicInteger();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call ->
                                 call.startsWith("POST")
                                         ? RUNNING
                                         : polls.incrementAndGet() == 1 ? broken : OK);
-        Client client = bench.client().start();
+        Client client = bench.connectClient().startSession();
         long from = System.nanoTime();
-        assertEquals(SERVED, client.ask(query("load", 1, 5000)));
+        assertEquals(SERVED, client.query(query("load", 1, 5000)));
         assertTrue(System.nanoTime() - from < 900_000_000L);
-        assertEquals(1, e.count("POST"));
+        assertEquals(1, e.countCalls("POST"));
     }
 
     /** Rule 2: an engine that proves it never ran the query lets it go elsewhere. */
     @Test
     void aFullEngineAndADeadOneLeaveTheQueryToOthers() throws Exception {
-        StubEngine full = bench.engine(1, call -> FULL);
-        StubEngine dead = bench.engine(2, call -> OK);
+        StubEngine full = bench.startEngine(1, call -> AT_CAPACITY);
+        StubEngine dead = bench.startEngine(2, call -> OK);
         dead.close();
-        bench.engine(3, call -> OK);
-        Client client = bench.client().start();
+        bench.startEngine(3, call -> OK);
+        Client client = bench.connectClient().startSession();
         for (int i = 0; i < 5; i++) {
-            assertEquals(SERVED, client.ask(query("load", 1, 5000)));
+            assertEquals(SERVED, client.query(query("load", 1, 5000)));
         }
         assertTrue(full.calls.size() <= 5);
     }
@@ -91,23 +92,23 @@
     /** Rule 3: nothing new goes to an engine that drains. */
     @Test
     void aDrainingEngineGetsNothingNew() throws Exception {
-        StubEngine leaving = bench.engine(1, call -> OK);
-        Client client = bench.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        bench.list(1, leaving, EngineStage.DRAINING);
-        assertTrue(client.ask(query("check", 2, 400)).startsWith("E(53"));
+        StubEngine leaving = bench.startEngine(1, call -> OK);
+        Client client = bench.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        bench.updateEndpointAndWait(1, leaving, EngineStage.DRAINING);
+        assertTrue(client.query(query("check", 2, 400)).startsWith("E(53"));
         assertEquals(1, leaving.calls.size());
     }
 
     /** Rule 3: an engine that takes over an address is another engine. */
     @Test
     void anAddressTakenOverGetsConnectionsOfItsOwn() throws Exception {
-        StubEngine e = bench.engine(1, call -> OK);
-        Client client = bench.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        bench.list(1, e, EngineStage.GONE);
-        bench.list(2, e, EngineStage.READY);
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        StubEngine e = bench.startEngine(1, call -> OK);
+        Client client = bench.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        bench.updateEndpointAndWait(1, e, EngineStage.GONE);
+        bench.updateEndpointAndWait(2, e, EngineStage.READY);
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
         assertEquals(2, bench.counters.get(Counters.Count.ENGINES_CONNECTED));
     }
 
@@ -119,7 +120,7 @@
         AtomicInteger posts = new AtomicInteger();
         AtomicLong unknown = new AtomicLong();
         AtomicLong next = new AtomicLong();
-        bench.engine(
+        bench.startEngine(
                 1,
                 call -> {
                     if (!call.startsWith("POST")) {
@@ -127,11 +128,11 @@
                         return FAILED;
                     }
                     next.set(System.nanoTime());
-                    return posts.incrementAndGet() == 1 ? SocketTestSupport.BREAK : OK;
+                    return posts.incrementAndGet() == 1 ? SocketTestSupport.CLOSE_CONNECTION : OK;
                 });
-        Client client = bench.client().start();
-        client.ask(query("load", 1, 9000));
-        client.ask(query("load", 2, 9000)); // on a busy machine it may be refused instead
+        Client client = bench.connectClient().startSession();
+        client.query(query("load", 1, 9000));
+        client.query(query("load", 2, 9000)); // on a busy machine it may be refused instead
         assertTrue(posts.get() < 3 || next.get() - unknown.get() >= 500_000_000L);
     }
 
@@ -141,12 +142,12 @@
         AtomicLong deleted = new AtomicLong();
         AtomicLong second = new AtomicLong();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
                                 deleted.set(System.nanoTime());
-                                return slowly(100, GIVEN_UP);
+                                return slowly(100, CANCELLED);
                             }
                             if (call.startsWith("POST") && deleted.get() > 0) {
                                 second.set(System.nanoTime());
@@ -154,16 +155,16 @@
                             }
                             return slowly(50, RUNNING);
                         });
-        Client first = bench.client().start();
-        first.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> e.count("POST") == 1);
-        Client next = bench.client().start();
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.pause(150);
-        assertEquals(1, e.count("POST"), "the second ran beside the first");
+        Client first = bench.connectClient().startSession();
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> e.countCalls("POST") == 1);
+        Client next = bench.connectClient().startSession();
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.sleepMillis(150);
+        assertEquals(1, e.countCalls("POST"), "the second ran beside the first");
         first.cancel();
-        assertEquals("E(57014 canceling statement due to user request)", first.answer());
-        assertEquals(SERVED, next.answer());
+        assertEquals("E(57014 canceling statement due to user request)", first.readAnswer());
+        assertEquals(SERVED, next.readAnswer());
         // the rest counts from the DELETE's answer, 100 ms after its arrival
         assertTrue(second.get() - deleted.get() >= 600_000_000L);
     }
@@ -175,15 +176,15 @@
     @Test
     void aCallThatACutHeldBackDoesNotArriveAfterItWasGivenUp() throws Exception {
         CountDownLatch healed = new CountDownLatch(1);
-        StubEngine cutOff = bench.engine(1, call -> OK);
-        cutOff.cutUntil(healed);
-        Client client = bench.client().start();
+        StubEngine cutOff = bench.startEngine(1, call -> OK);
+        cutOff.partitionUntil(healed);
+        Client client = bench.connectClient().startSession();
         String large =
                 query("check", 1, 800).replace("SELECT 1", "SELECT '" + "x".repeat(60_000) + "'");
-        assertTrue(client.ask(large).startsWith("E(53"));
+        assertTrue(client.query(large).startsWith("E(53"));
         healed.countDown();
-        SocketTestSupport.await(() -> cutOff.connectionsOver.get() >= 1);
-        assertEquals(0, cutOff.count("POST"));
+        SocketTestSupport.await(() -> cutOff.closedConnections.get() >= 1);
+        assertEquals(0, cutOff.countCalls("POST"));
     }
 
     /**
@@ -195,18 +196,18 @@
         AtomicLong posted = new AtomicLong();
         AtomicLong deleted = new AtomicLong();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             (call.startsWith("POST") ? posted : deleted)
                                     .compareAndSet(0, System.nanoTime());
-                            return SocketTestSupport.SILENCE;
+                            return SocketTestSupport.NO_RESPONSE;
                         });
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.count("POST") == 1);
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> e.countCalls("POST") == 1);
         client.cancel();
-        SocketTestSupport.await(() -> e.count("DELETE") == 1);
+        SocketTestSupport.await(() -> e.countCalls("DELETE") == 1);
         assertTrue(deleted.get() - posted.get() >= 40_000_000L);
         SocketTestSupport.await(() -> bench.counters.get(Counters.Count.ENDS_CANCELLED) == 1);
         assertTrue(System.nanoTime() - posted.get() >= 2_250_000_000L);
@@ -221,12 +222,12 @@
         AtomicLong deleted = new AtomicLong();
         AtomicLong second = new AtomicLong();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
                                 deleted.set(System.nanoTime());
-                                return GIVEN_UP;
+                                return CANCELLED;
                             }
                             if (call.contains("0000000000000002")) {
                                 second.compareAndSet(0, System.nanoTime());
@@ -234,13 +235,13 @@
                             }
                             return slowly(400, RUNNING);
                         });
-        Client first = bench.client().start();
-        first.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> e.count("POST") == 1);
-        Client next = bench.client().start();
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.await(() -> e.count("GET") == 1);
-        e.acceptNoMore(); // the one open connection is held by a poll
+        Client first = bench.connectClient().startSession();
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> e.countCalls("POST") == 1);
+        Client next = bench.connectClient().startSession();
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.await(() -> e.countCalls("GET") == 1);
+        e.stopAccepting(); // the one open connection is held by a poll
         first.cancel();
         SocketTestSupport.await(() -> deleted.get() > 0);
         assertEquals(0, second.get(), "the second of the key ran beside the first");
@@ -256,7 +257,7 @@
         AtomicLong broken = new AtomicLong();
         AtomicLong second = new AtomicLong();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("POST")) {
@@ -264,20 +265,20 @@
                             }
                             SocketTestSupport.await(() -> refusing.getCount() == 0);
                             broken.compareAndSet(0, System.nanoTime());
-                            return SocketTestSupport.BREAK;
+                            return SocketTestSupport.CLOSE_CONNECTION;
                         });
-        Client client = bench.client().start();
-        client.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> e.count("GET") == 1);
-        bench.engine(
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> e.countCalls("GET") == 1);
+        bench.startEngine(
                 2,
                 call -> {
                     second.compareAndSet(0, System.nanoTime());
                     return OK;
                 });
-        e.acceptNoMore();
+        e.stopAccepting();
         refusing.countDown();
-        client.answer(); // served, or on a busy machine refused as too late
+        client.readAnswer(); // served, or on a busy machine refused as too late
         assertTrue(
                 second.get() == 0 || second.get() - broken.get() >= 2_000_000_000L,
                 "engines run what nobody asks for for 2 s");
@@ -287,14 +288,14 @@
     @Test
     void connectionsToEnginesStayWithinTheirBudget() throws Exception {
         try (SocketTestSupport narrow = new SocketTestSupport(1)) {
-            narrow.engine(1, call -> slowly(200, OK));
-            Client first = narrow.client().start();
-            Client second = narrow.client().start();
+            narrow.startEngine(1, call -> slowly(200, OK));
+            Client first = narrow.connectClient().startSession();
+            Client second = narrow.connectClient().startSession();
             long from = System.nanoTime();
-            first.write(Client.message(query("check", 1, 7000)));
-            second.write(Client.message(query("check", 2, 7000)));
-            assertEquals(SERVED, first.answer());
-            assertEquals(SERVED, second.answer());
+            first.write(Client.queryMessage(query("check", 1, 7000)));
+            second.write(Client.queryMessage(query("check", 2, 7000)));
+            assertEquals(SERVED, first.readAnswer());
+            assertEquals(SERVED, second.readAnswer());
             assertTrue(System.nanoTime() - from >= 400_000_000L, "one after the other");
             assertEquals(
                     2,
@@ -307,12 +308,12 @@
     @Test
     void anIdleConnectionMakesRoomForOneToAnotherEngine() throws Exception {
         try (SocketTestSupport narrow = new SocketTestSupport(1)) {
-            StubEngine first = narrow.engine(1, call -> OK);
-            Client client = narrow.client().start();
-            assertEquals(SERVED, client.ask(query("check", 1, 7000)));
-            narrow.list(1, first, EngineStage.DRAINING);
-            narrow.engine(2, call -> OK);
-            assertEquals(SERVED, client.ask(query("check", 2, 7000)));
+            StubEngine first = narrow.startEngine(1, call -> OK);
+            Client client = narrow.connectClient().startSession();
+            assertEquals(SERVED, client.query(query("check", 1, 7000)));
+            narrow.updateEndpointAndWait(1, first, EngineStage.DRAINING);
+            narrow.startEngine(2, call -> OK);
+            assertEquals(SERVED, client.query(query("check", 2, 7000)));
         }
     }
 
@@ -323,18 +324,19 @@
     @Test
     void whatWasTakenIsFinishedAfterTheEndHasBegun() throws Exception {
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> call.startsWith("POST") ? slowly(100, RUNNING) : slowly(100, OK));
-        Client taken = bench.client().start();
-        Client late = bench.client().start();
-        taken.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.count("POST") == 1);
+        Client taken = bench.connectClient().startSession();
+        Client late = bench.connectClient().startSession();
+        taken.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> e.countCalls("POST") == 1);
         CountDownLatch idle = new CountDownLatch(1);
-        bench.end(idle::countDown);
-        assertEquals("E(57P03 the dispatcher is shutting down)", late.ask(query("check", 2, 7000)));
+        bench.shutDownGracefully(idle::countDown);
+        assertEquals(
+                "E(57P03 the dispatcher is shutting down)", late.query(query("check", 2, 7000)));
         assertEquals(1, idle.getCount());
-        assertEquals(SERVED, taken.answer());
+        assertEquals(SERVED, taken.readAnswer());
         SocketTestSupport.await(() -> idle.getCount() == 0);
     }
 
@@ -342,12 +344,13 @@
     @Test
     void aClientThatLeavesFreesTheEngine() throws Exception {
         StubEngine e =
-                bench.engine(1, call -> call.startsWith("DELETE") ? GIVEN_UP : slowly(50, RUNNING));
-        try (Client client = bench.client().start()) {
-            client.write(Client.message(query("check", 1, 7000)));
-            SocketTestSupport.await(() -> e.count("POST") == 1);
+                bench.startEngine(
+                        1, call -> call.startsWith("DELETE") ? CANCELLED : slowly(50, RUNNING));
+        try (Client client = bench.connectClient().startSession()) {
+            client.write(Client.queryMessage(query("check", 1, 7000)));
+            SocketTestSupport.await(() -> e.countCalls("POST") == 1);
         }
-        SocketTestSupport.await(() -> e.count("DELETE /fetch/0000000000000001") == 1);
+        SocketTestSupport.await(() -> e.countCalls("DELETE /fetch/0000000000000001") == 1);
     }
 
     /**
@@ -365,7 +368,7 @@
         AtomicInteger lost = new AtomicInteger();
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n";
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call ->
                                 call.startsWith("POST")
@@ -378,8 +381,8 @@
                                                         + "\r\n\r\nd\t\tef\n");
         assertEquals(
                 "T D(a b c) D(d  ef) D(d  ef) C(SELECT 3)",
-                bench.client().start().ask(query("check", 1, 5000)));
-        assertEquals(lostPage.equals(FAILED) ? 2 : 1, e.count("POST"));
+                bench.connectClient().startSession().query(query("check", 1, 5000)));
+        assertEquals(lostPage.equals(FAILED) ? 2 : 1, e.countCalls("POST"));
     }
 
     /**
@@ -390,17 +393,17 @@
     @ValueSource(strings = {"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK + OK, OK + "noise"})
     void aGoodAnswerCountsWithMoreThanBelongsToIt(String answer) throws Exception {
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call ->
                                 call.contains("0000000000000001")
                                         ? answer
                                         : OK.replace("a\tb", "x\ty"));
-        Client client = bench.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        SocketTestSupport.pause(10);
-        assertEquals("T D(x y c) C(SELECT 1)", client.ask(query("check", 2, 5000)));
-        assertEquals(2, e.count("POST"));
+        Client client = bench.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        SocketTestSupport.sleepMillis(10);
+        assertEquals("T D(x y c) C(SELECT 1)", client.query(query("check", 2, 5000)));
+        assertEquals(2, e.countCalls("POST"));
     }
 
     /** A spoilt answer is asked for again: the engine has it still, and the query has run. */
@@ -413,9 +416,9 @@
                 "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\nContent-Length: 9\r\n\r\na\tb\tc\n"
             })
     void aSpoiltAnswerIsAskedForAgain(String spoilt) throws Exception {
-        StubEngine e = bench.engine(1, call -> call.startsWith("POST") ? spoilt : OK);
-        assertEquals(SERVED, bench.client().start().ask(query("load", 1, 5000)));
-        assertEquals(1, e.count("POST"));
+        StubEngine e = bench.startEngine(1, call -> call.startsWith("POST") ? spoilt : OK);
+        assertEquals(SERVED, bench.connectClient().startSession().query(query("load", 1, 5000)));
+        assertEquals(1, e.countCalls("POST"));
     }
 
     /**
@@ -424,33 +427,36 @@
     @Test
     void aQueryThatEnginesCloseOnIsAnsweredSoonAndCostsNoEngine() throws Exception {
         for (int i = 1; i <= 3; i++) {
-            bench.engine(
+            bench.startEngine(
                     i,
                     call ->
                             !call.contains("00000000000000ee")
                                     ? OK
-                                    : call.startsWith("POST") ? SocketTestSupport.BREAK : FAILED);
+                                    : call.startsWith("POST")
+                                            ? SocketTestSupport.CLOSE_CONNECTION
+                                            : FAILED);
         }
-        Client client = bench.client().start();
+        Client client = bench.connectClient().startSession();
         long from = System.nanoTime();
-        assertTrue(client.ask(query("check", 0xee, 7000)).startsWith("E(5"));
+        assertTrue(client.query(query("check", 0xee, 7000)).startsWith("E(5"));
         assertTrue(System.nanoTime() - from < 2_900_000_000L);
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
     }
 
     /** Engines know queries by the client's id: a second one under an open id reaches none. */
     @Test
     void anOpenIdWithAnotherStatementIsRefused() throws Exception {
-        StubEngine e = bench.engine(1, call -> slowly(150, call.startsWith("POST") ? RUNNING : OK));
-        Client first = bench.client().start();
-        first.write(Client.message(query("check", 1, 5000)));
-        SocketTestSupport.await(() -> e.count("POST") == 1);
+        StubEngine e =
+                bench.startEngine(1, call -> slowly(150, call.startsWith("POST") ? RUNNING : OK));
+        Client first = bench.connectClient().startSession();
+        first.write(Client.queryMessage(query("check", 1, 5000)));
+        SocketTestSupport.await(() -> e.countCalls("POST") == 1);
         assertEquals(
                 "E(55006 req: a query of this id is open)",
-                bench.client()
-                        .start()
-                        .ask(query("check", 1, 5000).replace("SELECT 1", "SELECT 2")));
-        assertEquals(SERVED, first.answer());
-        assertEquals(1, e.count("POST"));
+                bench.connectClient()
+                        .startSession()
+                        .query(query("check", 1, 5000).replace("SELECT 1", "SELECT 2")));
+        assertEquals(SERVED, first.readAnswer());
+        assertEquals(1, e.countCalls("POST"));
     }
 }
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -1,9 +1,9 @@
 package junipercourse.discovery;
 
-import static junipercourse.ScriptedBus.CHANGE;
-import static junipercourse.ScriptedBus.NOTHING;
-import static junipercourse.ScriptedBus.WHOLE;
-import static junipercourse.ScriptedBus.bytes;
+import static junipercourse.ScriptedBus.DELTA_FRAME;
+import static junipercourse.ScriptedBus.EMPTY_FRAME;
+import static junipercourse.ScriptedBus.FULL_FRAME;
+import static junipercourse.ScriptedBus.sendBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -51,14 +51,16 @@
     }
 
     private EndpointWatcher start() {
-        EndpointWatcher client = bus.client(loop, ScriptedBus.noting(told));
+        EndpointWatcher client = bus.createWatcher(loop, ScriptedBus.recordingListener(told));
         loop.execute(client::start);
         return client;
     }
 
     private static String frame(String word) {
         String number = word.substring(1);
-        return (word.startsWith("w") ? WHOLE : word.startsWith("c") ? CHANGE : NOTHING)
+        return (word.startsWith("w")
+                        ? FULL_FRAME
+                        : word.startsWith("c") ? DELTA_FRAME : EMPTY_FRAME)
                 .formatted(Integer.parseInt(number));
     }
 
@@ -86,20 +88,20 @@
             throws Exception {
         for (boolean apart : new boolean[] {false, true}) {
             told.clear();
-            bus.asked.clear();
+            bus.requestedOffsets.clear();
             EndpointWatcher client = start();
-            Socket s = bus.accept();
+            Socket s = bus.acceptSubscription();
             if (apart) {
-                bytes(s, frame(a));
+                sendBytes(s, frame(a));
                 SocketTestSupport.await(() -> a.startsWith("n") || !told.isEmpty());
-                bytes(s, frame(b));
+                sendBytes(s, frame(b));
             } else {
-                bytes(s, frame(a) + frame(b));
+                sendBytes(s, frame(a) + frame(b));
             }
             s.shutdownOutput();
-            bus.accept();
+            bus.acceptSubscription();
             assertEquals(List.of(expected.split(";")), told);
-            assertEquals(List.of(0L, last), bus.asked);
+            assertEquals(List.of(0L, last), bus.requestedOffsets);
             loop.execute(() -> client.follow(null, List.of()));
         }
     }
@@ -111,19 +113,22 @@
     void aFrameCutAtAnyByteIsToldOnce() throws Exception {
         start();
         for (int cut = 0; cut < FRAME; cut++) {
-            Socket s = bus.accept();
-            bytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
+            Socket s = bus.acceptSubscription();
+            sendBytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
             SocketTestSupport.await(() -> !told.isEmpty());
             if (cut % 2 == 1) {
                 s.setSoLinger(true, 0);
             }
             s.close();
         }
-        Socket s = bus.accept();
-        bytes(s, frame("w1") + frame("c2"));
+        Socket s = bus.acceptSubscription();
+        sendBytes(s, frame("w1") + frame("c2"));
         SocketTestSupport.await(() -> told.size() == 2);
         assertEquals(List.of("FULL 1", "DELTA 2"), told);
-        assertEquals(1, bus.asked.stream().skip(1).distinct().count(), "asked " + bus.asked);
+        assertEquals(
+                1,
+                bus.requestedOffsets.stream().skip(1).distinct().count(),
+                "asked " + bus.requestedOffsets);
     }
 
     /**
@@ -132,10 +137,10 @@
     @Test
     void anEngineThatChangesUnderItsIdIsToldAsItIs() throws Exception {
         List<EngineEndpoint> members = new CopyOnWriteArrayList<>();
-        loop.execute(bus.client(loop, (kind, all) -> members.addAll(all))::start);
+        loop.execute(bus.createWatcher(loop, (kind, all) -> members.addAll(all))::start);
         String id = "00000002";
-        Socket s = bus.accept();
-        bytes(
+        Socket s = bus.acceptSubscription();
+        sendBytes(
                 s,
                 frame("w2")
                         + frame("c3")
@@ -159,21 +164,21 @@
     @ValueSource(ints = {1, 4, 13, 39})
     void aBusThatMovesInTheMiddleOfAFrame(int cut) throws Exception {
         EndpointWatcher client = start();
-        Socket s = bus.accept();
-        bytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
+        Socket s = bus.acceptSubscription();
+        sendBytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
         SocketTestSupport.await(() -> told.size() == 1);
         loop.execute(() -> client.follow(other.address(), List.of()));
-        Socket next = other.accept();
+        Socket next = other.acceptSubscription();
         try {
-            bytes(s, frame("c2").substring(2 * cut) + frame("c3"));
+            sendBytes(s, frame("c2").substring(2 * cut) + frame("c3"));
         } catch (IOException e) {
             assertTrue(s.isConnected(), "it has been left by now");
         }
-        bytes(next, frame("c2"));
+        sendBytes(next, frame("c2"));
         SocketTestSupport.await(() -> told.size() == 2);
-        ScriptedBus.awaitEnd(s);
-        assertEquals(List.of(1L), other.asked);
-        bytes(next, frame("c3"));
+        ScriptedBus.awaitDisconnect(s);
+        assertEquals(List.of(1L), other.requestedOffsets);
+        sendBytes(next, frame("c3"));
         SocketTestSupport.await(() -> told.size() == 3);
         assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
     }
@@ -186,8 +191,8 @@
     @ValueSource(booleans = {true, false})
     void aBusThatMovesInTheTurnInWhichAFrameComes(boolean moveFirst) throws Exception {
         EndpointWatcher client = start();
-        Socket s = bus.accept();
-        bytes(s, frame("w1"));
+        Socket s = bus.acceptSubscription();
+        sendBytes(s, frame("w1"));
         SocketTestSupport.await(() -> told.size() == 1);
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
@@ -205,14 +210,14 @@
         if (moveFirst) {
             loop.execute(move);
         }
-        bytes(s, frame("c2"));
+        sendBytes(s, frame("c2"));
         if (!moveFirst) {
             loop.execute(move);
         }
         go.countDown();
-        Socket next = other.accept();
-        long from = other.asked.get(0);
-        bytes(next, (from < 2 ? frame("c2") : "") + frame("c3"));
+        Socket next = other.acceptSubscription();
+        long from = other.requestedOffsets.get(0);
+        sendBytes(next, (from < 2 ? frame("c2") : "") + frame("c3"));
         SocketTestSupport.await(() -> told.contains("DELTA 3"));
         assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
     }
@@ -223,24 +228,24 @@
     void aBusThatIsLeftWhileItsNewsAreTaken(String rest) throws Exception {
         EndpointWatcher[] client = new EndpointWatcher[1];
         client[0] =
-                bus.client(
+                bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.noting(told).roster(kind, members);
+                            ScriptedBus.recordingListener(told).roster(kind, members);
                             client[0].follow(other.address(), List.of());
                         });
         loop.execute(client[0]::start);
-        Socket s = bus.accept();
-        bytes(s, frame("w1") + frame("c2") + rest);
-        Socket next = other.accept();
-        assertEquals(List.of(1L), other.asked);
-        bytes(next, frame("c2"));
+        Socket s = bus.acceptSubscription();
+        sendBytes(s, frame("w1") + frame("c2") + rest);
+        Socket next = other.acceptSubscription();
+        assertEquals(List.of(1L), other.requestedOffsets);
+        sendBytes(next, frame("c2"));
         SocketTestSupport.await(() -> told.size() == 2);
-        ScriptedBus.awaitEnd(s);
-        bytes(next, frame("c3"));
+        ScriptedBus.awaitDisconnect(s);
+        sendBytes(next, frame("c3"));
         SocketTestSupport.await(() -> told.size() == 3);
         assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
-        assertEquals(List.of(1L), other.asked, "the watch on the new bus was left, too");
+        assertEquals(List.of(1L), other.requestedOffsets, "the watch on the new bus was left, too");
     }
 
     /**
@@ -249,17 +254,17 @@
      */
     @Test
     void aBusThatMovesWhileItIsDialled() throws Exception {
-        EndpointWatcher client = bus.client(loop, ScriptedBus.noting(told));
+        EndpointWatcher client = bus.createWatcher(loop, ScriptedBus.recordingListener(told));
         loop.execute(
                 () -> {
                     client.start();
-                    SocketTestSupport.pause(
+                    SocketTestSupport.sleepMillis(
                             50); // it is up in the system by now, and not handed over
                     client.follow(other.address(), List.of());
                 });
-        bytes(other.accept(), frame("w1"));
+        sendBytes(other.acceptSubscription(), frame("w1"));
         SocketTestSupport.await(() -> told.size() == 1);
-        bus.awaitUnasked();
+        bus.awaitConnectionWithoutRequest();
         assertEquals(List.of("FULL 1"), told);
     }
 
@@ -270,8 +275,8 @@
     @Test
     void knownEventsOfANewConfigurationAreToldIfTheyAreNew() throws Exception {
         EndpointWatcher client = start();
-        Socket s = bus.accept();
-        bytes(s, frame("w5"));
+        Socket s = bus.acceptSubscription();
+        sendBytes(s, frame("w5"));
         SocketTestSupport.await(() -> told.size() == 1);
         String event =
                 """
@@ -289,8 +294,8 @@
         List<InitialEventsReader.Event> known =
                 client.check(Json.parse("{\"offset\":7,\"batch\":[" + batch + "]}").asObject());
         loop.execute(() -> client.follow(other.address(), known));
-        other.accept();
+        other.acceptSubscription();
         assertEquals(List.of("FULL 5", "DELTA 6", "FULL 7"), told);
-        assertEquals(List.of(7L), other.asked);
+        assertEquals(List.of(7L), other.requestedOffsets);
     }
 }
--- a/src/test/java/junipercourse/discovery/EndpointWatcherTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointWatcherTest.java
@@ -30,7 +30,7 @@
         List<String> told = new CopyOnWriteArrayList<>();
         EventLoop loop = new EventLoop(() -> {}, e -> {});
         try (ServerSocket bus = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
                         for (String then : new String[] {"", "ffffffff", "00000000", "silence"}) {
                             Socket s = bus.accept();
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -1,9 +1,9 @@
 package junipercourse.discovery;
 
-import static junipercourse.ScriptedBus.CHANGE;
-import static junipercourse.ScriptedBus.NOTHING;
-import static junipercourse.ScriptedBus.WHOLE;
-import static junipercourse.ScriptedBus.bytes;
+import static junipercourse.ScriptedBus.DELTA_FRAME;
+import static junipercourse.ScriptedBus.EMPTY_FRAME;
+import static junipercourse.ScriptedBus.FULL_FRAME;
+import static junipercourse.ScriptedBus.sendBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -61,33 +61,33 @@
     void open() throws IOException {
         loop = new EventLoop(() -> {}, e -> {});
         loop.execute(loop::attend);
-        add("mute", SILENCE_S, (bus, s) -> ScriptedBus.awaitEnd(s));
+        add("mute", SILENCE_S, (bus, s) -> ScriptedBus.awaitDisconnect(s));
         add("dribbles", SILENCE_S, (bus, s) -> dribble(s, "%08x%016x02".formatted(LONG, 2)));
         add(
                 "half a length and mute",
                 SILENCE_S,
                 (bus, s) -> {
-                    bytes(s, "0000");
-                    ScriptedBus.awaitEnd(s);
+                    sendBytes(s, "0000");
+                    ScriptedBus.awaitDisconnect(s);
                 });
         add(
                 "a cut frame and mute",
                 SILENCE_S,
                 (bus, s) -> {
-                    bytes(s, CHANGE.formatted(2).substring(0, 2 * FIRST - 2));
-                    ScriptedBus.awaitEnd(s);
+                    sendBytes(s, DELTA_FRAME.formatted(2).substring(0, 2 * FIRST - 2));
+                    ScriptedBus.awaitDisconnect(s);
                 });
         add(
                 "never comes up",
                 DIAL_S,
                 (bus, s) -> {
-                    bus.deaf();
-                    bus.frames(s, NOTHING.formatted(1));
+                    bus.stopAccepting();
+                    bus.sendFrames(s, EMPTY_FRAME.formatted(1));
                     s.close();
-                    SocketTestSupport.pause(700); // in the middle of the first dial
-                    bus.hearing();
+                    SocketTestSupport.sleepMillis(700); // in the middle of the first dial
+                    bus.resumeAccepting();
                 });
-        add("garbled", PAUSE_S, (bus, s) -> bytes(s, "ffffffff"));
+        add("garbled", PAUSE_S, (bus, s) -> sendBytes(s, "ffffffff"));
         add("closes", PAUSE_S, (bus, s) -> s.close());
     }
 
@@ -106,11 +106,11 @@
     }
 
     private static void dribble(Socket s, String start) throws IOException {
-        bytes(s, start);
+        sendBytes(s, start);
         try {
             for (int i = 0; i < PATIENCE_MS / 100; i++) {
-                SocketTestSupport.pause(100);
-                bytes(s, "00");
+                SocketTestSupport.sleepMillis(100);
+                sendBytes(s, "00");
             }
         } catch (IOException e) {
             return; // it has been left
@@ -119,24 +119,24 @@
     }
 
     private void play(Play p, String first, String second) throws IOException {
-        p.bus.play(
+        p.bus.runScript(
                 () -> {
-                    Socket s = p.bus.accept();
-                    p.bus.frames(s, WHOLE.formatted(1) + NOTHING.formatted(1));
+                    Socket s = p.bus.acceptSubscription();
+                    p.bus.sendFrames(s, FULL_FRAME.formatted(1) + EMPTY_FRAME.formatted(1));
                     faults.get(first).on(p.bus, s);
                     if (second != null) {
-                        faults.get(second).on(p.bus, p.bus.accept());
+                        faults.get(second).on(p.bus, p.bus.acceptSubscription());
                     }
-                    Socket last = p.bus.accept();
-                    bytes(last, CHANGE.formatted(2));
+                    Socket last = p.bus.acceptSubscription();
+                    sendBytes(last, DELTA_FRAME.formatted(2));
                 },
                 p.faults);
         EndpointWatcher client =
-                p.bus.client(
+                p.bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.noting(p.told).roster(kind, members);
-                            p.newsAt = ScriptedBus.now();
+                            ScriptedBus.recordingListener(p.told).roster(kind, members);
+                            p.newsAt = ScriptedBus.nowSeconds();
                         });
         loop.execute(client::start);
     }
@@ -198,24 +198,24 @@
     void silenceThenADialThatHangsThenAMuteWatch() throws Exception {
         Play p = new Play();
         try (ScriptedBus bus = p.bus) {
-            bus.play(
+            bus.runScript(
                     () -> {
-                        Socket s = bus.accept();
-                        bus.frames(s, WHOLE.formatted(1));
-                        bus.deaf();
-                        ScriptedBus.awaitEnd(s);
-                        SocketTestSupport.pause(700); // in the middle of the first dial
-                        bus.hearing();
-                        ScriptedBus.awaitEnd(bus.accept());
-                        bytes(bus.accept(), CHANGE.formatted(2));
+                        Socket s = bus.acceptSubscription();
+                        bus.sendFrames(s, FULL_FRAME.formatted(1));
+                        bus.stopAccepting();
+                        ScriptedBus.awaitDisconnect(s);
+                        SocketTestSupport.sleepMillis(700); // in the middle of the first dial
+                        bus.resumeAccepting();
+                        ScriptedBus.awaitDisconnect(bus.acceptSubscription());
+                        sendBytes(bus.acceptSubscription(), DELTA_FRAME.formatted(2));
                     },
                     p.faults);
             EndpointWatcher client =
-                    bus.client(
+                    bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.noting(p.told).roster(kind, members);
-                                p.newsAt = ScriptedBus.now();
+                                ScriptedBus.recordingListener(p.told).roster(kind, members);
+                                p.newsAt = ScriptedBus.nowSeconds();
                             });
             loop.execute(client::start);
             SocketTestSupport.await(() -> p.told.size() == 2 || !p.faults.isEmpty(), PATIENCE_MS);
@@ -233,16 +233,16 @@
     void aBusThatIsSlowToSpeakIsHeard() throws Exception {
         Play p = new Play();
         try (ScriptedBus bus = p.bus) {
-            bus.play(
+            bus.runScript(
                     () -> {
                         while (p.told.isEmpty()) {
-                            Socket s = bus.accept();
-                            SocketTestSupport.pause(3000);
-                            bytes(s, WHOLE.formatted(1));
+                            Socket s = bus.acceptSubscription();
+                            SocketTestSupport.sleepMillis(3000);
+                            sendBytes(s, FULL_FRAME.formatted(1));
                         }
                     },
                     p.faults);
-            loop.execute(bus.client(loop, ScriptedBus.noting(p.told))::start);
+            loop.execute(bus.createWatcher(loop, ScriptedBus.recordingListener(p.told))::start);
             SocketTestSupport.await(() -> !p.told.isEmpty(), PATIENCE_MS);
         }
     }
@@ -255,38 +255,42 @@
     void aStallIsNoSilenceAndHidesNone() throws Exception {
         Play p = new Play();
         try (ScriptedBus bus = p.bus) {
-            bus.play(
+            bus.runScript(
                     () -> {
-                        Socket s = bus.accept();
-                        bus.frames(s, WHOLE.formatted(1));
+                        Socket s = bus.acceptSubscription();
+                        bus.sendFrames(s, FULL_FRAME.formatted(1));
                         while (p.told.isEmpty()) {
-                            SocketTestSupport.pause(2);
+                            SocketTestSupport.sleepMillis(2);
                         }
-                        loop.execute(() -> SocketTestSupport.pause(3000));
+                        loop.execute(() -> SocketTestSupport.sleepMillis(3000));
                         for (int i = 0; i < 3; i++) {
-                            SocketTestSupport.pause(900);
-                            bus.frames(s, NOTHING.formatted(1));
+                            SocketTestSupport.sleepMillis(900);
+                            bus.sendFrames(s, EMPTY_FRAME.formatted(1));
                         }
-                        SocketTestSupport.pause(800);
-                        bus.frames(
-                                s, CHANGE.formatted(2)); // on the watch that was open all the time
+                        SocketTestSupport.sleepMillis(800);
+                        bus.sendFrames(
+                                s,
+                                DELTA_FRAME.formatted(
+                                        2)); // on the watch that was open all the time
                         loop.execute(
-                                () -> SocketTestSupport.pause(1500)); // and is silent from now on
-                        bytes(bus.accept(), CHANGE.formatted(3));
+                                () ->
+                                        SocketTestSupport.sleepMillis(
+                                                1500)); // and is silent from now on
+                        sendBytes(bus.acceptSubscription(), DELTA_FRAME.formatted(3));
                     },
                     p.faults);
             EndpointWatcher client =
-                    bus.client(
+                    bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.noting(p.told).roster(kind, members);
-                                p.newsAt = ScriptedBus.now();
+                                ScriptedBus.recordingListener(p.told).roster(kind, members);
+                                p.newsAt = ScriptedBus.nowSeconds();
                             });
             loop.execute(client::start);
             SocketTestSupport.await(() -> p.told.size() == 3 || !p.faults.isEmpty(), PATIENCE_MS);
             assertEquals(List.of(), p.faults);
             assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), p.told);
-            assertEquals(List.of(0L, 2L), bus.asked);
+            assertEquals(List.of(0L, 2L), bus.requestedOffsets);
             assertTrue(loop.stallLog().totalStallSeconds() >= 4, "no stalls were seen");
             double took = p.newsAt - bus.lastFrameAt;
             assertTrue(took < SILENCE_S + slack() - 3, took + " s");
--- a/src/test/java/junipercourse/engine/AttemptJudge.java
+++ b/src/test/java/junipercourse/engine/AttemptJudge.java
@@ -43,8 +43,8 @@
         synchronized (this) {
             boolean end =
                     !answer.equals(SocketTestSupport.RUNNING)
-                            && !answer.equals(SocketTestSupport.SILENCE)
-                            && !answer.equals(SocketTestSupport.BREAK)
+                            && !answer.equals(SocketTestSupport.NO_RESPONSE)
+                            && !answer.equals(SocketTestSupport.CLOSE_CONNECTION)
                             && answer.startsWith("HTTP/");
             out &= !end;
         }
--- a/src/test/java/junipercourse/engine/CancellationTest.java
+++ b/src/test/java/junipercourse/engine/CancellationTest.java
@@ -1,6 +1,6 @@
 package junipercourse.engine;
 
-import static junipercourse.SocketTestSupport.GIVEN_UP;
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.RUNNING;
 import static junipercourse.SocketTestSupport.query;
@@ -57,7 +57,7 @@
         AtomicLong asked = new AtomicLong();
         AtomicLong second = new AtomicLong();
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
@@ -68,22 +68,22 @@
                                 return OK;
                             }
                             asked.set(System.nanoTime());
-                            SocketTestSupport.pause(call.startsWith("GET") ? 240 : 0);
+                            SocketTestSupport.sleepMillis(call.startsWith("GET") ? 240 : 0);
                             return RUNNING;
                         });
-        Client first = bench.client().start();
-        first.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> e.count("GET") >= 1);
-        Client next = bench.client().start();
-        next.write(Client.message(query("load", 2, 19_000)));
+        Client first = bench.connectClient().startSession();
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
+        Client next = bench.connectClient().startSession();
+        next.write(Client.queryMessage(query("load", 2, 19_000)));
         first.cancel();
-        assertEquals(CANCELLED, first.answer());
-        assertEquals("T D(a b c) C(SELECT 1)", next.answer());
+        assertEquals(CANCELLED, first.readAnswer());
+        assertEquals("T D(a b c) C(SELECT 1)", next.readAnswer());
         assertTrue(
                 second.get() - asked.get() >= FORGOTTEN_NS,
                 "after " + (second.get() - asked.get()));
-        assertTrue(e.count("DELETE") >= 2, "tried again: " + e.calls);
-        assertEquals(1, e.count("POST /fetch 0000000000000001"));
+        assertTrue(e.countCalls("DELETE") >= 2, "tried again: " + e.calls);
+        assertEquals(1, e.countCalls("POST /fetch 0000000000000001"));
     }
 
     /**
@@ -96,7 +96,7 @@
         CountDownLatch deleted = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.contains("0000000000000002")) {
@@ -107,26 +107,26 @@
                                     deleted.countDown();
                                 } else {
                                     ended.countDown();
-                                    SocketTestSupport.pause(
+                                    SocketTestSupport.sleepMillis(
                                             50); // the answer leaves on its own connection
                                     // meanwhile
                                 }
-                                return GIVEN_UP;
+                                return CANCELLED;
                             }
                             if (call.startsWith("GET")) { // held until the DELETE has come
                                 SocketTestSupport.await(
                                         () -> (deleteFirst ? deleted : ended).getCount() == 0);
-                                SocketTestSupport.pause(deleteFirst ? 50 : 0);
+                                SocketTestSupport.sleepMillis(deleteFirst ? 50 : 0);
                                 return OK;
                             }
                             return RUNNING;
                         });
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.count("GET") >= 1);
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
         client.cancel();
-        assertEquals(CANCELLED, client.answer());
-        assertEquals("T D(x y c) C(SELECT 1)", client.ask(query("check", 2, 7000)));
+        assertEquals(CANCELLED, client.readAnswer());
+        assertEquals("T D(x y c) C(SELECT 1)", client.query(query("check", 2, 7000)));
         SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_CANCELLED) == 1);
         assertEquals(1, bench.counters.get(Count.QUERIES_SERVED));
         assertEquals(0, bench.counters.get(Count.INTERNAL_ERRORS));
@@ -140,23 +140,23 @@
     void everyConnectionOfAGivenUpAttemptIsClosed() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         StubEngine e =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("POST")) {
                                 return RUNNING;
                             }
                             SocketTestSupport.await(() -> over.getCount() == 0, 20_000);
-                            return SocketTestSupport.SILENCE;
+                            return SocketTestSupport.NO_RESPONSE;
                         });
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.count("GET") >= 1);
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
         client.cancel();
         SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_CANCELLED) == 1);
-        assertTrue(e.count("DELETE") >= 2, "tried again: " + e.calls);
+        assertTrue(e.countCalls("DELETE") >= 2, "tried again: " + e.calls);
         over.countDown();
         SocketTestSupport.await(
-                () -> e.connectionsOver.get() == bench.counters.get(Count.ENGINES_CONNECTED));
+                () -> e.closedConnections.get() == bench.counters.get(Count.ENGINES_CONNECTED));
     }
 }
--- a/src/test/java/junipercourse/engine/CrossedDialTest.java
+++ b/src/test/java/junipercourse/engine/CrossedDialTest.java
@@ -122,7 +122,7 @@
                                 } catch (java.io.IOException e) {
                                     failed.set(e);
                                 }
-                                SocketTestSupport.pause(event.startsWith("held") ? 400 : 20);
+                                SocketTestSupport.sleepMillis(event.startsWith("held") ? 400 : 20);
                                 if (event.startsWith("drained") || event.equals("gone")) {
                                     list(
                                             event.equals("gone")
--- a/src/test/java/junipercourse/engine/DuplicateResponseTest.java
+++ b/src/test/java/junipercourse/engine/DuplicateResponseTest.java
@@ -63,7 +63,7 @@
         String id = id(call);
         if (call.startsWith("DELETE")) {
             running.remove(id);
-            return SocketTestSupport.GIVEN_UP;
+            return SocketTestSupport.CANCELLED;
         }
         if (call.startsWith("GET") && !call.endsWith("/0")) {
             return page(id, call.charAt(call.length() - 1) - '0');
@@ -90,7 +90,7 @@
                         call -> {
                             boolean first = call.startsWith("POST") && posts.incrementAndGet() == 1;
                             boolean held = call.endsWith("/0");
-                            SocketTestSupport.pause(held ? 20 : 0);
+                            SocketTestSupport.sleepMillis(held ? 20 : 0);
                             return answer(
                                     call,
                                     kind == 204 && id(call).endsWith("1")
@@ -107,19 +107,19 @@
                         },
                         call -> echoMs);
         try (e;
-                Client one = bench.client().start();
-                Client two = bench.client().start()) {
-            bench.list(1, e, EngineStage.READY);
-            one.write(Client.message(SocketTestSupport.query("check", 1, 3000)));
-            SocketTestSupport.await(() -> e.count("POST") > 0);
+                Client one = bench.connectClient().startSession();
+                Client two = bench.connectClient().startSession()) {
+            bench.updateEndpointAndWait(1, e, EngineStage.READY);
+            one.write(Client.queryMessage(SocketTestSupport.query("check", 1, 3000)));
+            SocketTestSupport.await(() -> e.countCalls("POST") > 0);
             if (kind == 204) {
-                SocketTestSupport.await(() -> e.count("GET") > 0);
+                SocketTestSupport.await(() -> e.countCalls("GET") > 0);
                 one.cancel();
-                SocketTestSupport.await(() -> e.count("DELETE") > 0);
+                SocketTestSupport.await(() -> e.countCalls("DELETE") > 0);
             }
-            String answer = one.answer();
+            String answer = one.readAnswer();
             assertTrue(answer.equals(rows(1)) || kind >= 204 && answer.startsWith("E("), answer);
-            assertEquals(rows(2), two.ask(SocketTestSupport.query("check", 2, 5000)));
+            assertEquals(rows(2), two.query(SocketTestSupport.query("check", 2, 5000)));
             assertEquals(List.of(), faults);
         }
     }
@@ -153,15 +153,15 @@
                                     return answer(
                                             call,
                                             random.nextBoolean()
-                                                    ? SocketTestSupport.FULL
+                                                    ? SocketTestSupport.AT_CAPACITY
                                                     : SocketTestSupport.FAILED);
                                 }
-                                SocketTestSupport.pause(Math.min(left, 250));
+                                SocketTestSupport.sleepMillis(Math.min(left, 250));
                                 return answer(call, left >= 250 ? SocketTestSupport.RUNNING : "");
                             },
                             call -> random.nextBoolean() ? random.nextInt(251) : -1);
             engines.add(e);
-            bench.list(i, e, EngineStage.READY);
+            bench.updateEndpointAndWait(i, e, EngineStage.READY);
         }
         List<Thread> threads = new ArrayList<>();
         AtomicInteger served = new AtomicInteger();
@@ -170,16 +170,16 @@
             Thread t =
                     new Thread(
                             () -> {
-                                try (Client client = bench.client().start()) {
+                                try (Client client = bench.connectClient().startSession()) {
                                     for (int n = base; n < base + 10; n++) {
                                         client.write(
-                                                Client.message(
+                                                Client.queryMessage(
                                                         SocketTestSupport.query("check", n, 4000)));
                                         if (n % 5 == 4) {
-                                            SocketTestSupport.pause(random.nextInt(200));
+                                            SocketTestSupport.sleepMillis(random.nextInt(200));
                                             client.cancel();
                                         }
-                                        String answer = client.answer();
+                                        String answer = client.readAnswer();
                                         served.addAndGet(answer.equals(rows(n)) ? 1 : 0);
                                         if (!answer.equals(rows(n)) && !answer.startsWith("E(")) {
                                             faults.add(n + " got " + answer);
--- a/src/test/java/junipercourse/engine/EchoEngine.java
+++ b/src/test/java/junipercourse/engine/EchoEngine.java
@@ -34,9 +34,9 @@
         if (delay >= 0) {
             Copy copy = new Copy(s, answer);
             copies.put(s, copy);
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
-                        SocketTestSupport.pause(delay);
+                        SocketTestSupport.sleepMillis(delay);
                         copy.send();
                     });
         }
--- a/src/test/java/junipercourse/engine/FullQueue.java
+++ b/src/test/java/junipercourse/engine/FullQueue.java
@@ -21,7 +21,7 @@
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> parked = new ArrayList<>();
     private final StubEngine listed =
-            new StubEngine(call -> SocketTestSupport.SILENCE) {
+            new StubEngine(call -> SocketTestSupport.NO_RESPONSE) {
                 @Override
                 public InetSocketAddress address() {
                     return (InetSocketAddress) server.getLocalSocketAddress();
--- a/src/test/java/junipercourse/engine/LateConnectionTest.java
+++ b/src/test/java/junipercourse/engine/LateConnectionTest.java
@@ -33,12 +33,12 @@
     void aConnectionWithinTheSettingsTimeCarriesItsQuery() throws Exception {
         try (SocketTestSupport bench = bench("\"dial_timeout_s\":3.0");
                 FullQueue late = new FullQueue()) {
-            bench.list(1, late.listed(), EngineStage.READY);
-            Client client = bench.client().start();
-            client.write(Client.message(query("check", 1, 7000)));
+            bench.updateEndpointAndWait(1, late.listed(), EngineStage.READY);
+            Client client = bench.connectClient().startSession();
+            client.write(Client.queryMessage(query("check", 1, 7000)));
             SocketTestSupport.await(() -> bench.counters.get(Count.ATTEMPTS_SENT) == 1);
             AtomicReference<String> first = new AtomicReference<>("");
-            SocketTestSupport.daemon(
+            SocketTestSupport.startDaemon(
                     () -> {
                         try (Socket s = late.open()) {
                             byte[] got = new byte[4];
@@ -48,12 +48,13 @@
                                             0,
                                             s.getInputStream().read(got),
                                             StandardCharsets.ISO_8859_1));
-                            SocketTestSupport.pause(250); // as an engine that holds a call for news
+                            SocketTestSupport.sleepMillis(
+                                    250); // as an engine that holds a call for news
                             s.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
                             s.getInputStream().read(new byte[4096]);
                         }
                     });
-            assertEquals(SERVED, client.answer());
+            assertEquals(SERVED, client.readAnswer());
             assertEquals("POST", first.get());
             assertEquals(1, bench.counters.get(Count.ATTEMPTS_SENT));
         }
@@ -67,12 +68,12 @@
     void oneThatNeverComesUpLeavesTheQueryToOthers() throws Exception {
         try (SocketTestSupport bench = bench("\"dial_timeout_s\":0.8");
                 FullQueue never = new FullQueue()) {
-            bench.list(1, never.listed(), EngineStage.READY);
-            Client client = bench.client().start();
-            client.write(Client.message(query("check", 1, 7000)));
+            bench.updateEndpointAndWait(1, never.listed(), EngineStage.READY);
+            Client client = bench.connectClient().startSession();
+            client.write(Client.queryMessage(query("check", 1, 7000)));
             SocketTestSupport.await(() -> bench.counters.get(Count.ATTEMPTS_SENT) == 1);
-            bench.engine(2, call -> OK);
-            assertEquals(SERVED, client.answer());
+            bench.startEngine(2, call -> OK);
+            assertEquals(SERVED, client.readAnswer());
             assertEquals(1, bench.counters.get(Count.ENDS_UNREACHABLE));
             assertEquals(0, bench.counters.get(Count.ENDS_MOOT));
         }
