--- a/src/test/java/junipercourse/engine/MalformedResponseTest.java
+++ b/src/test/java/junipercourse/engine/MalformedResponseTest.java
@@ -1,6 +1,6 @@
 package junipercourse.engine;
 
-import static junipercourse.SocketTestSupport.GIVEN_UP;
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.query;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -82,7 +82,7 @@
             String more =
                     slowly ? parts[2] : parts[1].repeat(Math.max(1, 4096 / parts[1].length()));
             while (true) {
-                SocketTestSupport.pause(slowly ? 40 : 0);
+                SocketTestSupport.sleepMillis(slowly ? 40 : 0);
                 write(s, more);
             }
         }
@@ -96,8 +96,9 @@
 
     private SpoiltEngine engine(Function<String, String> script) throws IOException {
         SpoiltEngine e =
-                new SpoiltEngine(call -> call.startsWith("DELETE") ? GIVEN_UP : script.apply(call));
-        bench.list(1, e, EngineStage.READY);
+                new SpoiltEngine(
+                        call -> call.startsWith("DELETE") ? CANCELLED : script.apply(call));
+        bench.updateEndpointAndWait(1, e, EngineStage.READY);
         return e;
     }
 
@@ -119,8 +120,9 @@
             })
     void whatNeverEndsIsToldAtItsBoundAndAskedForAgain(String spoilt) throws Exception {
         try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
-            assertEquals(SERVED, bench.client().start().ask(query("load", 1, 9000)));
-            assertEquals(1, e.count("POST"));
+            assertEquals(
+                    SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
+            assertEquals(1, e.countCalls("POST"));
             assertEquals(
                     1,
                     bench.counters.get(Count.ENGINES_GARBLED),
@@ -150,11 +152,11 @@
             })
     void whatStopsOrDribblesCostsTheTimeOfOneCall(String spoilt) throws Exception {
         try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
-            Client client = bench.client().start();
+            Client client = bench.connectClient().startSession();
             long from = System.nanoTime();
-            assertEquals(SERVED, client.ask(query("load", 1, 9000)));
+            assertEquals(SERVED, client.query(query("load", 1, 9000)));
             assertTrue(System.nanoTime() - from < 6 * SECOND_NS);
-            assertEquals(1, e.count("POST"));
+            assertEquals(1, e.countCalls("POST"));
         }
     }
 
@@ -177,8 +179,9 @@
             })
     void partOfAResultIsNeverToldAsAll(String spoilt) throws Exception {
         try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
-            assertEquals(SERVED, bench.client().start().ask(query("load", 1, 9000)));
-            assertEquals(1, e.count("POST"));
+            assertEquals(
+                    SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
+            assertEquals(1, e.countCalls("POST"));
         }
     }
 
@@ -203,11 +206,11 @@
                                 call.startsWith("POST")
                                         ? FIRST_OF_TWO
                                         : pages.incrementAndGet() == 1 ? spoilt : SECOND)) {
-            Client client = bench.client().start();
+            Client client = bench.connectClient().startSession();
             long from = System.nanoTime();
-            assertEquals(SERVED, client.ask(query("load", 1, 9000)));
+            assertEquals(SERVED, client.query(query("load", 1, 9000)));
             assertTrue(System.nanoTime() - from < 3 * SECOND_NS);
-            assertEquals(1, e.count("POST"));
+            assertEquals(1, e.countCalls("POST"));
             assertTrue(e.sent.get() < MOST_SENT, "took " + e.sent.get() + " bytes");
         }
     }
@@ -236,12 +239,13 @@
                                                         + call.substring(call.lastIndexOf('/') + 1))
                                         + "~~"
                                         + row)) {
-            Client client = bench.client().start();
-            String answer = client.ask(query(kind, 1, 7000));
+            Client client = bench.connectClient().startSession();
+            String answer = client.query(query(kind, 1, 7000));
             assertTrue(answer.startsWith("E(5"), answer);
             assertEquals(0, bench.counters.get(Count.QUERIES_SERVED));
             assertEquals(0, bench.counters.get(Count.QUERIES_LAST_MOMENT));
-            SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_ERROR) == e.count("POST"));
+            SocketTestSupport.await(
+                    () -> bench.counters.get(Count.ENDS_ERROR) == e.countCalls("POST"));
         }
     }
 
@@ -261,9 +265,9 @@
                                                         + call.substring(call.lastIndexOf('/') + 1))
                                         + "~~"
                                         + row)) {
-            String answer = bench.client().start().ask(query("load", 1, 9000));
+            String answer = bench.connectClient().startSession().query(query("load", 1, 9000));
             assertTrue(answer.endsWith("C(SELECT 8)"), answer.substring(0, 20));
-            assertEquals(1, e.count("POST"));
+            assertEquals(1, e.countCalls("POST"));
         }
     }
 }
--- a/src/test/java/junipercourse/engine/RepeatsTest.java
+++ b/src/test/java/junipercourse/engine/RepeatsTest.java
@@ -1,11 +1,11 @@
 package junipercourse.engine;
 
+import static junipercourse.SocketTestSupport.AT_CAPACITY;
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.FAILED;
-import static junipercourse.SocketTestSupport.FULL;
-import static junipercourse.SocketTestSupport.GIVEN_UP;
+import static junipercourse.SocketTestSupport.NO_RESPONSE;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.RUNNING;
-import static junipercourse.SocketTestSupport.SILENCE;
 import static junipercourse.SocketTestSupport.query;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -60,7 +60,7 @@
     /** What engines answer to the first attempt's calls, by row. */
     private static final Map<String, Function<String, String>> FAULTS =
             Map.ofEntries(
-                    Map.entry("full", call -> FULL),
+                    Map.entry("full", call -> AT_CAPACITY),
                     Map.entry("over", call -> "HTTP/1.1 504 Late\r\n" + UNRUN),
                     Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NONE),
                     Map.entry("over without proof", call -> "HTTP/1.1 504 Late\r\n" + NONE),
@@ -69,21 +69,27 @@
                     Map.entry("error", call -> FAILED),
                     Map.entry(
                             "reset, then unknown",
-                            call -> call.startsWith("POST") ? SocketTestSupport.BREAK : FAILED),
+                            call ->
+                                    call.startsWith("POST")
+                                            ? SocketTestSupport.CLOSE_CONNECTION
+                                            : FAILED),
                     Map.entry(
                             "reset always",
-                            call -> call.startsWith("DELETE") ? GIVEN_UP : SocketTestSupport.BREAK),
+                            call ->
+                                    call.startsWith("DELETE")
+                                            ? CANCELLED
+                                            : SocketTestSupport.CLOSE_CONNECTION),
                     Map.entry(
                             "garbled always",
-                            call -> call.startsWith("DELETE") ? GIVEN_UP : GARBLED),
-                    Map.entry("cut always", call -> call.startsWith("DELETE") ? GIVEN_UP : CUT),
+                            call -> call.startsWith("DELETE") ? CANCELLED : GARBLED),
+                    Map.entry("cut always", call -> call.startsWith("DELETE") ? CANCELLED : CUT),
                     Map.entry(
                             "delete unanswered",
-                            call -> call.startsWith("DELETE") ? SILENCE : GARBLED),
-                    Map.entry("silent", call -> SILENCE),
+                            call -> call.startsWith("DELETE") ? NO_RESPONSE : GARBLED),
+                    Map.entry("silent", call -> NO_RESPONSE),
                     Map.entry(
                             "hangs in its work",
-                            call -> call.startsWith("POST") ? RUNNING : SILENCE));
+                            call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
     /** What was seen of one class. */
     private record Seen(String kind, String answer, AttemptJudge judge, boolean again) {}
@@ -92,9 +98,9 @@
             throws IOException {
         AttemptJudge judge = new AttemptJudge(fault);
         try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512)) {
-            bench.engine(1, judge::answer);
-            bench.engine(2, judge::answer);
-            String answer = bench.client().start().ask(query(kind, 1, timeoutMs));
+            bench.startEngine(1, judge::answer);
+            bench.startEngine(2, judge::answer);
+            String answer = bench.connectClient().startSession().query(query(kind, 1, timeoutMs));
             return new Seen(kind, answer, judge, judge.posts() > 1);
         }
     }
@@ -160,13 +166,14 @@
         dead.close();
         try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512);
                 FullQueue never = new FullQueue()) {
-            bench.list(1, fault.equals("refused") ? dead : never.listed(), EngineStage.READY);
-            SocketTestSupport.Client client = bench.client().start();
-            client.write(SocketTestSupport.Client.message(query(kind, 1, 7000)));
+            bench.updateEndpointAndWait(
+                    1, fault.equals("refused") ? dead : never.listed(), EngineStage.READY);
+            SocketTestSupport.Client client = bench.connectClient().startSession();
+            client.write(SocketTestSupport.Client.queryMessage(query(kind, 1, 7000)));
             SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_UNREACHABLE) >= 1);
-            StubEngine good = bench.engine(2, call -> OK);
-            assertEquals("T D(a b c) C(SELECT 1)", client.answer());
-            assertEquals(1, good.count("POST"));
+            StubEngine good = bench.startEngine(2, call -> OK);
+            assertEquals("T D(a b c) C(SELECT 1)", client.readAnswer());
+            assertEquals(1, good.countCalls("POST"));
         }
     }
 }
--- a/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
+++ b/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
@@ -37,11 +37,11 @@
                                 + "'; ")) {
             try (SocketTestSupport.Client client =
                     new SocketTestSupport.Client(process.address())) {
-                client.start().ask("SHOW COUNTERS");
-                client.ask("SHOW FLEET");
+                client.startSession().query("SHOW COUNTERS");
+                client.query("SHOW FLEET");
             }
             process.signal("TERM");
-            assertTrue(process.endsWithin(5), process.log());
+            assertTrue(process.exitsWithin(5), process.log());
         }
         return told(classes);
     }
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -105,7 +105,7 @@
                                 + "'; ");
         DispatcherProcess process = processes[member];
         int life = starts[member];
-        SocketTestSupport.daemon(() -> observe(member, life, process));
+        SocketTestSupport.startDaemon(() -> observe(member, life, process));
     }
 
     private String product(int member) {
@@ -127,17 +127,17 @@
     /** Asks one process for its view over and over, and every few times for a query's answer. */
     private void observe(int member, int life, DispatcherProcess process) throws IOException {
         try (SocketTestSupport.Client client = new SocketTestSupport.Client(process.address())) {
-            client.start();
+            client.startSession();
             for (int round = 0; processes[member] == process; round++) {
                 FleetObservation look =
-                        FleetObservation.parse(now(), member, life, client.ask("SHOW FLEET"));
+                        FleetObservation.parse(now(), member, life, client.query("SHOW FLEET"));
                 synchronized (history) {
                     history.add(look);
                     newest[member] = look;
                 }
                 if (round % 5 == 0) {
                     String answer =
-                            client.ask(
+                            client.query(
                                     SocketTestSupport.query(
                                             "check", queries.incrementAndGet(), 7000));
                     if (answer.equals("T D(a b c) C(SELECT 1)")) {
@@ -148,7 +148,7 @@
                         }
                     }
                 }
-                SocketTestSupport.pause(POLL_MS);
+                SocketTestSupport.sleepMillis(POLL_MS);
             }
         }
     }
--- a/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
+++ b/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
@@ -100,7 +100,7 @@
     void oneThatEndsInGoodOrderHasLeft() throws Exception {
         rig.process(3).signal("TERM");
         rig.until("n3's leaving is heard", without(3), look -> look.sees("n3", "left"));
-        assertTrue(rig.process(3).endsWithin(4), rig.process(3).log());
+        assertTrue(rig.process(3).exitsWithin(4), rig.process(3).log());
         rig.gone(3);
         rig.start(3);
         rig.untilSettled("back", rig.all());
--- a/src/test/java/junipercourse/multiprocess/MixedBuildFleet.java
+++ b/src/test/java/junipercourse/multiprocess/MixedBuildFleet.java
@@ -79,7 +79,7 @@
                         without(cluster, member),
                         look -> look.sees(name, "left"));
                 assertTrue(
-                        cluster.process(member).endsWithin(TERMINATION_SECONDS),
+                        cluster.process(member).exitsWithin(TERMINATION_SECONDS),
                         cluster.process(member).log());
                 cluster.gone(member);
                 start(cluster, member, membersOfThisBuild);
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -40,11 +40,11 @@
     @BeforeEach
     void start() throws Exception {
         engine =
-                bench.engine(
+                bench.startEngine(
                         1,
                         call -> {
-                            SocketTestSupport.pause(20);
-                            return call.startsWith("DELETE") ? SocketTestSupport.GIVEN_UP : answer;
+                            SocketTestSupport.sleepMillis(20);
+                            return call.startsWith("DELETE") ? SocketTestSupport.CANCELLED : answer;
                         });
     }
 
@@ -60,40 +60,40 @@
      */
     @Test
     void whoWaitsAtTheSocketThatIsClosedIsAnswered() throws Exception {
-        Runnable release = bench.hold();
-        bench.behind(front -> front.end(() -> {}));
+        Runnable release = bench.blockLoop();
+        bench.executeOnLoop(front -> front.end(() -> {}));
         List<Client> waiting = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Client late = bench.client();
-            late.write(Client.startup(), Client.message(query("check", i, 5000)));
+            Client late = bench.connectClient();
+            late.write(Client.startupMessage(), Client.queryMessage(query("check", i, 5000)));
             waiting.add(late);
         }
         release.run();
         for (Client late : waiting) {
-            assertEquals("", late.answer());
-            assertEquals(ENDING, late.answer());
+            assertEquals("", late.readAnswer());
+            assertEquals(ENDING, late.readAnswer());
         }
-        assertEquals(0, engine.count("POST"));
+        assertEquals(0, engine.countCalls("POST"));
     }
 
     /** At the end all sessions are ended in order, after a look for what came on them meanwhile. */
     @Test
     void aQueryThatCrossesTheLastCloseIsRefused() throws Exception {
-        Client asks = bench.client().start();
-        Client rests = bench.client().start();
-        assertEquals("I", rests.ask(" "));
-        Runnable release = bench.hold();
-        bench.behind(
+        Client asks = bench.connectClient().startSession();
+        Client rests = bench.connectClient().startSession();
+        assertEquals("I", rests.query(" "));
+        Runnable release = bench.blockLoop();
+        bench.executeOnLoop(
                 front -> {
                     front.end(() -> {});
                     front.endSessions();
                 });
-        asks.write(Client.message(query("check", 1, 5000)));
+        asks.write(Client.queryMessage(query("check", 1, 5000)));
         release.run();
-        assertEquals(ENDING, asks.answer());
-        assertEquals(ENDING + " closed=true", asks.answer());
-        assertEquals(ENDING + " closed=true", rests.answer());
-        assertEquals(0, engine.count("POST"));
+        assertEquals(ENDING, asks.readAnswer());
+        assertEquals(ENDING + " closed=true", asks.readAnswer());
+        assertEquals(ENDING + " closed=true", rests.readAnswer());
+        assertEquals(0, engine.countCalls("POST"));
     }
 
     // ---- closes of ours ----
@@ -111,20 +111,20 @@
         "474554202f20485454502f312e31, 08P01 a message of 1195725856 bytes"
     })
     void whoSendsMuchThatIsNoMessageReadsWhyAndAnEnd(String hex, String why) throws Exception {
-        Client client = bench.client();
+        Client client = bench.connectClient();
         if (hex.startsWith("start")) {
-            client.start();
+            client.startSession();
         }
-        Runnable release = bench.hold();
-        SocketTestSupport.daemon(
+        Runnable release = bench.blockLoop();
+        SocketTestSupport.startDaemon(
                 () ->
                         client.write(
                                 HexFormat.of().parseHex(hex.replace("start ", "")),
                                 new byte[300_000]));
-        SocketTestSupport.pause(50); // more than one read's worth lies there
+        SocketTestSupport.sleepMillis(50); // more than one read's worth lies there
         release.run();
-        assertEquals("E(" + why + ") closed=true", client.answer());
-        assertEquals(SERVED, bench.client().start().ask(query("check", 1, 5000)));
+        assertEquals("E(" + why + ") closed=true", client.readAnswer());
+        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /**
@@ -133,16 +133,18 @@
      */
     @Test
     void whatIsSentAfterOurCloseReachesNoEngine() throws Exception {
-        int before = bench.descriptors.used();
-        Client client = bench.client().start();
+        int before = bench.descriptorBudget.used();
+        Client client = bench.connectClient().startSession();
         client.write(HexFormat.of().parseHex("5000000004"));
-        assertTrue(client.answer().endsWith("closed=true"));
-        client.write(Client.message(query("check", 1, 5000)));
+        assertTrue(client.readAnswer().endsWith("closed=true"));
+        client.write(Client.queryMessage(query("check", 1, 5000)));
         assertEquals(
-                before + 1, bench.descriptors.used(), "it counts as a client's until it is closed");
+                before + 1,
+                bench.descriptorBudget.used(),
+                "it counts as a client's until it is closed");
         assertEquals(-1, client.socket.getInputStream().read(), "no reset");
-        SocketTestSupport.await(() -> bench.descriptors.used() == before, 3000);
-        assertEquals(0, engine.count("POST"));
+        SocketTestSupport.await(() -> bench.descriptorBudget.used() == before, 3000);
+        assertEquals(0, engine.countCalls("POST"));
     }
 
     /**
@@ -151,7 +153,7 @@
      */
     @Test
     void aCancelRequestIsClosedAtOnce() throws Exception {
-        Client client = bench.client().start();
+        Client client = bench.connectClient().startSession();
         long from = System.nanoTime();
         for (int i = 0; i < 3; i++) {
             client.cancel();
@@ -162,34 +164,36 @@
     /** One that sends on and on costs bounded bytes: it is cut off. */
     @Test
     void whoNeverStopsSendingIsCutOff() throws Exception {
-        int before = bench.descriptors.used();
-        Client client = bench.client().start();
+        int before = bench.descriptorBudget.used();
+        Client client = bench.connectClient().startSession();
         client.write(HexFormat.of().parseHex("51ffffffff"));
-        SocketTestSupport.daemon(
+        SocketTestSupport.startDaemon(
                 () -> {
                     while (true) {
                         client.write(new byte[100_000]);
                     }
                 });
-        SocketTestSupport.await(() -> bench.descriptors.used() == before);
+        SocketTestSupport.await(() -> bench.descriptorBudget.used() == before);
     }
 
     /** Connections that we have ended and their clients keep open leave room for those that ask. */
     @Test
     void connectionsOnTheirWayOutMakeRoom() throws Exception {
-        for (int i = 0; i < SocketTestSupport.MOST_CLIENTS * 2; i++) {
-            Client bad = bench.client();
+        for (int i = 0; i < SocketTestSupport.MAX_CLIENTS * 2; i++) {
+            Client bad = bench.connectClient();
             bad.write(HexFormat.of().parseHex("7fffffff00030000"));
             if (i % 40 == 39) {
-                assertEquals(SERVED, bench.client().start().ask(query("check", i, 5000)));
+                assertEquals(
+                        SERVED,
+                        bench.connectClient().startSession().query(query("check", i, 5000)));
             }
         }
         assertEquals(0, bench.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
         assertTrue(
-                bench.descriptors.shares().stream()
+                bench.descriptorBudget.shares().stream()
                         .filter(s -> s.name().equals("clients"))
                         .allMatch(s -> s.peak() <= s.most()),
-                bench.descriptors.toString());
+                bench.descriptorBudget.toString());
     }
 
     // ---- closes of the client's ----
@@ -202,48 +206,52 @@
     @ValueSource(booleans = {false, true})
     void whoSendsMuchAndGoesIsSeenToGo(boolean reset) throws Exception {
         answer = SocketTestSupport.RUNNING;
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         client.write(new byte[64 * 1024]);
         if (reset) {
             client.socket.setSoLinger(true, 0);
         }
         client.close();
-        SocketTestSupport.await(() -> engine.count("DELETE") == 1, NOTICED_MS);
-        assertEquals(1, engine.count("POST"));
+        SocketTestSupport.await(() -> engine.countCalls("DELETE") == 1, NOTICED_MS);
+        assertEquals(1, engine.countCalls("POST"));
     }
 
     /** What lies whole before the overrun is answered, then the session ends with an error. */
     @Test
     void whoSendsMuchAndStaysIsAnsweredFirst() throws Exception {
         answer = SocketTestSupport.RUNNING;
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
-        client.write(Client.message(query("check", 2, 7000)), Client.message(" ".repeat(40_000)));
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
+        client.write(
+                Client.queryMessage(query("check", 2, 7000)),
+                Client.queryMessage(" ".repeat(40_000)));
         answer = SocketTestSupport.OK;
-        assertEquals(SERVED, client.answer());
-        assertEquals(SERVED, client.answer());
-        assertEquals("E(08P01 too much was sent ahead of an answer) closed=true", client.answer());
+        assertEquals(SERVED, client.readAnswer());
+        assertEquals(SERVED, client.readAnswer());
+        assertEquals(
+                "E(08P01 too much was sent ahead of an answer) closed=true", client.readAnswer());
     }
 
     /** One that never stops sending loses its query, and is told why. */
     @Test
     void whoSendsOnAndOnWhileItsQueryIsOpenIsClosed() throws Exception {
         answer = SocketTestSupport.RUNNING;
-        int before = bench.descriptors.used();
-        Client client = bench.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
-        SocketTestSupport.daemon(
+        int before = bench.descriptorBudget.used();
+        Client client = bench.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
+        SocketTestSupport.startDaemon(
                 () -> {
                     while (true) {
                         client.write(new byte[100_000]);
                     }
                 });
-        SocketTestSupport.await(() -> engine.count("DELETE") == 1, NOTICED_MS);
-        SocketTestSupport.await(() -> bench.descriptors.used() <= before + 1); // the engine's stays
+        SocketTestSupport.await(() -> engine.countCalls("DELETE") == 1, NOTICED_MS);
+        SocketTestSupport.await(
+                () -> bench.descriptorBudget.used() <= before + 1); // the engine's stays
     }
 
     // ---- cancels ----
@@ -252,13 +260,14 @@
     @Test
     void aCancelThatIsReadBeforeItsQueryCancelsIt() throws Exception {
         answer = SocketTestSupport.RUNNING;
-        Client client = bench.client().start();
-        Runnable release = bench.hold();
-        bench.behind(front -> front.cancel(client.key().getInt(), client.key().getInt(4)));
-        client.write(Client.message(query("check", 1, 1000)));
+        Client client = bench.connectClient().startSession();
+        Runnable release = bench.blockLoop();
+        bench.executeOnLoop(
+                front -> front.cancel(client.cancelKey().getInt(), client.cancelKey().getInt(4)));
+        client.write(Client.queryMessage(query("check", 1, 1000)));
         release.run();
-        assertEquals(CANCELLED, client.answer());
-        nothingGoesOn(engine.count("POST"));
+        assertEquals(CANCELLED, client.readAnswer());
+        nothingGoesOn(engine.countCalls("POST"));
     }
 
     /**
@@ -276,14 +285,14 @@
     })
     void whateverOrderAClientLeavesInNothingIsBegunAfterwards(String order) throws Exception {
         answer = SocketTestSupport.RUNNING;
-        Client client = bench.client().start();
-        byte[] query = Client.message(query("check", 1, 7000));
+        Client client = bench.connectClient().startSession();
+        byte[] query = Client.queryMessage(query("check", 1, 7000));
         Socket other = new Socket(client.socket.getInetAddress(), client.socket.getPort());
         if (order.startsWith("open")) {
             client.write(query);
-            SocketTestSupport.await(() -> engine.count("POST") == 1);
+            SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         }
-        Runnable release = bench.hold();
+        Runnable release = bench.blockLoop();
         for (String event : order.split(" ")) {
             switch (event) {
                 case "query" -> client.write(query);
@@ -294,17 +303,17 @@
         }
         release.run();
         if (order.endsWith("cancel") && !order.contains("close")) {
-            assertEquals(CANCELLED, client.answer());
+            assertEquals(CANCELLED, client.readAnswer());
         }
-        SocketTestSupport.pause(100);
-        nothingGoesOn(engine.count("POST"));
+        SocketTestSupport.sleepMillis(100);
+        nothingGoesOn(engine.countCalls("POST"));
         other.close();
     }
 
     /** Each attempt that there was is taken back, and none follows. */
     private void nothingGoesOn(long begun) throws IOException {
-        SocketTestSupport.await(() -> engine.count("DELETE") >= begun, NOTICED_MS);
-        SocketTestSupport.pause(300);
-        assertEquals(begun, engine.count("POST"));
+        SocketTestSupport.await(() -> engine.countCalls("DELETE") >= begun, NOTICED_MS);
+        SocketTestSupport.sleepMillis(300);
+        assertEquals(begun, engine.countCalls("POST"));
     }
 }
--- a/src/test/java/junipercourse/pg/SessionTest.java
+++ b/src/test/java/junipercourse/pg/SessionTest.java
@@ -28,7 +28,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        engine = bench.engine(1, call -> SocketTestSupport.OK);
+        engine = bench.startEngine(1, call -> SocketTestSupport.OK);
     }
 
     @AfterEach
@@ -38,38 +38,40 @@
 
     @Test
     void aQueryMayFollowTheStartAtOnceAndTheNextOneBeforeItsAnswer() throws Exception {
-        Client client = bench.client();
+        Client client = bench.connectClient();
         client.write(
-                Client.startup(),
-                Client.message(query("check", 1, 5000)),
-                Client.message(query("check", 2, 5000)),
-                Client.message(" "));
-        assertEquals("", client.answer());
-        assertEquals(SERVED, client.answer());
-        assertEquals(SERVED, client.answer());
-        assertEquals("I", client.answer());
+                Client.startupMessage(),
+                Client.queryMessage(query("check", 1, 5000)),
+                Client.queryMessage(query("check", 2, 5000)),
+                Client.queryMessage(" "));
+        assertEquals("", client.readAnswer());
+        assertEquals(SERVED, client.readAnswer());
+        assertEquals(SERVED, client.readAnswer());
+        assertEquals("I", client.readAnswer());
     }
 
     @Test
     void bytesMayComeOneByOneAfterARefusedEncryption() throws Exception {
-        Client client = bench.client();
+        Client client = bench.connectClient();
         client.write(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
         assertEquals('N', client.socket.getInputStream().read());
         for (byte[] part :
-                new byte[][] {Client.startup(), Client.message(query("check", 1, 5000))}) {
+                new byte[][] {
+                    Client.startupMessage(), Client.queryMessage(query("check", 1, 5000))
+                }) {
             for (byte b : part) {
                 client.write(new byte[] {b});
             }
         }
-        assertEquals("", client.answer());
-        assertEquals(SERVED, client.answer());
+        assertEquals("", client.readAnswer());
+        assertEquals(SERVED, client.readAnswer());
     }
 
     @Test
     void countersAreShownOnRequest() throws Exception {
-        Client client = bench.client().start();
-        client.ask(query("check", 1, 5000));
-        String shown = client.ask("show counters;");
+        Client client = bench.connectClient().startSession();
+        client.query(query("check", 1, 5000));
+        String shown = client.query("show counters;");
         assertTrue(shown.contains("D(queries served 1)") && shown.contains("D(ends ok 1)"), shown);
     }
 
@@ -78,18 +80,18 @@
      */
     @Test
     void aClientThatDoesNotReadIsHeldBack() throws Exception {
-        Client deaf = bench.client().start();
+        Client deaf = bench.connectClient().startSession();
         deaf.socket.setSoTimeout(5000);
-        SocketTestSupport.daemon(
+        SocketTestSupport.startDaemon(
                 () -> {
                     for (int i = 0; i < 200_000; i++) {
-                        deaf.write(Client.message("SHOW COUNTERS"));
+                        deaf.write(Client.queryMessage("SHOW COUNTERS"));
                     }
                 });
-        SocketTestSupport.pause(300);
-        assertEquals(SERVED, bench.client().start().ask(query("check", 1, 5000)));
+        SocketTestSupport.sleepMillis(300);
+        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
         for (int i = 0; i < 1000; i++) { // and once it reads, it gets what it asked for
-            assertTrue(deaf.answer().startsWith("T D(clients accepted "));
+            assertTrue(deaf.readAnswer().startsWith("T D(clients accepted "));
         }
     }
 
@@ -110,15 +112,15 @@
                         + " fields stands before the statement)"
             })
     void badInputIsAnsweredAndReachesNoEngine(String hex, String expected) throws Exception {
-        Client client = bench.client();
+        Client client = bench.connectClient();
         String bytes = hex.replace(" ", "").replace("start", "");
         if (hex.startsWith("start")) {
-            client.start();
+            client.startSession();
         }
         client.write(java.util.HexFormat.of().parseHex(bytes));
-        assertEquals(expected, client.answer());
+        assertEquals(expected, client.readAnswer());
         assertTrue(engine.calls.isEmpty());
-        assertEquals(SERVED, bench.client().start().ask(query("check", 1, 5000)));
+        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /**
@@ -133,16 +135,16 @@
         "asked 5100000010, E(08P01 a message without its end) closed=true"
     })
     void whatDoesNotComeInTimeIsClosed(String sent, String expected) throws Exception {
-        Client client = bench.client();
+        Client client = bench.connectClient();
         if (!sent.isEmpty() && sent.charAt(0) != '0') {
-            client.start();
+            client.startSession();
         }
         if (sent.startsWith("asked")) {
-            assertEquals(SERVED, client.ask(query("check", 1, 5000)));
+            assertEquals(SERVED, client.query(query("check", 1, 5000)));
         }
         client.write(java.util.HexFormat.of().parseHex(sent.replaceAll("[a-z]* ?(?=[0-9]|$)", "")));
         long from = System.nanoTime();
-        assertTrue(client.answer().endsWith(expected));
+        assertTrue(client.readAnswer().endsWith(expected));
         assertTrue(System.nanoTime() - from < 2_900_000_000L);
     }
 
@@ -153,15 +155,17 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void connectionsThatAreOnlyHeldMakeRoom(boolean asked) throws Exception {
-        for (int i = 0; i < SocketTestSupport.MOST_CLIENTS; i++) {
-            Client holder = bench.client();
+        for (int i = 0; i < SocketTestSupport.MAX_CLIENTS; i++) {
+            Client holder = bench.connectClient();
             if (asked) {
-                assertEquals(SERVED, holder.start().ask(query("check", i, 5000)));
+                assertEquals(SERVED, holder.startSession().query(query("check", i, 5000)));
             }
         }
-        SocketTestSupport.pause(300);
+        SocketTestSupport.sleepMillis(300);
         for (int i = 1; i <= 5; i++) {
-            assertEquals(SERVED, bench.client().start().ask(query("check", 1000 + i, 5000)));
+            assertEquals(
+                    SERVED,
+                    bench.connectClient().startSession().query(query("check", 1000 + i, 5000)));
         }
         assertEquals(0, bench.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
     }
@@ -172,31 +176,31 @@
      */
     @Test
     void idleConnectionsAreClosedEarlyWhileManyAreOpen() throws Exception {
-        Client first = bench.client().start();
-        assertEquals(SERVED, first.ask(query("check", 1, 5000)));
-        for (int i = 0; i < SocketTestSupport.MOST_CLIENTS / 2; i++) {
-            bench.client().start();
+        Client first = bench.connectClient().startSession();
+        assertEquals(SERVED, first.query(query("check", 1, 5000)));
+        for (int i = 0; i < SocketTestSupport.MAX_CLIENTS / 2; i++) {
+            bench.connectClient().startSession();
         }
         long from = System.nanoTime();
-        assertEquals("E(57P05 closed after being idle) closed=true", first.answer());
+        assertEquals("E(57P05 closed after being idle) closed=true", first.readAnswer());
         assertTrue(System.nanoTime() - from < 1_000_000_000L);
     }
 
     /** A query of which a part has come is not idle, however short the time that idle ones get. */
     @Test
     void aSessionInTheMiddleOfAQueryIsNotClosedAsIdle() throws Exception {
-        Client slow = bench.client().start();
-        assertEquals(SERVED, slow.ask(query("check", 1, 5000)));
-        byte[] query = Client.message(query("check", 2, 5000));
+        Client slow = bench.connectClient().startSession();
+        assertEquals(SERVED, slow.query(query("check", 1, 5000)));
+        byte[] query = Client.queryMessage(query("check", 2, 5000));
         slow.write(Arrays.copyOf(query, query.length / 2));
-        for (int i = 0; i < SocketTestSupport.MOST_CLIENTS / 2; i++) {
-            bench.client().start();
+        for (int i = 0; i < SocketTestSupport.MAX_CLIENTS / 2; i++) {
+            bench.connectClient().startSession();
         }
-        Client idle = bench.client().start();
-        assertEquals(SERVED, idle.ask(query("check", 3, 5000)));
-        assertEquals("E(57P05 closed after being idle) closed=true", idle.answer());
+        Client idle = bench.connectClient().startSession();
+        assertEquals(SERVED, idle.query(query("check", 3, 5000)));
+        assertEquals("E(57P05 closed after being idle) closed=true", idle.readAnswer());
         slow.write(Arrays.copyOfRange(query, query.length / 2, query.length));
-        assertEquals(SERVED, slow.answer());
+        assertEquals(SERVED, slow.readAnswer());
     }
 
     /**
@@ -208,18 +212,18 @@
         byte[] most = ByteBuffer.allocate(60_000).put((byte) 'Q').putInt(60_001).array();
         Client last = null;
         for (int i = 0; i < 20; i++) { // 1.2 MB, of 1 MB that may be held
-            last = bench.client().start();
+            last = bench.connectClient().startSession();
             last.write(most);
         }
         Client lastOne = last;
         SocketTestSupport.await(() -> closed(lastOne));
-        assertEquals(SERVED, bench.client().start().ask(query("check", 1, 5000)));
+        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /** Closed in order or, with bytes of its own still unread, reset. */
     private static boolean closed(Client client) {
         try {
-            return client.answer().endsWith("closed=true");
+            return client.readAnswer().endsWith("closed=true");
         } catch (java.io.IOException e) {
             return e instanceof java.net.SocketException;
         }
--- a/src/test/java/junipercourse/scale/EngineFarm.java
+++ b/src/test/java/junipercourse/scale/EngineFarm.java
@@ -32,7 +32,7 @@
                     "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\n"
                             + "X-Gauges: q:0;busy:0.20\r\nContent-Length: 6\r\n\r\na\tb\tc\n");
     private static final ByteBuffer RUNS = bytes(SocketTestSupport.RUNNING);
-    private static final ByteBuffer GONE = bytes(SocketTestSupport.GIVEN_UP);
+    private static final ByteBuffer GONE = bytes(SocketTestSupport.CANCELLED);
 
     final AtomicInteger accepted = new AtomicInteger();
     final AtomicInteger posts = new AtomicInteger();
@@ -54,7 +54,7 @@
             server.bind(new InetSocketAddress(InetAddress.getByName("127.0.1." + i), 0), BACKLOG);
             server.configureBlocking(false).register(selector, SelectionKey.OP_ACCEPT);
         }
-        SocketTestSupport.daemon(this::run);
+        SocketTestSupport.startDaemon(this::run);
     }
 
     /** Where the engine of that number listens. */
--- a/src/test/java/junipercourse/scale/EventBus.java
+++ b/src/test/java/junipercourse/scale/EventBus.java
@@ -73,7 +73,7 @@
                     events.add(
                             HexFormat.of()
                                     .parseHex(
-                                            ScriptedBus.frame(
+                                            ScriptedBus.endpointFrame(
                                                     false,
                                                     number,
                                                     number,
@@ -103,7 +103,9 @@
                 }
                 if (Network.now() >= nextBeat) {
                     nextBeat = Network.now() + BEAT_S;
-                    tellAll(HexFormat.of().parseHex(ScriptedBus.NOTHING.formatted(events.size())));
+                    tellAll(
+                            HexFormat.of()
+                                    .parseHex(ScriptedBus.EMPTY_FRAME.formatted(events.size())));
                 }
                 listeners = (int) selector.keys().stream().filter(EventBus::asked).count();
             }
--- a/src/test/java/junipercourse/scale/IdleClients.java
+++ b/src/test/java/junipercourse/scale/IdleClients.java
@@ -93,8 +93,8 @@
     }
 
     private static void ask(SocketChannel c) throws IOException {
-        ByteBuffer start = ByteBuffer.wrap(Client.startup());
-        ByteBuffer query = ByteBuffer.wrap(Client.message(" "));
+        ByteBuffer start = ByteBuffer.wrap(Client.startupMessage());
+        ByteBuffer query = ByteBuffer.wrap(Client.queryMessage(" "));
         c.write(new ByteBuffer[] {start, query}); // far less than a socket takes at once
     }
 
--- a/src/test/java/junipercourse/scale/ListPart.java
+++ b/src/test/java/junipercourse/scale/ListPart.java
@@ -43,12 +43,12 @@
             throws Exception {
         try (ScriptedBus bus = new ScriptedBus();
                 Running r = bench.start(Site.of(engines).bus(bus.address())).ready();
-                Client c = new Client(r.front()).start()) {
-            Socket watch = bus.accept();
-            SocketTestSupport.daemon(
+                Client c = new Client(r.front()).startSession()) {
+            Socket watch = bus.acceptSubscription();
+            SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
-                            SocketTestSupport.pause(EMPTY_MS);
+                            SocketTestSupport.sleepMillis(EMPTY_MS);
                             ByteBuffer empty =
                                     ByteBuffer.allocate(Integer.BYTES + HEAD).putInt(HEAD);
                             watch.getOutputStream().write(empty.array());
@@ -58,7 +58,7 @@
             told(c);
             double began = r.age();
             Cpu before = r.figures.cpu();
-            SocketTestSupport.pause((long) (seconds * 1000));
+            SocketTestSupport.sleepMillis((long) (seconds * 1000));
             double idle = r.figures.cpu().since(before).loop() / (r.age() - began);
 
             cost(r, c, idle, "cpu_per_event", events, () -> paced(watch, events, perSecond));
@@ -72,7 +72,7 @@
                     () -> {
                         for (int i = 0; i < wholes; i++) {
                             watch.getOutputStream().write(whole());
-                            SocketTestSupport.pause(1000L / perSecond);
+                            SocketTestSupport.sleepMillis(1000L / perSecond);
                         }
                     });
             underLoad(r, watch, rate, seconds);
@@ -81,7 +81,12 @@
 
     /** In all, with what the compiler took, and of the loop alone, less what it takes at rest. */
     private void cost(
-            Running r, Client c, double idle, String figure, int count, SocketTestSupport.Task task)
+            Running r,
+            Client c,
+            double idle,
+            String figure,
+            int count,
+            SocketTestSupport.IoTask task)
             throws IOException {
         double began = r.age();
         Cpu before = r.figures.cpu();
@@ -150,7 +155,7 @@
         long begun = System.nanoTime();
         for (int i = 0; i < events; i++) {
             long wait = begun + i * 1_000_000_000L / perSecond - System.nanoTime();
-            SocketTestSupport.pause(Math.max(0, wait / 1_000_000));
+            SocketTestSupport.sleepMillis(Math.max(0, wait / 1_000_000));
             watch.getOutputStream().write(change());
         }
     }
@@ -208,10 +213,10 @@
             if (System.nanoTime() > end) {
                 throw new IOException("events were not taken in");
             }
-            SocketTestSupport.pause(5);
+            SocketTestSupport.sleepMillis(5);
         }
         for (int i = 0; i < 2; i++) {
-            c.ask("SHOW COUNTERS"); // they are counted before the module's turn, which is queued
+            c.query("SHOW COUNTERS"); // they are counted before the module's turn, which is queued
             // behind
         }
     }
--- a/src/test/java/junipercourse/scale/PacedLoad.java
+++ b/src/test/java/junipercourse/scale/PacedLoad.java
@@ -50,16 +50,16 @@
         if (first >= all) {
             return;
         }
-        try (SocketTestSupport.Client c = new SocketTestSupport.Client(front).start()) {
+        try (SocketTestSupport.Client c = new SocketTestSupport.Client(front).startSession()) {
             for (int i = first; i < all; i += CLIENTS) {
                 long due = begun + (long) (i / rate * 1e9);
                 while (System.nanoTime() < due) {
                     LockSupport.parkNanos(due - System.nanoTime());
                 }
                 long asked = System.nanoTime();
-                String answer = c.ask(query(groups));
+                String answer = c.query(query(groups));
                 micros.recordValue((System.nanoTime() - asked) / 1000);
-                if (answer.equals(QueryStream.SERVED)) {
+                if (answer.equals(QueryStream.EXPECTED_ANSWER)) {
                     served.incrementAndGet();
                 } else {
                     unserved.incrementAndGet();
--- a/src/test/java/junipercourse/scale/Plays.java
+++ b/src/test/java/junipercourse/scale/Plays.java
@@ -158,7 +158,8 @@
     private void hold(double seconds) {
         for (double end = Network.now() + seconds; Network.now() < end; ) {
             guard.check();
-            SocketTestSupport.pause((long) Math.max(1, Math.min(100, (end - Network.now()) * 1e3)));
+            SocketTestSupport.sleepMillis(
+                    (long) Math.max(1, Math.min(100, (end - Network.now()) * 1e3)));
         }
     }
 
--- a/src/test/java/junipercourse/scale/RealMember.java
+++ b/src/test/java/junipercourse/scale/RealMember.java
@@ -38,7 +38,7 @@
                         + "'; ";
         process =
                 packaged
-                        ? DispatcherProcess.deployed(own.resolve("log"), config, first)
+                        ? DispatcherProcess.startDeployed(own.resolve("log"), config, first)
                         : new DispatcherProcess(own, DESCRIPTORS, config, first);
     }
 
@@ -63,9 +63,9 @@
         try {
             if (client == null) {
                 client = new SocketTestSupport.Client(process.address());
-                client.start();
+                client.startSession();
             }
-            return FleetObservation.parse(Network.now(), number, 1, client.ask("SHOW FLEET"));
+            return FleetObservation.parse(Network.now(), number, 1, client.query("SHOW FLEET"));
         } catch (IOException e) {
             client = null; // the next look connects anew
             throw e;
@@ -74,12 +74,13 @@
 
     /** Processor seconds so far. */
     double processorS() throws IOException {
-        String[] stat = process.told("stat").split("\\) ")[1].split(" "); // the third field and on
+        String[] stat =
+                process.readProcFile("stat").split("\\) ")[1].split(" "); // the third field and on
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_S;
     }
 
     double residentMb() throws IOException {
-        return Long.parseLong(process.told("statm").split(" ")[1]) / PAGES_MB;
+        return Long.parseLong(process.readProcFile("statm").split(" ")[1]) / PAGES_MB;
     }
 
     @Override
--- a/src/test/java/junipercourse/scale/ScaleMain.java
+++ b/src/test/java/junipercourse/scale/ScaleMain.java
@@ -99,7 +99,7 @@
         Path folder = Files.createTempDirectory("scale");
         try (ScaleFleet fleet = new ScaleFleet(folder, WARM_SIZE, 0, threads, false, 0, seed)) {
             fleet.startAll();
-            SocketTestSupport.pause((long) (number("scale.warm", 10) * 1e3));
+            SocketTestSupport.sleepMillis((long) (number("scale.warm", 10) * 1e3));
         } finally {
             delete(folder);
         }
--- a/src/test/java/junipercourse/scale/ServingBench.java
+++ b/src/test/java/junipercourse/scale/ServingBench.java
@@ -91,7 +91,7 @@
         Running r =
                 new Running(
                         deployed
-                                ? DispatcherProcess.deployed(
+                                ? DispatcherProcess.startDeployed(
                                         logs.resolve("log"),
                                         config,
                                         WATCHED + heap + "ulimit -n " + descriptors + "; ")
@@ -136,7 +136,7 @@
         /** Waits until it listens and has answered an empty query. */
         Running ready() throws IOException {
             try (Client c = new Client(process.address())) {
-                String answer = c.start().ask(" ");
+                String answer = c.startSession().query(" ");
                 if (!answer.equals("I")) {
                     throw new IOException("not ready: " + answer);
                 }
@@ -155,7 +155,7 @@
 
         /** One of its counters, such as {@code queries served}. */
         static long count(Client c, String what) throws IOException {
-            String answer = c.ask("SHOW COUNTERS");
+            String answer = c.query("SHOW COUNTERS");
             int at = answer.indexOf("D(" + what + " ");
             if (at < 0) {
                 throw new IOException("no counter " + what + ": " + answer);
@@ -166,7 +166,7 @@
 
         long count(String what) throws IOException {
             try (Client c = new Client(front())) {
-                return count(c.start(), what);
+                return count(c.startSession(), what);
             }
         }
 
--- a/src/test/java/junipercourse/scale/ServingParts.java
+++ b/src/test/java/junipercourse/scale/ServingParts.java
@@ -55,7 +55,7 @@
             new PacedLoad(r.front(), WARM_RATE, warmS, GROUPS);
             Cpu before = r.figures.cpu();
             double begun = r.age();
-            SocketTestSupport.pause((long) (warmS * REST_PART * 1000));
+            SocketTestSupport.sleepMillis((long) (warmS * REST_PART * 1000));
             bench.add(
                     "rest",
                     engines,
@@ -211,12 +211,12 @@
             for (int i = 0; i < queries; i++) {
                 Client c = new Client(r.front());
                 clients.add(c);
-                c.start().write(Client.message(PacedLoad.query(GROUPS)));
+                c.startSession().write(Client.queryMessage(PacedLoad.query(GROUPS)));
             }
             SocketTestSupport.await(() -> bench.farm.posts.get() >= before + queries);
             Cpu cpu = r.figures.cpu();
             double begun = r.age();
-            SocketTestSupport.pause((long) (seconds * 1000));
+            SocketTestSupport.sleepMillis((long) (seconds * 1000));
             double spent = r.figures.cpu().since(cpu).all() / (r.age() - begun);
             double resident = r.figures.resident();
             double heap = r.figures.heap();
