--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -58,7 +58,10 @@
         this.front = front;
         this.kept = kept;
         longest =
-                settings.queryClasses().stream().mapToDouble(QueryClass::deadline).max().orElse(0);
+                settings.queryClasses().stream()
+                        .mapToDouble(QueryClass::deadlineSeconds)
+                        .max()
+                        .orElse(0);
     }
 
     /**
--- a/src/main/java/junipercourse/core/AttemptRunner.java
+++ b/src/main/java/junipercourse/core/AttemptRunner.java
@@ -67,7 +67,7 @@
                                             id,
                                             attempt,
                                             engine,
-                                            AttemptOutcome.MOOT,
+                                            AttemptOutcome.OBSOLETE,
                                             0,
                                             x == null || x.answered,
                                             0,
--- a/src/main/java/junipercourse/core/Counters.java
+++ b/src/main/java/junipercourse/core/Counters.java
@@ -59,7 +59,7 @@
                 case UNREACHABLE -> ENDS_UNREACHABLE;
                 case RESET -> ENDS_RESET;
                 case CANCELLED -> ENDS_CANCELLED;
-                case MOOT -> ENDS_MOOT;
+                case OBSOLETE -> ENDS_MOOT;
                 case NOT_SENT -> ENDS_UNSENT;
             };
         }
--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -100,7 +100,9 @@
         counters.increment(Count.QUERIES_UNORDERED);
         answers.refused(
                 x,
-                settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0,
+                settings.limits().retryAfterAllowed()
+                        ? settings.limits().maxRetryAfterSeconds()
+                        : 0,
                 "the order of this key's queries is not known after a pause of the dispatcher");
     }
 
--- a/src/main/java/junipercourse/core/UnsupportedActions.java
+++ b/src/main/java/junipercourse/core/UnsupportedActions.java
@@ -7,7 +7,7 @@
 /** What this platform does not have: the settings forbid these, so the module asks for none. */
 abstract class UnsupportedActions implements DispatcherActions {
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         // Engines here set memory themselves and heed no priority.
     }
 
--- a/src/main/java/junipercourse/decision/AttemptEventHandler.java
+++ b/src/main/java/junipercourse/decision/AttemptEventHandler.java
@@ -14,18 +14,19 @@
 /** Takes in the events of attempts in flight. */
 final class AttemptEventHandler {
     private final DispatchState state;
-    private final LoadEstimator load;
+    private final LoadEstimator loadEstimator;
     private final RequestLifecycle lifecycle;
 
-    AttemptEventHandler(DispatchState state, LoadEstimator load, RequestLifecycle lifecycle) {
+    AttemptEventHandler(
+            DispatchState state, LoadEstimator loadEstimator, RequestLifecycle lifecycle) {
         this.state = state;
-        this.load = load;
+        this.loadEstimator = loadEstimator;
         this.lifecycle = lifecycle;
     }
 
     /** Binds a request to the attempt whose response has begun. */
-    void responseStarted(double now, RequestId id, int attempt) {
-        Attempt active = state.requests().findActive(id, attempt);
+    void handleResponseStarted(double now, RequestId id, int attemptNumber) {
+        Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
         if (active != null) {
             active.engine().health().recordActivity(now);
             active.request().startResponse();
@@ -33,8 +34,9 @@
     }
 
     /** Projects the latency of an attempt from its progress. */
-    void progressed(double now, RequestId id, int attempt, ProgressKind kind, double value) {
-        Attempt active = state.requests().findActive(id, attempt);
+    void handleProgress(
+            double now, RequestId id, int attemptNumber, ProgressKind kind, double value) {
+        Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
         if (active == null) {
             return;
         }
@@ -51,37 +53,39 @@
     }
 
     /** Learns from the end of an attempt, and retries or closes its request. */
-    void ended(double now, AttemptResult result) {
+    void handleEnded(double now, AttemptResult result) {
         PendingRequest request = state.requests().find(result.id());
-        Attempt attempt = request == null ? null : request.takeOutstanding(result.attempt());
+        Attempt attempt =
+                request == null ? null : request.removeOutstandingAttempt(result.attemptNumber());
         if (attempt == null) {
             return;
         }
-        state.requests().requestAdmission();
+        state.requests().scheduleAdmission();
         AttemptOutcome outcome = result.outcome();
         lifecycle.feedback().record(now, attempt, result);
         attempt.end(outcome);
         if (outcome != AttemptOutcome.REJECTED) { // a full engine's cores may look idle
             boolean slowed = lifecycle.feedback().wasSlowedByCongestion(now, attempt);
-            load.recordReport(now, attempt.engine(), result.loadReport(), slowed);
+            loadEstimator.recordReport(now, attempt.engine(), result.loadReport(), slowed);
         }
         if (result.requestCompleted()) {
             state.requests().close(request);
         } else if (!request.isClosed() && request.activeAttempt() == null) {
             lifecycle.supervisor().retryOrComplete(now, attempt, outcome);
         }
-        blockKeyIfUnsure(now, request, outcome);
+        blockKeyIfPossiblyRunning(now, request, outcome);
         state.requests().removeIfDone(request);
     }
 
     /** After an end that does not prove that nothing runs, others of the key have to wait. */
-    private void blockKeyIfUnsure(double now, PendingRequest request, AttemptOutcome outcome) {
+    private void blockKeyIfPossiblyRunning(
+            double now, PendingRequest request, AttemptOutcome outcome) {
         if (outcome != AttemptOutcome.OK && !outcome.neverRan()) {
             double until =
                     now
-                            + state.settings().guarantees().keySettleTime()
+                            + state.settings().guarantees().keySettleSeconds()
                             + DecisionDefaults.RETRY_INTERVAL_SECONDS;
-            state.requests().keyedQueues().block(request, until);
+            state.requests().keyedQueues().blockKey(request, until);
         }
     }
 }
--- a/src/main/java/junipercourse/decision/EndpointListUpdater.java
+++ b/src/main/java/junipercourse/decision/EndpointListUpdater.java
@@ -29,18 +29,18 @@
     /** Applies an update that has not failed. */
     void apply(double now, EndpointUpdateKind kind, List<EngineListing> entries) {
         if (kind != EndpointUpdateKind.DELTA) {
-            state.engines().all().forEach(EngineState::unlist);
+            state.engines().all().forEach(EngineState::clearListing);
         }
         entries.forEach(this::apply);
         removeUnlisted();
         state.engines().assignTiers();
-        state.engines().noteListChanged(kind != EndpointUpdateKind.CACHED);
+        state.engines().recordListUpdate(kind != EndpointUpdateKind.CACHED);
         if (state.engines().isKnownToBeEmpty()) {
             state.requests()
                     .waiting()
                     .forEach(request -> state.requests().evaluations().schedule(now, request));
         }
-        state.requests().requestAdmission();
+        state.requests().scheduleAdmission();
     }
 
     private void apply(EngineListing entry) {
@@ -48,14 +48,14 @@
         if (engine.isDraining() && entry.stage() == EngineStage.READY) {
             outliers.reinstate(engine, ReinstatementReason.RELISTED);
         }
-        engine.update(entry, kindOf(entry));
+        engine.applyListing(entry, resolveKind(entry));
         if (entry.startedAt() > 0 && entry.startedAt() > engine.slowStart().startedAt()) {
             engine.resetSlowdown();
             slowStart.start(engine, entry.startedAt());
         }
     }
 
-    private EngineKind kindOf(EngineListing entry) {
+    private EngineKind resolveKind(EngineListing entry) {
         List<EngineKind> kinds = state.settings().engineKinds();
         return entry.kind() < kinds.size() ? kinds.get(entry.kind()) : UNKNOWN_KIND;
     }
@@ -64,7 +64,7 @@
         List<EngineState> removed =
                 state.engines().all().stream()
                         .filter(engine -> !engine.isListed())
-                        .filter(engine -> engine.inFlight().attempts() == 0)
+                        .filter(engine -> engine.inFlight().attemptCount() == 0)
                         .toList();
         removed.forEach(engine -> outliers.reinstate(engine, ReinstatementReason.REMOVED));
         state.engines().removeAll(removed);
--- a/src/main/java/junipercourse/decision/TagsDispatcher.java
+++ b/src/main/java/junipercourse/decision/TagsDispatcher.java
@@ -41,13 +41,13 @@
     private final DispatchState state;
     private final Estimators estimators;
     private final SendConstraints constraints;
-    private final LoadTracking load;
+    private final LoadTracking loadTracking;
     private final OutlierDetector outliers;
     private final RequestLifecycle lifecycle;
-    private final EndpointListUpdater endpoints;
-    private final AttemptEventHandler attempts;
+    private final EndpointListUpdater endpointUpdater;
+    private final AttemptEventHandler attemptEvents;
     private double nextSubscriptionAt = Double.POSITIVE_INFINITY;
-    private double timerAt = Double.POSITIVE_INFINITY;
+    private double nextTimerAt = Double.POSITIVE_INFINITY;
     private long requestCount;
 
     /**
@@ -61,11 +61,11 @@
         state = DispatchState.create(settings, seed, actions);
         estimators = Estimators.create(settings);
         constraints = new SendConstraints(state, estimators);
-        load = LoadTracking.create(state, estimators, constraints.slowStart());
+        loadTracking = LoadTracking.create(state, estimators, constraints.slowStart());
         outliers = new OutlierDetector(state, estimators.speed());
-        lifecycle = RequestLifecycle.create(state, estimators, constraints, load, outliers);
-        endpoints = new EndpointListUpdater(state, outliers, constraints.slowStart());
-        attempts = new AttemptEventHandler(state, load.estimator(), lifecycle);
+        lifecycle = RequestLifecycle.create(state, estimators, constraints, loadTracking, outliers);
+        endpointUpdater = new EndpointListUpdater(state, outliers, constraints.slowStart());
+        attemptEvents = new AttemptEventHandler(state, loadTracking.estimator(), lifecycle);
     }
 
     /**
@@ -73,8 +73,8 @@
      * priority first: clients may open only so many connections, and once all are taken, others
      * cannot connect whatever their priority.
      */
-    public void limitOpenRequests(int most) {
-        state.requests().limitOpenRequests(most);
+    public void limitOpenRequests(int limit) {
+        state.requests().limitOpenRequests(limit);
     }
 
     /** Returns the engines that outlier detection has ejected. */
@@ -84,13 +84,13 @@
 
     @Override
     public void endpointsChanged(double now, EndpointUpdateKind kind, List<EngineListing> entries) {
-        startIfNew(now);
+        startOnFirstEvent(now);
         if (kind == EndpointUpdateKind.FAILED) {
             double backoff =
                     DecisionDefaults.INITIAL_BACKOFF_SECONDS * (1 + state.random().nextDouble());
             nextSubscriptionAt = now + backoff;
         } else {
-            endpoints.apply(now, kind, entries);
+            endpointUpdater.apply(now, kind, entries);
         }
     }
 
@@ -100,7 +100,7 @@
             throw new UnknownQueryClassException(request.queryClass());
         }
         constraints.retryBudget().recordRequest(now);
-        load.prober().recordRequest();
+        loadTracking.prober().recordRequest();
         estimators.traffic().recordRequest(now);
         ClassStatistics statistics = state.classes().get(request.queryClass());
         PendingRequest pending =
@@ -113,7 +113,7 @@
                         state.random().nextDouble());
         statistics.recordArrival(pending.isOverQuota());
         if (pending.hasCostEstimate()) {
-            statistics.logUnitLatency().add(Math.log(pending.unitLatency()));
+            statistics.logUnloadedLatency().add(Math.log(pending.unloadedLatency()));
             statistics.work().add(request.costEstimate());
         }
         state.requests().add(pending);
@@ -121,27 +121,27 @@
     }
 
     @Override
-    public void responseStarted(double now, RequestId id, int attempt, EngineId engine) {
-        attempts.responseStarted(now, id, attempt);
+    public void responseStarted(double now, RequestId id, int attemptNumber, EngineId engine) {
+        attemptEvents.handleResponseStarted(now, id, attemptNumber);
     }
 
     @Override
     public void attemptProgressed(
-            double now, RequestId id, int attempt, ProgressKind kind, double value) {
-        attempts.progressed(now, id, attempt, kind, value);
+            double now, RequestId id, int attemptNumber, ProgressKind kind, double value) {
+        attemptEvents.handleProgress(now, id, attemptNumber, kind, value);
     }
 
     @Override
     public void attemptEnded(double now, AttemptResult result) {
-        attempts.ended(now, result);
+        attemptEvents.handleEnded(now, result);
     }
 
     /**
      * Returns true if the first byte of an attempt may be written now; if not, the attempt must end
      * as {@link AttemptOutcome#NOT_SENT}. Changes nothing.
      */
-    public boolean attemptMayStart(double now, RequestId id, int attempt) {
-        Attempt active = state.requests().findActive(id, attempt);
+    public boolean attemptMayStart(double now, RequestId id, int attemptNumber) {
+        Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
         return active != null && constraints.mayWriteFirstByte(now, active);
     }
 
@@ -155,51 +155,55 @@
 
     @Override
     public void timerFired(double now, long token) {
-        if (now >= timerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
-            timerAt = Double.POSITIVE_INFINITY;
+        if (now >= nextTimerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
+            nextTimerAt = Double.POSITIVE_INFINITY;
         }
     }
 
     @Override
     public void probeCompleted(
-            double now, EngineId id, AttemptOutcome outcome, double duration, float[] loadReport) {
+            double now,
+            EngineId id,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            float[] loadReport) {
         EngineState engine = state.engines().find(id);
         if (engine == null) {
             return;
         }
         engine.externalLoad().setProbeInFlight(false);
-        state.requests().requestAdmission();
+        state.requests().scheduleAdmission();
         switch (outcome) {
-            case OK -> load.estimator().recordReport(now, engine, loadReport, false);
+            case OK -> loadTracking.estimator().recordReport(now, engine, loadReport, false);
             case UNREACHABLE -> outliers.eject(now, engine, EjectionReason.DEAD);
-            case TIMEOUT -> load.estimator().recordFull(now, engine); // full, or it hangs
+            case TIMEOUT -> loadTracking.estimator().recordFull(now, engine); // full, or it hangs
             default -> {}
         }
     }
 
     @Override
-    public void peerMessageReceived(double now, int from, byte[] payload) {
-        if (load.gossip().receive(now, from, payload)) {
-            state.requests().requestAdmission();
+    public void peerMessageReceived(double now, int sender, byte[] payload) {
+        if (loadTracking.gossip().receive(now, sender, payload)) {
+            state.requests().scheduleAdmission();
         }
     }
 
     @Override
     public void decide(double now) {
-        startIfNew(now);
+        startOnFirstEvent(now);
         if (now >= nextSubscriptionAt) {
             nextSubscriptionAt = Double.POSITIVE_INFINITY;
             state.actions().subscribeToEndpoints();
         }
         if (lifecycle.cutoffs().updateIfDue(now)) {
             constraints.retryBudget().expire(now);
-            state.requests().keyedQueues().removeIdle(now);
+            state.requests().keyedQueues().removeIdleKeys(now);
         }
         evaluateDueRequests(now);
-        if (state.requests().takeAdmissionDue()) {
+        if (state.requests().pollAdmissionDue()) {
             lifecycle.queue().admit(now);
         }
-        load.gossip().broadcastIfDue(now);
+        loadTracking.gossip().broadcastIfDue(now);
         scheduleTimer(now);
     }
 
@@ -211,10 +215,10 @@
         }
     }
 
-    private void startIfNew(double now) {
+    private void startOnFirstEvent(double now) {
         if (!estimators.traffic().isStarted()) {
             estimators.traffic().start(now);
-            load.gossip().start(now);
+            loadTracking.gossip().start(now);
             if (state.settings().pollsEndpoints()) {
                 state.actions().subscribeToEndpoints();
             }
@@ -224,13 +228,13 @@
     /** Schedules one timer for what is due next; none while nothing is. */
     private void scheduleTimer(double now) {
         double earliest = now + DecisionDefaults.TIMER_RESOLUTION_SECONDS;
-        double nextAt = Math.min(state.requests().evaluations().nextAt(), nextSubscriptionAt);
+        double nextAt = Math.min(state.requests().evaluations().nextDueAt(), nextSubscriptionAt);
         double due = Math.max(earliest, nextAt);
-        if (load.gossip().isActive()) {
-            due = Math.min(due, Math.max(earliest, load.gossip().nextBroadcastAt()));
+        if (loadTracking.gossip().isActive()) {
+            due = Math.min(due, Math.max(earliest, loadTracking.gossip().nextBroadcastAt()));
         }
-        if (due < timerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
-            timerAt = due;
+        if (due < nextTimerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
+            nextTimerAt = due;
             state.actions().scheduleTimer(due - now, TIMER_TOKEN);
         }
     }
--- a/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
+++ b/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
@@ -49,7 +49,7 @@
     void refresh(double now, PendingRequest request) {
         request.setPriority(priorities.priority(now, request));
         selection.sampler().sample(request);
-        state.requests().requestAdmission();
+        state.requests().scheduleAdmission();
     }
 
     /** Starts the waiting requests for which there is capacity, and sheds those over the bound. */
@@ -60,7 +60,7 @@
         }
         state.requests().sortWaiting();
         Pass pass = new Pass(now);
-        state.requests().removeStarted(pass::tryStart);
+        state.requests().removeIfStarted(pass::tryStart);
         PendingRequest shed = state.requests().nextToShed();
         while (shed != null) {
             completion.complete(shed);
--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -55,7 +55,7 @@
             recordAnswer(now, attempt, result, latency);
         }
         if (!outcome.neverRan() && !attempt.engine().health().isEjected()) {
-            double work = answered ? attempt.request().request().costEstimate() : 0;
+            double work = answered ? attempt.request().query().costEstimate() : 0;
             recordCongestion(now, attempt, work);
         }
         boolean cutOff = attempt.isCancelled() || outcome == AttemptOutcome.TIMEOUT;
@@ -68,7 +68,7 @@
     private void recordWorkload(double now, Attempt attempt) {
         estimators
                 .workload()
-                .add(
+                .addAttempt(
                         now - attempt.sentAt(),
                         attempt.request().queryClass().threads(),
                         attempt.memoryMb(),
@@ -82,15 +82,15 @@
         PendingRequest request = attempt.request();
         ClassStatistics statistics = request.classStatistics();
         double bounded = // a single bad plan among few samples is no tail
-                Math.min(latency, attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO);
+                Math.min(latency, attempt.expectedLatency() * DecisionDefaults.MAX_LATENCY_RATIO);
         statistics.attemptLatency().add(bounded);
         if (request.isRestarting()) {
             statistics.restartLatency().add(bounded);
         }
-        double logSlowdown = Math.log(latency / request.unitLatency());
+        double logSlowdown = Math.log(latency / request.unloadedLatency());
         if (statistics.logSlowdown().isKnown()) {
             double most =
-                    statistics.logSlowdown().value() + Math.log(DecisionDefaults.MAX_SAMPLE_RATIO);
+                    statistics.logSlowdown().value() + Math.log(DecisionDefaults.MAX_LATENCY_RATIO);
             logSlowdown = Math.min(logSlowdown, most);
         }
         statistics.logSlowdown().add(logSlowdown);
@@ -105,7 +105,9 @@
         PendingRequest request = attempt.request();
         LatencyEstimator latencies = estimators.latency();
         double projected =
-                answered ? 0 : Math.min(attempt.projectedLatency(), latencies.cutoffAfter(request));
+                answered
+                        ? 0
+                        : Math.min(attempt.projectedLatency(), latencies.cutoffSeconds(request));
         double multiple =
                 Math.max(latency, projected)
                         / latencies.sizeFactor(request)
@@ -144,7 +146,7 @@
                     attempt.isOverlong()
                             ? 0
                             : (now - attempt.sentAt()) * request.queryClass().threads();
-            estimators.congestion().add(now, attempt.engine().tier(), threadSeconds, work);
+            estimators.congestion().addAttempt(now, attempt.engine().tier(), threadSeconds, work);
         }
     }
 
@@ -157,6 +159,6 @@
         double latency = now - attempt.sentAt();
         return estimators.congestion().slowdownFactor() > DecisionDefaults.CONGESTED_SLOWDOWN
                 && request.hasCostEstimate()
-                && latency > DecisionDefaults.CONGESTED_SLOWDOWN * request.unitLatency();
+                && latency > DecisionDefaults.CONGESTED_SLOWDOWN * request.unloadedLatency();
     }
 }
--- a/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
@@ -101,7 +101,7 @@
     private double superviseActive(double now, Attempt attempt) {
         outliers.checkSilence(now, attempt);
         double age = now - attempt.sentAt();
-        double longest = attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO;
+        double longest = attempt.expectedLatency() * DecisionDefaults.MAX_LATENCY_RATIO;
         if (!attempt.isOverlong() && age > longest) {
             collaborators.feedback().recordOverlong(now, attempt);
         }
@@ -113,7 +113,7 @@
         double nextSupervision = now + DecisionDefaults.SUPERVISION_INTERVAL_SECONDS;
         double cutoffAt =
                 attempt.isOnFrontTier() && !restartDue
-                        ? attempt.sentAt() + latency.cutoffAfter(attempt.request())
+                        ? attempt.sentAt() + latency.cutoffSeconds(attempt.request())
                         : nextSupervision;
         return Math.max(now + pauseAfter(age), Math.min(cutoffAt, nextSupervision));
     }
@@ -157,7 +157,7 @@
         }
         double deduplicatedUntil =
                 firstExecuted(attempt).sentAt()
-                        + request.queryClass().deduplicationWindow()
+                        + request.queryClass().deduplicationWindowSeconds()
                         - DecisionDefaults.RETRY_INTERVAL_SECONDS * 2;
         return !isKeyed(request) || now <= deduplicatedUntil;
     }
@@ -193,7 +193,7 @@
         }
         boolean retry =
                 collaborators.completion().hasTimeForRetry(now, request)
-                        && outcome != AttemptOutcome.MOOT
+                        && outcome != AttemptOutcome.OBSOLETE
                         && isRetryAllowed(now, request)
                         && request.faults().errors() < MAX_ERRORS;
         if (retry) {
--- a/src/main/java/junipercourse/decision/admission/CutoffController.java
+++ b/src/main/java/junipercourse/decision/admission/CutoffController.java
@@ -69,7 +69,7 @@
     }
 
     private double cutoff(ClassStatistics statistics, double multiple) {
-        double deadline = statistics.queryClass().deadline();
+        double deadline = statistics.queryClass().deadlineSeconds();
         return fleetTail.size() < MIN_SAMPLES
                 ? deadline
                 : Math.min(
@@ -107,7 +107,7 @@
      */
     private double shareBeyondCutoff(ClassStatistics statistics, double multiple) {
         double lowest = LatencyEstimator.lowestCutoff(statistics.queryClass());
-        double at = Math.min(multiple, statistics.queryClass().deadline() / lowest);
+        double at = Math.min(multiple, statistics.queryClass().deadlineSeconds() / lowest);
         KaplanMeierEstimator ownTail = statistics.latencyTail();
         double trust = ownTail.size() / (ownTail.size() + FLEET_TAIL_WEIGHT);
         return trust * ownTail.survival(at) + (1 - trust) * fleetTail.survival(at);
@@ -131,6 +131,6 @@
                 projected > 0 && projected - age < latency.expectedLatency(attempt.request());
         return !nearlyDone
                 && Math.max(age, projected * PROJECTION_TRUST)
-                        >= latency.cutoffAfter(attempt.request());
+                        >= latency.cutoffSeconds(attempt.request());
     }
 }
--- a/src/main/java/junipercourse/decision/admission/RequestCompletion.java
+++ b/src/main/java/junipercourse/decision/admission/RequestCompletion.java
@@ -34,7 +34,7 @@
     }
 
     private static boolean isLateAnswerWorthless(double now, PendingRequest request) {
-        double available = request.request().deadlineAt() - request.receivedAt();
+        double available = request.query().deadlineAt() - request.receivedAt();
         return request.isOverQuota()
                 || request.queryClass().lateAnswerWeight() < MIN_LATE_WEIGHT
                 || now - request.receivedAt() > MAX_LATE_WAIT_SHARE * available;
@@ -58,10 +58,10 @@
             PlatformLimits limits = state.settings().limits();
             state.actions()
                     .reject(
-                            request.request().id(),
-                            limits.retryAfterAllowed() ? limits.maxRetryAfter() : 0);
+                            request.query().id(),
+                            limits.retryAfterAllowed() ? limits.maxRetryAfterSeconds() : 0);
         } else {
-            state.actions().fail(request.request().id());
+            state.actions().fail(request.query().id());
         }
         close(request);
     }
@@ -90,6 +90,6 @@
     /** Cancels an attempt. */
     void cancel(Attempt attempt) {
         attempt.markCancelled();
-        state.actions().cancelAttempt(attempt.request().request().id(), attempt.number());
+        state.actions().cancelAttempt(attempt.request().query().id(), attempt.number());
     }
 }
--- a/src/main/java/junipercourse/decision/admission/RequestPriority.java
+++ b/src/main/java/junipercourse/decision/admission/RequestPriority.java
@@ -39,7 +39,7 @@
     }
 
     private static double startedShare(ClassStatistics statistics) {
-        return (statistics.started() + FAIRNESS_PRIOR)
+        return (statistics.startedWithinQuota() + FAIRNESS_PRIOR)
                 / (statistics.arrivalsWithinQuota() + FAIRNESS_PRIOR);
     }
 }
--- a/src/main/java/junipercourse/decision/api/AttemptOutcome.java
+++ b/src/main/java/junipercourse/decision/api/AttemptOutcome.java
@@ -19,7 +19,7 @@
     /**
      * The platform dropped the attempt, since the request had ended or had used up its attempts.
      */
-    MOOT(true),
+    OBSOLETE(true),
     /** The dispatcher wrote none of its bytes; the outcome says nothing about the engine. */
     NOT_SENT(true);
 
--- a/src/main/java/junipercourse/decision/api/AttemptResult.java
+++ b/src/main/java/junipercourse/decision/api/AttemptResult.java
@@ -15,10 +15,10 @@
  */
 public record AttemptResult(
         RequestId id,
-        int attempt,
+        int attemptNumber,
         EngineId engine,
         AttemptOutcome outcome,
-        double duration,
+        double durationSeconds,
         boolean requestCompleted,
         double actualCost,
         double actualMemoryMb,
--- a/src/main/java/junipercourse/decision/api/DecisionModule.java
+++ b/src/main/java/junipercourse/decision/api/DecisionModule.java
@@ -19,10 +19,11 @@
     void requestReceived(double now, QueryRequest request);
 
     /** Reports that a response has begun; the request is bound to this attempt from now on. */
-    void responseStarted(double now, RequestId id, int attempt, EngineId engine);
+    void responseStarted(double now, RequestId id, int attemptNumber, EngineId engine);
 
     /** Reports progress of a running attempt. */
-    void attemptProgressed(double now, RequestId id, int attempt, ProgressKind kind, double value);
+    void attemptProgressed(
+            double now, RequestId id, int attemptNumber, ProgressKind kind, double value);
 
     /** Reports the end of an attempt. */
     void attemptEnded(double now, AttemptResult result);
@@ -38,11 +39,11 @@
             double now,
             EngineId engine,
             AttemptOutcome outcome,
-            double duration,
+            double durationSeconds,
             float[] loadReport);
 
     /** Reports a message from another dispatcher. */
-    void peerMessageReceived(double now, int from, byte[] payload);
+    void peerMessageReceived(double now, int sender, byte[] payload);
 
     /** Makes the module decide, after all events of this moment were reported. */
     void decide(double now);
--- a/src/main/java/junipercourse/decision/api/DecisionSettings.java
+++ b/src/main/java/junipercourse/decision/api/DecisionSettings.java
@@ -21,8 +21,8 @@
  * @param engineCapabilities how engines run queries
  */
 public record DecisionSettings(
-        int dispatchers,
-        int ordinal,
+        int dispatcherCount,
+        int dispatcherIndex,
         int zone,
         boolean pollsEndpoints,
         CapacityRating capacityRating,
@@ -45,8 +45,8 @@
         if (queryClasses.isEmpty()) {
             throw new InvalidSettingsException("classes", "none given");
         }
-        if (dispatchers < 1) {
-            throw new InvalidSettingsException("gateways", Integer.toString(dispatchers));
+        if (dispatcherCount < 1) {
+            throw new InvalidSettingsException("gateways", Integer.toString(dispatcherCount));
         }
         for (QueryClass queryClass : queryClasses) {
             if (!isUsable(queryClass)) {
@@ -57,8 +57,8 @@
     }
 
     private static boolean isUsable(QueryClass queryClass) {
-        return queryClass.deadline() > 0
+        return queryClass.deadlineSeconds() > 0
                 && queryClass.threads() >= 1
-                && queryClass.latencyObjective() >= 0;
+                && queryClass.latencyObjectiveSeconds() >= 0;
     }
 }
--- a/src/main/java/junipercourse/decision/api/DispatcherActions.java
+++ b/src/main/java/junipercourse/decision/api/DispatcherActions.java
@@ -7,17 +7,17 @@
      *
      * @param timeout seconds after which the attempt must be given up; 0 for none
      */
-    void startAttempt(RequestId id, EngineId engine, double timeout);
+    void startAttempt(RequestId id, EngineId engine, double timeoutSeconds);
 
     /** Cancels an attempt; its end is reported all the same. */
-    void cancelAttempt(RequestId id, int attempt);
+    void cancelAttempt(RequestId id, int attemptNumber);
 
     /**
      * Gives the final answer that the request was rejected and can be sent again without harm.
      *
      * @param retryAfter seconds that the client should wait; 0 for no advice
      */
-    void reject(RequestId id, double retryAfter);
+    void reject(RequestId id, double retryAfterSeconds);
 
     /** Gives the final answer that the request failed; it may have had an effect. */
     void fail(RequestId id);
@@ -28,10 +28,10 @@
      * @param priority 0 to 3
      * @param memoryMb memory grant in MB; 0 lets the engine choose
      */
-    void setAttemptTerms(RequestId id, int priority, double memoryMb);
+    void setAttemptParameters(RequestId id, int priority, double memoryMb);
 
     /** Schedules a call of {@link DecisionModule#timerFired} after so many seconds. */
-    void scheduleTimer(double delay, long token);
+    void scheduleTimer(double delaySeconds, long token);
 
     /** Probes an engine for its load. */
     void probeEngine(EngineId engine);
--- a/src/main/java/junipercourse/decision/api/EngineCapabilities.java
+++ b/src/main/java/junipercourse/decision/api/EngineCapabilities.java
@@ -15,5 +15,5 @@
         boolean honorsPriority,
         double maxGrantShare,
         OutOfMemoryPolicy outOfMemoryPolicy,
-        double progressPeriod,
+        double progressPeriodSeconds,
         boolean reportsCost) {}
--- a/src/main/java/junipercourse/decision/api/PlatformLimits.java
+++ b/src/main/java/junipercourse/decision/api/PlatformLimits.java
@@ -18,6 +18,6 @@
         boolean gossipAllowed,
         boolean hedgingAllowed,
         boolean retryAfterAllowed,
-        double maxRetryAfter,
+        double maxRetryAfterSeconds,
         int maxAttempts,
-        double connectTimeout) {}
+        double connectTimeoutSeconds) {}
--- a/src/main/java/junipercourse/decision/api/QueryRequest.java
+++ b/src/main/java/junipercourse/decision/api/QueryRequest.java
@@ -22,4 +22,4 @@
         float tableGroup,
         double costEstimate,
         double memoryEstimateMb,
-        boolean clientRetry) {}
+        boolean isClientRetry) {}
--- a/src/main/java/junipercourse/decision/api/ServiceGuarantees.java
+++ b/src/main/java/junipercourse/decision/api/ServiceGuarantees.java
@@ -16,14 +16,14 @@
  * @param pollInterval time within which the endpoint list must be polled
  */
 public record ServiceGuarantees(
-        double answerGrace,
-        double drainGrace,
+        double answerGraceSeconds,
+        double drainGraceSeconds,
         double slowStartInitialCapacity,
-        double slowStartDuration,
+        double slowStartSeconds,
         double overloadMultiple,
-        double overloadWindow,
-        double keySettleTime,
-        double retryBudgetWindow,
+        double overloadWindowSeconds,
+        double keySettleSeconds,
+        double retryBudgetWindowSeconds,
         double retryBudgetMinimum,
         double retryBudgetRatio,
-        double pollInterval) {}
+        double pollIntervalSeconds) {}
--- a/src/main/java/junipercourse/decision/constraints/RetryBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/RetryBudget.java
@@ -27,13 +27,13 @@
 
     /** Forgets the requests before the window. */
     public void expire(double now) {
-        requests.countAfter(now - guarantees.retryBudgetWindow());
+        requests.countAfter(now - guarantees.retryBudgetWindowSeconds());
     }
 
     /** Returns true if the next attempt of a request is its first or fits the budget. */
     public boolean allows(double now, PendingRequest request) {
-        double window = guarantees.retryBudgetWindow();
-        if (request.sentAttempts() == 0 || window <= 0) {
+        double window = guarantees.retryBudgetWindowSeconds();
+        if (request.sentAttemptCount() == 0 || window <= 0) {
             return true;
         }
         double tolerance = DecisionDefaults.TIMER_RESOLUTION_SECONDS;
--- a/src/main/java/junipercourse/decision/constraints/SendConstraints.java
+++ b/src/main/java/junipercourse/decision/constraints/SendConstraints.java
@@ -81,7 +81,7 @@
     /** Returns true if the platform allows no further attempt of a request. */
     public boolean attemptsExhausted(PendingRequest request) {
         PlatformLimits limits = state.settings().limits();
-        return limits.maxAttempts() > 0 && request.sentAttempts() >= limits.maxAttempts();
+        return limits.maxAttempts() > 0 && request.sentAttemptCount() >= limits.maxAttempts();
     }
 
     private static boolean repeatIsHarmless(
@@ -97,7 +97,7 @@
                     sharesDeduplication(first, engine)
                             && now
                                     < first.sentAt()
-                                            + queryClass.deduplicationWindow()
+                                            + queryClass.deduplicationWindowSeconds()
                                             - DecisionDefaults.ANSWER_LEAD_SECONDS;
             case NOT_IDEMPOTENT -> false;
         };
@@ -120,7 +120,7 @@
 
     /** Rule 5: requests with the same key run one at a time, in order of arrival. */
     public boolean orderingAllows(double now, PendingRequest request) {
-        return state.requests().keyedQueues().isFirst(now, request);
+        return state.requests().keyedQueues().isNextForKey(now, request);
     }
 
     /** Rule 6: the class allows the engine's zone and kind. */
--- a/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
@@ -30,9 +30,9 @@
     /** Returns the share of its capacity that an engine has so many seconds after its start. */
     double capacityShare(double age) {
         double progress =
-                age >= guarantees.slowStartDuration()
+                age >= guarantees.slowStartSeconds()
                         ? 1
-                        : Math.max(0, age / guarantees.slowStartDuration());
+                        : Math.max(0, age / guarantees.slowStartSeconds());
         return guarantees.slowStartInitialCapacity()
                 + (1 - guarantees.slowStartInitialCapacity()) * progress;
     }
@@ -55,9 +55,12 @@
         double usual =
                 Math.min(
                         latency.usualWork(request.classStatistics()),
-                        request.queryClass().latencyObjective() * request.queryClass().threads());
+                        request.queryClass().latencyObjectiveSeconds()
+                                * request.queryClass().threads());
         double bound =
-                workPerSecond(age, engine.cores()) * guarantees.overloadWindow() * MAX_WINDOW_SHARE;
+                workPerSecond(age, engine.cores())
+                        * guarantees.overloadWindowSeconds()
+                        * MAX_WINDOW_SHARE;
         return latency.work(request) <= Math.max(usual, bound);
     }
 
@@ -65,7 +68,7 @@
      * Returns work plus a reserve for chance: few heavy attempts vary more than many light ones.
      */
     double charge(double work, double age, EngineState engine) {
-        double windowWork = workPerSecond(age, engine.cores()) * guarantees.overloadWindow();
+        double windowWork = workPerSecond(age, engine.cores()) * guarantees.overloadWindowSeconds();
         double deviation = DEVIATIONS * (1 - traffic.ownShare()) * Math.sqrt(work / windowWork);
         double share = (Math.sqrt(deviation * deviation + 4) - deviation) / 2;
         return work / (share * share);
--- a/src/main/java/junipercourse/decision/constraints/SlowStartController.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartController.java
@@ -41,8 +41,7 @@
     /** Returns true while an engine is warming up. */
     public boolean isWarmingUp(double now, EngineState engine) {
         return now
-                < engine.slowStart().startedAt()
-                        + state.settings().guarantees().slowStartDuration();
+                < engine.slowStart().startedAt() + state.settings().guarantees().slowStartSeconds();
     }
 
     /** Returns the share of its capacity that an engine has, at most 1. */
--- a/src/main/java/junipercourse/decision/estimation/CongestionEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/CongestionEstimator.java
@@ -14,7 +14,7 @@
     private final double priorFactor;
     private final TierSums front = new TierSums();
     private final TierSums back = new TierSums();
-    private boolean used;
+    private boolean hasSamples;
     private double updatedAt;
 
     /** Thread seconds held and work completed, in one tier. */
@@ -22,9 +22,9 @@
         private double threadSeconds;
         private double work;
 
-        private void decay(double share) {
-            threadSeconds *= share;
-            work *= share;
+        private void decay(double factor) {
+            threadSeconds *= factor;
+            work *= factor;
         }
     }
 
@@ -47,12 +47,12 @@
      * @param threadSeconds threads that it held, times seconds
      * @param completedWork work that was answered, in seconds of one thread
      */
-    public void add(double now, Tier tier, double threadSeconds, double completedWork) {
-        double share = used ? Math.exp(Math.min(0, updatedAt - now) / decaySeconds) : 1;
-        used = true;
+    public void addAttempt(double now, Tier tier, double threadSeconds, double completedWork) {
+        double decayFactor = hasSamples ? Math.exp(Math.min(0, updatedAt - now) / decaySeconds) : 1;
+        hasSamples = true;
         updatedAt = now;
-        front.decay(share);
-        back.decay(share);
+        front.decay(decayFactor);
+        back.decay(decayFactor);
         TierSums sums = sums(tier);
         sums.threadSeconds += threadSeconds;
         sums.work += completedWork;
--- a/src/main/java/junipercourse/decision/estimation/Estimators.java
+++ b/src/main/java/junipercourse/decision/estimation/Estimators.java
@@ -21,7 +21,7 @@
         CongestionEstimator congestion,
         WorkloadMix workload) {
     private static final double CONGESTION_DECAY_SECONDS = 3;
-    private static final double CONGESTION_PRIOR_WORK = 2;
+    private static final double CONGESTION_PRIOR_WORK_SECONDS = 2;
 
     /** Creates estimators without samples. */
     public static Estimators create(DecisionSettings settings) {
@@ -29,8 +29,8 @@
         CongestionEstimator congestion =
                 new CongestionEstimator(
                         CONGESTION_DECAY_SECONDS,
-                        CONGESTION_PRIOR_WORK,
-                        DecisionDefaults.USUAL_SLOWDOWN);
+                        CONGESTION_PRIOR_WORK_SECONDS,
+                        DecisionDefaults.BASELINE_SLOWDOWN);
         return new Estimators(
                 traffic,
                 new QuotaLimiter(settings, traffic),
--- a/src/main/java/junipercourse/decision/estimation/LatencyEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/LatencyEstimator.java
@@ -23,18 +23,18 @@
     public double expectedLatency(PendingRequest request) {
         RunningMean logSlowdown = request.classStatistics().logSlowdown();
         if (logSlowdown.isKnown()) {
-            return request.unitLatency() * Math.exp(logSlowdown.value());
+            return request.unloadedLatency() * Math.exp(logSlowdown.value());
         }
         return request.hasCostEstimate()
-                ? request.unitLatency()
-                : request.queryClass().latencyObjective() * UNKNOWN_LATENCY_SHARE;
+                ? request.unloadedLatency()
+                : request.queryClass().latencyObjectiveSeconds() * UNKNOWN_LATENCY_SHARE;
     }
 
     /** Returns how much longer than usual for its class a request is, at least 1. */
     public double sizeFactor(PendingRequest request) {
-        RunningMean usual = request.classStatistics().logUnitLatency();
+        RunningMean usual = request.classStatistics().logUnloadedLatency();
         return request.hasCostEstimate() && usual.isKnown()
-                ? Math.max(1, request.unitLatency() / Math.exp(usual.value()))
+                ? Math.max(1, request.unloadedLatency() / Math.exp(usual.value()))
                 : 1;
     }
 
@@ -44,7 +44,7 @@
      */
     public double usualWork(ClassStatistics statistics) {
         QueryClass queryClass = statistics.queryClass();
-        double latency = statistics.attemptLatency().valueOr(queryClass.latencyObjective());
+        double latency = statistics.attemptLatency().valueOr(queryClass.latencyObjectiveSeconds());
         return statistics.work().valueOr(latency * queryClass.threads());
     }
 
@@ -54,32 +54,32 @@
      */
     public double work(PendingRequest request) {
         return request.hasCostEstimate()
-                ? request.request().costEstimate()
+                ? request.query().costEstimate()
                 : usualWork(request.classStatistics());
     }
 
     /** Returns the time up to which an answer meets the latency objective. */
-    public double objectiveAt(PendingRequest request) {
+    public double objectiveDeadlineAt(PendingRequest request) {
         QueryClass queryClass = request.queryClass();
         return request.receivedAt()
-                + queryClass.latencyObjective()
+                + queryClass.latencyObjectiveSeconds()
                 + queryClass.latencyObjectiveStretch() * expectedLatency(request) * STRETCH_SHARE;
     }
 
     /** Returns true if an attempt that starts now would miss the latency objective. */
     public boolean missesObjective(double now, PendingRequest request) {
-        return now + expectedLatency(request) > objectiveAt(request);
+        return now + expectedLatency(request) > objectiveDeadlineAt(request);
     }
 
     /** Returns the lowest cutoff of a class: its latency objective, or half of its deadline. */
     public static double lowestCutoff(QueryClass queryClass) {
-        return Math.min(queryClass.latencyObjective(), queryClass.deadline() / 2);
+        return Math.min(queryClass.latencyObjectiveSeconds(), queryClass.deadlineSeconds() / 2);
     }
 
     /** Returns the seconds after which a first attempt of a request is cancelled and restarted. */
-    public double cutoffAfter(PendingRequest request) {
+    public double cutoffSeconds(PendingRequest request) {
         return request.classStatistics().cutoff()
                 * sizeFactor(request)
-                * Math.max(1, congestion.slowdownFactor() / DecisionDefaults.USUAL_SLOWDOWN);
+                * Math.max(1, congestion.slowdownFactor() / DecisionDefaults.BASELINE_SLOWDOWN);
     }
 }
--- a/src/main/java/junipercourse/decision/estimation/QuotaLimiter.java
+++ b/src/main/java/junipercourse/decision/estimation/QuotaLimiter.java
@@ -9,7 +9,8 @@
 public final class QuotaLimiter {
     private static final double BURST_SECONDS = 1.5; // of a tenant's quota may arrive at once
     private static final double SHARE_TOLERANCE = 1.1; // the own share of traffic is an estimate
-    private static final double BURST_DEVIATIONS = 2; // few requests arrive unevenly by chance
+    private static final double BURST_STANDARD_DEVIATIONS =
+            2; // few requests arrive unevenly by chance
 
     private final List<Tenant> tenants;
     private final List<TokenBucket> buckets;
@@ -30,7 +31,7 @@
         double quota = tenants.get(request.tenant()).quotaPerSecond();
         double tokensPerSecond = quota * traffic.ownShare() * SHARE_TOLERANCE;
         double burst = tokensPerSecond * BURST_SECONDS;
-        double capacity = 1 + burst + BURST_DEVIATIONS * Math.sqrt(burst);
+        double capacity = 1 + burst + BURST_STANDARD_DEVIATIONS * Math.sqrt(burst);
         return !buckets.get(request.tenant()).tryTake(now, tokensPerSecond, capacity);
     }
 }
--- a/src/main/java/junipercourse/decision/estimation/SlidingWindowCounter.java
+++ b/src/main/java/junipercourse/decision/estimation/SlidingWindowCounter.java
@@ -12,8 +12,8 @@
     }
 
     /** Returns the number of events after a time and forgets the earlier ones. */
-    public int countAfter(double from) {
-        while (!times.isEmpty() && times.peek() <= from) {
+    public int countAfter(double windowStart) {
+        while (!times.isEmpty() && times.peek() <= windowStart) {
             times.poll();
         }
         return times.size();
--- a/src/main/java/junipercourse/decision/estimation/TokenBucket.java
+++ b/src/main/java/junipercourse/decision/estimation/TokenBucket.java
@@ -2,7 +2,7 @@
 
 /** A token bucket that is full when it is first used. */
 public final class TokenBucket {
-    private boolean used;
+    private boolean initialized;
     private double tokens;
     private double refilledAt;
 
@@ -15,8 +15,10 @@
      */
     public boolean tryTake(double now, double tokensPerSecond, double capacity) {
         tokens =
-                used ? Math.min(capacity, tokens + tokensPerSecond * (now - refilledAt)) : capacity;
-        used = true;
+                initialized
+                        ? Math.min(capacity, tokens + tokensPerSecond * (now - refilledAt))
+                        : capacity;
+        initialized = true;
         refilledAt = now;
         boolean available = tokens >= 1;
         tokens -= available ? 1 : 0;
--- a/src/main/java/junipercourse/decision/estimation/TrafficShareEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/TrafficShareEstimator.java
@@ -10,7 +10,7 @@
             4; // the share is at least a fourth of an even one
     private static final double INITIAL_AVERAGING_SECONDS = 2;
 
-    private final int dispatchers;
+    private final int dispatcherCount;
     private final double totalQuota;
     private double requestsPerSecond;
     private double updatedAt;
@@ -19,9 +19,9 @@
 
     /** Creates an estimator that assumes an even share. */
     public TrafficShareEstimator(DecisionSettings settings) {
-        dispatchers = settings.dispatchers();
+        dispatcherCount = settings.dispatcherCount();
         totalQuota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        requestsPerSecond = totalQuota / dispatchers;
+        requestsPerSecond = totalQuota / dispatcherCount;
     }
 
     /** Notes the time of the module's first event. */
@@ -38,14 +38,14 @@
 
     /** Counts a request. */
     public void recordRequest(double now) {
-        double sinceLast = now - updatedAt;
+        double secondsSinceLast = now - updatedAt;
         updatedAt = now;
         double averagingSeconds =
                 Math.min(
                         DecisionDefaults.TRAFFIC_AVERAGING_SECONDS,
                         INITIAL_AVERAGING_SECONDS + now - startedAt);
         double weight = 1 / averagingSeconds;
-        requestsPerSecond += weight * (1 - sinceLast * requestsPerSecond);
+        requestsPerSecond += weight * (1 - secondsSinceLast * requestsPerSecond);
     }
 
     /** Returns the requests a second that arrive here. */
@@ -55,10 +55,11 @@
 
     /** Returns this dispatcher's share of all traffic, above 0 and at most 1. */
     public double ownShare() {
-        double even = 1.0 / dispatchers;
+        double evenShare = 1.0 / dispatcherCount;
         return totalQuota > 0
-                ? Math.max(even / EVEN_SHARE_DIVISOR, Math.min(1, requestsPerSecond / totalQuota))
-                : even;
+                ? Math.max(
+                        evenShare / EVEN_SHARE_DIVISOR, Math.min(1, requestsPerSecond / totalQuota))
+                : evenShare;
     }
 
     /** Returns the seconds over which traffic was counted, from 1 to the averaging time. */
--- a/src/main/java/junipercourse/decision/estimation/WorkloadMix.java
+++ b/src/main/java/junipercourse/decision/estimation/WorkloadMix.java
@@ -14,7 +14,7 @@
      *
      * @param weight weight of the new sample
      */
-    public void add(double seconds, int threads, double memoryMb, double weight) {
+    public void addAttempt(double seconds, int threads, double memoryMb, double weight) {
         querySeconds += seconds - weight * querySeconds;
         threadSeconds += seconds * threads - weight * threadSeconds;
         mbSeconds += seconds * memoryMb - weight * mbSeconds;
--- a/src/main/java/junipercourse/decision/health/OutlierDetector.java
+++ b/src/main/java/junipercourse/decision/health/OutlierDetector.java
@@ -46,7 +46,7 @@
         if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= patience) {
             return;
         }
-        int silentAttempts = health.addSilent(attempt);
+        int silentAttempts = health.addSilentAttempt(attempt);
         if (silentAttempts >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
             health.setSilentSince(now);
             eject(now, engine, EjectionReason.SILENT);
@@ -68,7 +68,7 @@
      */
     public boolean recordReset(double now, EngineState engine) {
         int resets = engine.health().addReset();
-        return now - engine.health().answeredAt() > ALIVE_SECONDS
+        return now - engine.health().lastAnswerAt() > ALIVE_SECONDS
                 || resets >= MAX_CONSECUTIVE_RESETS;
     }
 
@@ -81,7 +81,8 @@
         double backoff =
                 health.isEjected()
                         ? Math.min(
-                                DecisionDefaults.MAX_BACKOFF_SECONDS, health.ejectionBackoff() * 2)
+                                DecisionDefaults.MAX_BACKOFF_SECONDS,
+                                health.ejectionBackoffSeconds() * 2)
                         : DecisionDefaults.INITIAL_BACKOFF_SECONDS;
         health.scheduleProbation(now, backoff);
         double maxEjected = Math.max(1, state.engines().readyCount() * MAX_EJECTED_SHARE);
--- a/src/main/java/junipercourse/decision/load/FleetCapacity.java
+++ b/src/main/java/junipercourse/decision/load/AggregateCapacity.java
@@ -5,7 +5,7 @@
 import junipercourse.decision.state.EngineState;
 
 /** This dispatcher's threads in flight, and the cores that are warm, at all ready engines. */
-public final class FleetCapacity {
+public final class AggregateCapacity {
     private double ownThreads;
     private double warmCores;
 
--- a/src/main/java/junipercourse/decision/load/LoadEstimator.java
+++ b/src/main/java/junipercourse/decision/load/LoadEstimator.java
@@ -20,7 +20,7 @@
     private final Estimators estimators;
     private final SlowStartController slowStart;
     private final PeerLoadGossip gossip;
-    private final FleetCapacity capacity;
+    private final AggregateCapacity capacity;
     private double usualThreadsPerCore = INITIAL_USUAL_LOAD;
 
     /** Creates an estimator without reports. */
@@ -29,7 +29,7 @@
             Estimators estimators,
             SlowStartController slowStart,
             PeerLoadGossip gossip,
-            FleetCapacity capacity) {
+            AggregateCapacity capacity) {
         this.state = state;
         this.estimators = estimators;
         this.slowStart = slowStart;
@@ -67,11 +67,11 @@
                             engine.inFlight().threads()
                                     * (1 / estimators.traffic().ownShare() - 1));
         }
-        double trust = reportTrust(now, external);
-        return trust * external.threads() + (1 - trust) * usual;
+        double weight = reportWeight(now, external);
+        return weight * external.reportedThreads() + (1 - weight) * usual;
     }
 
-    private static double reportTrust(double now, ExternalLoad external) {
+    private static double reportWeight(double now, ExternalLoad external) {
         return Math.exp((external.reportedAt() - now) / DecisionDefaults.LOAD_REPORT_DECAY_SECONDS);
     }
 
@@ -84,10 +84,12 @@
 
     private void recordExternalThreads(double now, EngineState engine, double threads) {
         ExternalLoad external = engine.externalLoad();
-        double trust = PREVIOUS_REPORT_WEIGHT * reportTrust(now, external);
-        external.report(now, trust * external.threads() + (1 - trust) * Math.max(0, threads));
+        double weight = PREVIOUS_REPORT_WEIGHT * reportWeight(now, external);
+        external.recordReport(
+                now, weight * external.reportedThreads() + (1 - weight) * Math.max(0, threads));
         usualThreadsPerCore +=
-                USUAL_LOAD_WEIGHT * (external.threads() / engine.cores() - usualThreadsPerCore);
+                USUAL_LOAD_WEIGHT
+                        * (external.reportedThreads() / engine.cores() - usualThreadsPerCore);
     }
 
     /**
@@ -101,7 +103,7 @@
     public void recordReport(
             double now, EngineState engine, float[] report, boolean slowedByCongestion) {
         double threads = Double.NEGATIVE_INFINITY;
-        boolean known = false;
+        boolean hasEstimate = false;
         List<LoadMetric> metrics = state.settings().loadMetrics();
         boolean reportsInFlight = metrics.contains(LoadMetric.IN_FLIGHT);
         for (int index = 0; index < Math.min(report.length, metrics.size()); index++) {
@@ -111,11 +113,11 @@
                         externalThreads(engine, metric, report[index], slowedByCongestion);
                 if (!Double.isNaN(estimate)) {
                     threads = Math.max(threads, estimate);
-                    known = true;
+                    hasEstimate = true;
                 }
             }
         }
-        if (known) {
+        if (hasEstimate) {
             recordExternalThreads(now, engine, threads);
         }
     }
@@ -131,25 +133,25 @@
             EngineState engine, LoadMetric metric, float value, boolean slowedByCongestion) {
         return switch (metric) {
             case IN_FLIGHT ->
-                    (value - engine.inFlight().attempts())
+                    (value - engine.inFlight().attemptCount())
                             * estimators.workload().threadsPerQuery();
-            case BUSY -> threadsByBusyCores(engine, value, slowedByCongestion);
+            case BUSY -> externalThreadsFromBusyCores(engine, value, slowedByCongestion);
             default ->
                     value * DecisionDefaults.MAX_THREADS_PER_CORE * engine.cores()
                             - engine.inFlight().threads();
         };
     }
 
-    private double threadsByBusyCores(
+    private double externalThreadsFromBusyCores(
             EngineState engine, double busyShare, boolean slowedByCongestion) {
         double threads = busyShare * engine.cores() - engine.inFlight().threads();
         return slowedByCongestion || busyShare >= FULLY_BUSY_SHARE
-                ? Math.max(threads, averageThreadsPerCore() * engine.cores())
+                ? Math.max(threads, averageExternalThreadsPerCore() * engine.cores())
                 : threads;
     }
 
     /** Threads per core of others, if each has as many as we do for its share of the traffic. */
-    private double averageThreadsPerCore() {
+    private double averageExternalThreadsPerCore() {
         return (1 / estimators.traffic().ownShare() - 1)
                 * capacity.ownThreads()
                 / Math.max(1, state.engines().totalCores());
--- a/src/main/java/junipercourse/decision/load/LoadProber.java
+++ b/src/main/java/junipercourse/decision/load/LoadProber.java
@@ -15,7 +15,7 @@
 
     private final DispatchState state;
     private final PeerLoadGossip gossip;
-    private double budget;
+    private double probeBudget;
 
     /** Creates a prober without budget. */
     public LoadProber(DispatchState state, PeerLoadGossip gossip) {
@@ -25,7 +25,7 @@
 
     /** Adds the probes that a new request pays for. */
     public void recordRequest() {
-        budget = Math.min(budget + PROBES_PER_REQUEST, MAX_CONCURRENT_PROBES);
+        probeBudget = Math.min(probeBudget + PROBES_PER_REQUEST, MAX_CONCURRENT_PROBES);
     }
 
     /** Probes the candidates of a request whose reports are old; the request waits for them. */
@@ -35,8 +35,8 @@
         }
         List<EngineState> stale = new ArrayList<>(request.candidateEngines());
         stale.removeIf(engine -> !needsProbe(now, engine));
-        for (EngineState engine : stale.subList(0, Math.min(stale.size(), (int) budget))) {
-            budget--;
+        for (EngineState engine : stale.subList(0, Math.min(stale.size(), (int) probeBudget))) {
+            probeBudget--;
             engine.externalLoad().setProbeInFlight(true);
             state.actions().probeEngine(engine.id());
             request.awaitReports(now + PROBE_WAIT_SECONDS);
@@ -46,8 +46,9 @@
 
     private static boolean needsProbe(double now, EngineState engine) {
         boolean reportIsFresh = now - engine.externalLoad().reportedAt() < FRESH_REPORT_SECONDS;
-        boolean onBackoff = engine.health().isEjected() && now < engine.health().nextProbationAt();
-        return !engine.externalLoad().isProbeInFlight() && !reportIsFresh && !onBackoff;
+        boolean isInBackoff =
+                engine.health().isEjected() && now < engine.health().nextProbationAt();
+        return !engine.externalLoad().isProbeInFlight() && !reportIsFresh && !isInBackoff;
     }
 
     /** Returns true while a request waits for the reports of its candidates. */
--- a/src/main/java/junipercourse/decision/load/LoadTracking.java
+++ b/src/main/java/junipercourse/decision/load/LoadTracking.java
@@ -13,13 +13,16 @@
  * @param prober probes for load
  */
 public record LoadTracking(
-        PeerLoadGossip gossip, FleetCapacity capacity, LoadEstimator estimator, LoadProber prober) {
+        PeerLoadGossip gossip,
+        AggregateCapacity capacity,
+        LoadEstimator estimator,
+        LoadProber prober) {
 
     /** Creates the parts of one module. */
     public static LoadTracking create(
             DispatchState state, Estimators estimators, SlowStartController slowStart) {
         PeerLoadGossip gossip = new PeerLoadGossip(state, estimators.traffic());
-        FleetCapacity capacity = new FleetCapacity();
+        AggregateCapacity capacity = new AggregateCapacity();
         return new LoadTracking(
                 gossip,
                 capacity,
--- a/src/main/java/junipercourse/decision/load/PeerLoadCodec.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadCodec.java
@@ -30,31 +30,31 @@
     static byte[] encode(Collection<EngineState> engines) {
         List<EngineState> busiest =
                 engines.stream()
-                        .filter(engine -> engine.inFlight().attempts() != 0)
+                        .filter(engine -> engine.inFlight().attemptCount() != 0)
                         .sorted(Comparator.comparingDouble(engine -> -engine.inFlight().threads()))
                         .limit(MAX_ENGINES)
                         .toList();
-        ByteBuffer out = ByteBuffer.allocate(busiest.size() * Long.BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(busiest.size() * Long.BYTES);
         for (EngineState engine : busiest) {
-            out.putInt((int) engine.id().value());
-            out.putShort(steps(engine.inFlight().threads() / THREAD_STEP));
-            out.putShort(steps(engine.inFlight().memoryMb() / MEMORY_STEP_MB));
+            buffer.putInt((int) engine.id().value());
+            buffer.putShort(toSteps(engine.inFlight().threads() / THREAD_STEP));
+            buffer.putShort(toSteps(engine.inFlight().memoryMb() / MEMORY_STEP_MB));
         }
-        return out.array();
+        return buffer.array();
     }
 
-    private static short steps(double value) {
+    private static short toSteps(double value) {
         return (short) Math.min(MAX_STEPS, Math.round(value));
     }
 
     /** Decodes a message; unknown engines and incomplete entries are skipped. */
     static Map<EngineState, PeerLoad> decode(byte[] payload, EngineRegistry engines) {
         Map<EngineState, PeerLoad> loads = new LinkedHashMap<>();
-        ByteBuffer in = ByteBuffer.wrap(payload);
-        while (in.remaining() >= Long.BYTES && loads.size() < MAX_ENGINES) {
-            EngineState engine = engines.find(new EngineId(in.getInt() & UNSIGNED_INT_MASK));
-            double threads = (in.getShort() & UNSIGNED_SHORT_MASK) * THREAD_STEP;
-            double memoryMb = (in.getShort() & UNSIGNED_SHORT_MASK) * MEMORY_STEP_MB;
+        ByteBuffer buffer = ByteBuffer.wrap(payload);
+        while (buffer.remaining() >= Long.BYTES && loads.size() < MAX_ENGINES) {
+            EngineState engine = engines.find(new EngineId(buffer.getInt() & UNSIGNED_INT_MASK));
+            double threads = (buffer.getShort() & UNSIGNED_SHORT_MASK) * THREAD_STEP;
+            double memoryMb = (buffer.getShort() & UNSIGNED_SHORT_MASK) * MEMORY_STEP_MB;
             if (engine != null) {
                 loads.put(engine, new PeerLoad(threads, memoryMb));
             }
--- a/src/main/java/junipercourse/decision/load/PeerLoadGossip.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadGossip.java
@@ -31,16 +31,16 @@
     public boolean isActive() {
         DecisionSettings settings = state.settings();
         return settings.limits().gossipAllowed()
-                && settings.dispatchers() > 1
-                && interval() <= REPORT_LIFETIME_SECONDS;
+                && settings.dispatcherCount() > 1
+                && broadcastIntervalSeconds() <= REPORT_LIFETIME_SECONDS;
     }
 
-    private double interval() {
+    private double broadcastIntervalSeconds() {
         double messageShare =
                 Math.min(1, state.engines().readyCount() / (double) PeerLoadCodec.MAX_ENGINES);
         double messagesPerSecond =
                 MAX_MESSAGES_PER_REQUEST * Math.max(traffic.requestsPerSecond(), MIN_REQUEST_RATE);
-        int peerCount = state.settings().dispatchers() - 1;
+        int peerCount = state.settings().dispatcherCount() - 1;
         return Math.max(MIN_INTERVAL_SECONDS, peerCount * messageShare / messagesPerSecond);
     }
 
@@ -49,7 +49,7 @@
         if (!isActive() || now < nextBroadcastAt) {
             return;
         }
-        nextBroadcastAt = now + interval();
+        nextBroadcastAt = now + broadcastIntervalSeconds();
         state.actions().broadcastToPeers(PeerLoadCodec.encode(state.engines().all()));
     }
 
@@ -59,12 +59,14 @@
     }
 
     /** Takes over a peer's load; returns false if the sender is not a peer. */
-    public boolean receive(double now, int from, byte[] payload) {
+    public boolean receive(double now, int sender, byte[] payload) {
         DecisionSettings settings = state.settings();
-        if (from < 0 || from >= settings.dispatchers() || from == settings.ordinal()) {
+        if (sender < 0
+                || sender >= settings.dispatcherCount()
+                || sender == settings.dispatcherIndex()) {
             return false;
         }
-        peers.put(from, now, PeerLoadCodec.decode(payload, state.engines()));
+        peers.put(sender, now, PeerLoadCodec.decode(payload, state.engines()));
         return true;
     }
 
--- a/src/main/java/junipercourse/decision/load/PeerLoadTable.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadTable.java
@@ -21,11 +21,11 @@
     }
 
     /** Removes the reports that were received before a time. */
-    void expire(double before) {
+    void expire(double receivedBefore) {
         reports.values().stream()
-                .filter(report -> report.receivedAt < before)
+                .filter(report -> report.receivedAt < receivedBefore)
                 .forEach(report -> addToEngines(report, -1));
-        reports.values().removeIf(report -> report.receivedAt < before);
+        reports.values().removeIf(report -> report.receivedAt < receivedBefore);
     }
 
     /** Returns the threads in flight at all engines. */
--- a/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
+++ b/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
@@ -5,7 +5,7 @@
 import junipercourse.decision.api.QueryClass;
 import junipercourse.decision.constraints.SendConstraints;
 import junipercourse.decision.estimation.LatencyEstimator;
-import junipercourse.decision.load.FleetCapacity;
+import junipercourse.decision.load.AggregateCapacity;
 import junipercourse.decision.state.Attempt;
 import junipercourse.decision.state.DecisionDefaults;
 import junipercourse.decision.state.DispatchState;
@@ -24,7 +24,7 @@
     private final LatencyEstimator latency;
     private final SendConstraints constraints;
     private final MemoryGrants grants;
-    private final FleetCapacity capacity;
+    private final AggregateCapacity capacity;
     private final double shortestObjective;
 
     /** Creates a launcher. */
@@ -33,7 +33,7 @@
             LatencyEstimator latency,
             SendConstraints constraints,
             MemoryGrants grants,
-            FleetCapacity capacity) {
+            AggregateCapacity capacity) {
         this.state = state;
         this.latency = latency;
         this.constraints = constraints;
@@ -41,7 +41,7 @@
         this.capacity = capacity;
         this.shortestObjective =
                 state.settings().queryClasses().stream()
-                        .mapToDouble(QueryClass::latencyObjective)
+                        .mapToDouble(QueryClass::latencyObjectiveSeconds)
                         .min()
                         .orElse(0);
     }
@@ -50,7 +50,7 @@
     public void launch(double now, PendingRequest request, EngineState engine) {
         double grantMb = grants.grantMb(request);
         setTerms(request, grantMb);
-        state.actions().startAttempt(request.request().id(), engine.id(), timeout(request, engine));
+        state.actions().startAttempt(request.query().id(), engine.id(), timeout(request, engine));
         double charge = constraints.slowStart().charge(now, request, engine);
         Attempt attempt =
                 new Attempt(
@@ -60,21 +60,21 @@
         double firstEvaluation =
                 Math.min(
                         DecisionDefaults.SUPERVISION_INTERVAL_SECONDS,
-                        latency.cutoffAfter(request));
+                        latency.cutoffSeconds(request));
         state.requests().evaluations().schedule(now + firstEvaluation, request);
     }
 
     private void recordLaunch(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
         EngineState engine = attempt.engine();
-        if (request.sentAttempts() > 1) {
+        if (request.sentAttemptCount() > 1) {
             constraints.retryBudget().recordRetry(now);
         }
         if (attempt.number() == 0 && !request.isOverQuota()) {
             request.classStatistics().recordStart();
         }
         if (engine.health().isEjected()) {
-            engine.health().scheduleProbation(now, engine.health().ejectionBackoff());
+            engine.health().scheduleProbation(now, engine.health().ejectionBackoffSeconds());
         } else {
             capacity.addThreads(request.queryClass().threads());
         }
@@ -84,8 +84,8 @@
         EngineCapabilities capabilities = state.settings().engineCapabilities();
         if (capabilities.honorsMemoryGrants() && grantMb > 0 || capabilities.honorsPriority()) {
             state.actions()
-                    .setAttemptTerms(
-                            request.request().id(),
+                    .setAttemptParameters(
+                            request.query().id(),
                             priority(request),
                             capabilities.honorsMemoryGrants() ? grantMb : 0);
         }
@@ -97,7 +97,7 @@
                 !state.settings().limits().cancellationAllowed()
                         && engine.tier() == Tier.FRONT
                         && request.queryClass().idempotency() != Idempotency.NOT_IDEMPOTENT;
-        return endsAtCutoff ? latency.cutoffAfter(request) : 0;
+        return endsAtCutoff ? latency.cutoffSeconds(request) : 0;
     }
 
     /** Short queries first: the class with the shortest latency objective, then restarts. */
@@ -105,7 +105,7 @@
         if (request.isOverQuota()) {
             return OVER_QUOTA_PRIORITY;
         }
-        if (request.queryClass().latencyObjective() <= shortestObjective) {
+        if (request.queryClass().latencyObjectiveSeconds() <= shortestObjective) {
             return SHORT_QUERY_PRIORITY;
         }
         return request.isRestarting() ? RESTART_PRIORITY : USUAL_PRIORITY;
--- a/src/main/java/junipercourse/decision/selection/CandidateSampler.java
+++ b/src/main/java/junipercourse/decision/selection/CandidateSampler.java
@@ -52,7 +52,7 @@
 
     private void draw(PendingRequest request, Tier tier, int maxCandidates) {
         List<EngineState> candidates = request.candidateEngines();
-        List<EngineState> engines = state.engines().tier(tier);
+        List<EngineState> engines = state.engines().readyEngines(tier);
         for (int index = 0; index < engines.size() && candidates.size() < maxCandidates; index++) {
             int drawn = index + state.random().nextInt(engines.size() - index);
             state.engines().swap(tier, index, drawn);
@@ -71,7 +71,7 @@
     List<EngineState> affinityEngines(PendingRequest request) {
         return hasLoadingClasses
                 ? List.of()
-                : state.engines().preferred(request.tableGroup(), FRONT_AFFINITY_ENGINES, 1);
+                : state.engines().preferredEngines(request.tableGroup(), FRONT_AFFINITY_ENGINES, 1);
     }
 
     /**
@@ -86,7 +86,7 @@
         }
         int rank =
                 state.engines()
-                        .preferred(request.tableGroup(), LOAD_AFFINITY_ENGINES, 0)
+                        .preferredEngines(request.tableGroup(), LOAD_AFFINITY_ENGINES, 0)
                         .indexOf(engine);
         double weight =
                 rank < 0 ? 0 : LOAD_AFFINITY_WEIGHT * (1 - (double) rank / LOAD_AFFINITY_ENGINES);
--- a/src/main/java/junipercourse/decision/selection/EngineCapacity.java
+++ b/src/main/java/junipercourse/decision/selection/EngineCapacity.java
@@ -69,7 +69,7 @@
                         : externalThreads * estimators.workload().mbPerThread();
         double granted = engine.inFlight().memoryMb() + externalMb + grants.grantMb(request);
         return engine.memoryMb() <= 0
-                || engine.inFlight().attempts() == 0
+                || engine.inFlight().attemptCount() == 0
                 || granted <= engine.memoryMb() * MAX_MEMORY_SHARE;
     }
 }
--- a/src/main/java/junipercourse/decision/selection/EngineSelector.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelector.java
@@ -78,7 +78,7 @@
                 congestion.slowdownFactor(Tier.FRONT)
                         > DecisionDefaults.CONGESTED_SLOWDOWN
                                 * congestion.slowdownFactor(Tier.BACK);
-        return state.settings().dispatchers() == 1 || gossip.isActive() || frontCongested;
+        return state.settings().dispatcherCount() == 1 || gossip.isActive() || frontCongested;
     }
 
     private void consider(
@@ -143,7 +143,7 @@
         }
         EngineHealth health = engine.health();
         return !health.isEjected()
-                || engine.inFlight().attempts() == 0
+                || engine.inFlight().attemptCount() == 0
                         && now >= health.nextProbationAt() + probationDelay(request);
     }
 
--- a/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
+++ b/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
@@ -1,7 +1,7 @@
 package junipercourse.decision.selection;
 
 import junipercourse.decision.estimation.Estimators;
-import junipercourse.decision.load.FleetCapacity;
+import junipercourse.decision.load.AggregateCapacity;
 import junipercourse.decision.load.LoadEstimator;
 import junipercourse.decision.load.PeerLoadGossip;
 import junipercourse.decision.state.DecisionDefaults;
@@ -22,14 +22,14 @@
     private final Estimators estimators;
     private final LoadEstimator load;
     private final PeerLoadGossip gossip;
-    private final FleetCapacity capacity;
+    private final AggregateCapacity capacity;
 
     /** Creates a limiter. */
     public FairShareLimiter(
             Estimators estimators,
             LoadEstimator load,
             PeerLoadGossip gossip,
-            FleetCapacity capacity) {
+            AggregateCapacity capacity) {
         this.estimators = estimators;
         this.load = load;
         this.gossip = gossip;
--- a/src/main/java/junipercourse/decision/selection/MemoryGrants.java
+++ b/src/main/java/junipercourse/decision/selection/MemoryGrants.java
@@ -26,7 +26,7 @@
      */
     public double grantMb(PendingRequest request) {
         EngineState any = request.candidateEngines().get(0);
-        double estimate = request.request().memoryEstimateMb();
+        double estimate = request.query().memoryEstimateMb();
         double base = estimate > 0 ? estimate : fairShareMb(request, any);
         double most =
                 any.memoryMb() > 0
@@ -38,7 +38,7 @@
     private double fairShareMb(PendingRequest request, EngineState engine) {
         boolean learns =
                 capabilities.honorsMemoryGrants()
-                        && (capabilities.progressPeriod() > 0 || capabilities.reportsCost());
+                        && (capabilities.progressPeriodSeconds() > 0 || capabilities.reportsCost());
         return learns
                 ? engine.memoryMb()
                         * request.queryClass().threads()
@@ -49,7 +49,7 @@
     /** Learns from a complete answer whether the grant was large enough. */
     public void recordAnswer(Attempt attempt, AttemptResult result) {
         boolean costReported = capabilities.reportsCost() && result.actualMemoryMb() > 0;
-        if (attempt.memoryMb() > 0 && (costReported || capabilities.progressPeriod() > 0)) {
+        if (attempt.memoryMb() > 0 && (costReported || capabilities.progressPeriodSeconds() > 0)) {
             boolean tooSmall =
                     costReported
                             ? result.actualMemoryMb() > attempt.memoryMb()
--- a/src/main/java/junipercourse/decision/state/Attempt.java
+++ b/src/main/java/junipercourse/decision/state/Attempt.java
@@ -50,7 +50,7 @@
     /** Reserves its capacity at the engine and makes it the active attempt of its request. */
     public void begin() {
         request.begin(this);
-        if (engine.inFlight().attempts() == 0) {
+        if (engine.inFlight().attemptCount() == 0) {
             engine.health().restartActivityClock(sentAt);
         }
         engine.slowStart().charge(slowStartCharge);
@@ -63,7 +63,7 @@
      */
     public void end(AttemptOutcome outcome) {
         engine.inFlight().release(this);
-        engine.health().forget(this);
+        engine.health().removeSilentAttempt(this);
         boolean unwritten =
                 outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.UNREACHABLE;
         if (unwritten && !engineRestarted()) {
@@ -155,6 +155,6 @@
     /** Notes that it has run for far longer than expected. */
     public void markOverlong() {
         overlong = true;
-        engine.inFlight().addOverlong(request.queryClass().threads());
+        engine.inFlight().addOverlongThreads(request.queryClass().threads());
     }
 }
--- a/src/main/java/junipercourse/decision/state/ClassStatistics.java
+++ b/src/main/java/junipercourse/decision/state/ClassStatistics.java
@@ -12,20 +12,20 @@
     private final QueryClass queryClass;
     private final KaplanMeierEstimator latencyTail = new KaplanMeierEstimator(LATENCY_SAMPLES);
     private final RunningMean logSlowdown = new RunningMean();
-    private final RunningMean logUnitLatency = new RunningMean();
+    private final RunningMean logUnloadedLatency = new RunningMean();
     private final RunningMean attemptLatency = new RunningMean();
     private final RunningMean restartLatency = new RunningMean();
     private final RunningMean work = new RunningMean();
     private double cutoff;
     private double arrivals;
     private double arrivalsWithinQuota;
-    private double started;
+    private double startedWithinQuota;
     private double logGrantRatio = Math.log(INITIAL_GRANT_RATIO);
 
     /** Creates the statistics of a class without traffic; its cutoff is its deadline. */
     public ClassStatistics(QueryClass queryClass) {
         this.queryClass = queryClass;
-        this.cutoff = queryClass.deadline();
+        this.cutoff = queryClass.deadlineSeconds();
     }
 
     /** Returns the class. */
@@ -38,14 +38,14 @@
         return latencyTail;
     }
 
-    /** Returns the logarithm of latency over {@link PendingRequest#unitLatency()}. */
+    /** Returns the logarithm of latency over {@link PendingRequest#unloadedLatency()}. */
     public RunningMean logSlowdown() {
         return logSlowdown;
     }
 
-    /** Returns the logarithm of {@link PendingRequest#unitLatency()}. */
-    public RunningMean logUnitLatency() {
-        return logUnitLatency;
+    /** Returns the logarithm of {@link PendingRequest#unloadedLatency()}. */
+    public RunningMean logUnloadedLatency() {
+        return logUnloadedLatency;
     }
 
     /** Returns the latency of attempts in seconds. */
@@ -84,8 +84,8 @@
     }
 
     /** Returns how many of {@link #arrivalsWithinQuota()} have started. */
-    public double started() {
-        return started;
+    public double startedWithinQuota() {
+        return startedWithinQuota;
     }
 
     /** Returns the logarithm of the memory grant over the estimate. */
@@ -101,7 +101,7 @@
 
     /** Counts the first attempt of a request within quota. */
     public void recordStart() {
-        started += 1;
+        startedWithinQuota += 1;
     }
 
     /** Changes the logarithm of the memory grant over the estimate. */
@@ -110,9 +110,9 @@
     }
 
     /** Reduces the counts of earlier traffic to a share of what they were. */
-    public void decay(double share) {
-        arrivals *= share;
-        arrivalsWithinQuota *= share;
-        started *= share;
+    public void decay(double factor) {
+        arrivals *= factor;
+        arrivalsWithinQuota *= factor;
+        startedWithinQuota *= factor;
     }
 }
--- a/src/main/java/junipercourse/decision/state/DecisionDefaults.java
+++ b/src/main/java/junipercourse/decision/state/DecisionDefaults.java
@@ -30,7 +30,7 @@
     public static final double SAMPLE_WEIGHT = 0.08;
 
     /** Largest ratio of latency to expectation that one sample may show: it may be a bad plan. */
-    public static final double MAX_SAMPLE_RATIO = 4;
+    public static final double MAX_LATENCY_RATIO = 4;
 
     /** Seconds over which the usual traffic is averaged. */
     public static final double TRAFFIC_AVERAGING_SECONDS = 30;
@@ -42,7 +42,7 @@
     public static final double CONGESTED_SLOWDOWN = 1.7;
 
     /** Slowdown factor that is assumed before any attempt has ended. */
-    public static final double USUAL_SLOWDOWN = 1.5;
+    public static final double BASELINE_SLOWDOWN = 1.5;
 
     /** Seconds before the first probation of an ejected engine, and between list polls. */
     public static final double INITIAL_BACKOFF_SECONDS = 1.0;
--- a/src/main/java/junipercourse/decision/state/EngineHealth.java
+++ b/src/main/java/junipercourse/decision/state/EngineHealth.java
@@ -10,14 +10,14 @@
 public final class EngineHealth {
     private final Set<Attempt> silentAttempts = new LinkedHashSet<>();
     private double lastActivityAt;
-    private double answeredAt = Double.NEGATIVE_INFINITY;
+    private double lastAnswerAt = Double.NEGATIVE_INFINITY;
     private double silentSince = Double.NEGATIVE_INFINITY;
     private int consecutiveErrors;
     private int consecutiveResets;
     private boolean ejected;
     private boolean ejectedForErrors;
     private double nextProbationAt;
-    private double ejectionBackoff;
+    private double ejectionBackoffSeconds;
 
     /** Notes activity of any attempt: the engine does not hang. */
     public void recordActivity(double now) {
@@ -28,7 +28,7 @@
     /** Notes a complete answer. */
     public void recordAnswer(double now) {
         recordActivity(now);
-        answeredAt = now;
+        lastAnswerAt = now;
         consecutiveErrors = 0;
         consecutiveResets = 0;
     }
@@ -37,7 +37,7 @@
         lastActivityAt = now;
     }
 
-    void forget(Attempt attempt) {
+    void removeSilentAttempt(Attempt attempt) {
         silentAttempts.remove(attempt);
     }
 
@@ -47,19 +47,19 @@
     }
 
     /** Returns the time of the last complete answer; negative infinity before the first. */
-    public double answeredAt() {
-        return answeredAt;
+    public double lastAnswerAt() {
+        return lastAnswerAt;
     }
 
     /** Adds an attempt to those that wait without activity; returns their number. */
-    public int addSilent(Attempt attempt) {
+    public int addSilentAttempt(Attempt attempt) {
         silentAttempts.add(attempt);
         return silentAttempts.size();
     }
 
     /** Notes that the engine hangs since a time. */
-    public void setSilentSince(double now) {
-        silentSince = now;
+    public void setSilentSince(double since) {
+        silentSince = since;
     }
 
     /** Returns the time since which the engine hangs; negative infinity if it does not. */
@@ -103,14 +103,14 @@
     }
 
     /** Returns the seconds between probations. */
-    public double ejectionBackoff() {
-        return ejectionBackoff;
+    public double ejectionBackoffSeconds() {
+        return ejectionBackoffSeconds;
     }
 
     /** Schedules the next probation after so many seconds. */
-    public void scheduleProbation(double now, double backoff) {
-        ejectionBackoff = backoff;
-        nextProbationAt = now + backoff;
+    public void scheduleProbation(double now, double backoffSeconds) {
+        ejectionBackoffSeconds = backoffSeconds;
+        nextProbationAt = now + backoffSeconds;
     }
 
     /** Ejects the engine. */
--- a/src/main/java/junipercourse/decision/state/EngineRegistry.java
+++ b/src/main/java/junipercourse/decision/state/EngineRegistry.java
@@ -17,8 +17,8 @@
     public static final double BACK_TIER_SHARE = 0.25;
 
     private final Map<EngineId, EngineState> engines = new TreeMap<>();
-    private final List<EngineState> front = new ArrayList<>();
-    private final List<EngineState> back = new ArrayList<>();
+    private final List<EngineState> frontEngines = new ArrayList<>();
+    private final List<EngineState> backEngines = new ArrayList<>();
     private final RendezvousAffinity affinity = new RendezvousAffinity();
     private double backCores;
     private double totalCores;
@@ -45,18 +45,18 @@
     }
 
     /** Returns the engines of a tier that are ready, in no particular order. */
-    public List<EngineState> tier(Tier tier) {
-        return Collections.unmodifiableList(tier == Tier.FRONT ? front : back);
+    public List<EngineState> readyEngines(Tier tier) {
+        return Collections.unmodifiableList(tier == Tier.FRONT ? frontEngines : backEngines);
     }
 
     /** Exchanges two engines of a tier, to draw from it at random. */
     public void swap(Tier tier, int first, int second) {
-        Collections.swap(tier == Tier.FRONT ? front : back, first, second);
+        Collections.swap(tier == Tier.FRONT ? frontEngines : backEngines, first, second);
     }
 
     /** Returns the number of engines that are ready. */
     public int readyCount() {
-        return front.size() + back.size();
+        return frontEngines.size() + backEngines.size();
     }
 
     /** Returns the cores of the back tier. */
@@ -75,8 +75,8 @@
     }
 
     /** Notes whether the endpoint list is current, after it has changed. */
-    public void noteListChanged(boolean current) {
-        knownToBeEmpty = current && engines.values().stream().noneMatch(EngineState::isListed);
+    public void recordListUpdate(boolean isCurrent) {
+        knownToBeEmpty = isCurrent && engines.values().stream().noneMatch(EngineState::isListed);
     }
 
     /**
@@ -86,8 +86,8 @@
     public void assignTiers() {
         List<EngineState> listed = engines.values().stream().filter(EngineState::isListed).toList();
         int backCount = Math.max(1, (int) Math.round(listed.size() * BACK_TIER_SHARE));
-        front.clear();
-        back.clear();
+        frontEngines.clear();
+        backEngines.clear();
         affinity.clear();
         backCores = 0;
         totalCores = 0;
@@ -102,16 +102,17 @@
 
     private void addToTier(EngineState engine) {
         if (engine.tier() == Tier.BACK) {
-            back.add(engine);
+            backEngines.add(engine);
             backCores += engine.cores();
         } else {
-            front.add(engine);
+            frontEngines.add(engine);
         }
         totalCores += engine.cores();
     }
 
     /** Returns the engines of each tier that all dispatchers prefer for a table group. */
-    public List<EngineState> preferred(float tableGroup, int frontCount, int backCount) {
-        return affinity.preferred(tableGroup, front, frontCount, back, backCount);
+    public List<EngineState> preferredEngines(float tableGroup, int frontCount, int backCount) {
+        return affinity.preferredEngines(
+                tableGroup, frontEngines, frontCount, backEngines, backCount);
     }
 }
--- a/src/main/java/junipercourse/decision/state/EngineState.java
+++ b/src/main/java/junipercourse/decision/state/EngineState.java
@@ -7,7 +7,7 @@
 
 /** What is known of an engine. */
 public final class EngineState {
-    private static final double CORES_PER_RATING = 8; // if the kind does not state its cores
+    private static final double CORES_PER_RATING_UNIT = 8; // if the kind does not state its cores
     private static final double MIN_RATING = 0.1;
 
     private final EngineId id;
@@ -92,17 +92,17 @@
     }
 
     /** Takes over a list entry and the engine's kind. */
-    public void update(EngineListing entry, EngineKind kind) {
-        listing = entry.stage() == EngineStage.GONE ? null : entry;
+    public void applyListing(EngineListing newListing, EngineKind kind) {
+        listing = newListing.stage() == EngineStage.GONE ? null : newListing;
         cores =
                 kind.cores() > 0
                         ? kind.cores()
-                        : CORES_PER_RATING * Math.max(entry.rating(), MIN_RATING);
+                        : CORES_PER_RATING_UNIT * Math.max(newListing.rating(), MIN_RATING);
         memoryMb = kind.memoryMb();
     }
 
     /** Notes that the engine is no longer listed. */
-    public void unlist() {
+    public void clearListing() {
         listing = null;
     }
 
--- a/src/main/java/junipercourse/decision/state/EvaluationQueue.java
+++ b/src/main/java/junipercourse/decision/state/EvaluationQueue.java
@@ -5,33 +5,33 @@
 /** Schedules requests for evaluation, each at the earliest time that was asked for. */
 public final class EvaluationQueue {
     private final PriorityQueue<Entry> queue = new PriorityQueue<>();
-    private long added;
+    private long nextSequence;
 
     /** An entry is void once its request was scheduled for another time. */
-    private record Entry(double at, long sequence, PendingRequest request)
+    private record Entry(double dueAt, long sequence, PendingRequest request)
             implements Comparable<Entry> {
         @Override
         public int compareTo(Entry other) {
-            return at != other.at
-                    ? Double.compare(at, other.at)
+            return dueAt != other.dueAt
+                    ? Double.compare(dueAt, other.dueAt)
                     : Long.compare(sequence, other.sequence);
         }
     }
 
     /** Schedules a request, unless it is scheduled for an earlier time. */
-    public void schedule(double at, PendingRequest request) {
-        if (at < request.nextEvaluationAt()) {
-            request.setNextEvaluationAt(at);
-            queue.add(new Entry(at, added++, request));
+    public void schedule(double dueAt, PendingRequest request) {
+        if (dueAt < request.nextEvaluationAt()) {
+            request.setNextEvaluationAt(dueAt);
+            queue.add(new Entry(dueAt, nextSequence++, request));
         }
     }
 
     /** Removes and returns the next request that is due; null if there is none. */
     public PendingRequest poll(double now) {
-        while (nextAt() <= now) {
+        while (nextDueAt() <= now) {
             Entry entry = queue.poll();
             PendingRequest request = entry.request;
-            if (entry.at == request.nextEvaluationAt() && !request.isClosed()) {
+            if (entry.dueAt == request.nextEvaluationAt() && !request.isClosed()) {
                 request.setNextEvaluationAt(Double.POSITIVE_INFINITY);
                 return request;
             }
@@ -40,7 +40,7 @@
     }
 
     /** Returns the time of the next entry; infinity if there is none. */
-    public double nextAt() {
-        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().at;
+    public double nextDueAt() {
+        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().dueAt;
     }
 }
--- a/src/main/java/junipercourse/decision/state/ExternalLoad.java
+++ b/src/main/java/junipercourse/decision/state/ExternalLoad.java
@@ -2,15 +2,15 @@
 
 /** The load that other dispatchers place on one engine, as far as reports and gossip tell. */
 public final class ExternalLoad {
-    private double threads;
+    private double reportedThreads;
     private double reportedAt = Double.NEGATIVE_INFINITY;
     private boolean probeInFlight;
     private double peerThreads;
     private double peerMemoryMb;
 
     /** Returns the threads of others by the engine's reports; as of {@link #reportedAt()}. */
-    public double threads() {
-        return threads;
+    public double reportedThreads() {
+        return reportedThreads;
     }
 
     /** Returns the time of the last report; negative infinity before the first. */
@@ -34,8 +34,8 @@
     }
 
     /** Replaces the threads of others by a new report. */
-    public void report(double now, double reportedThreads) {
-        threads = reportedThreads;
+    public void recordReport(double now, double threads) {
+        reportedThreads = threads;
         reportedAt = now;
     }
 
--- a/src/main/java/junipercourse/decision/state/InFlightWork.java
+++ b/src/main/java/junipercourse/decision/state/InFlightWork.java
@@ -5,15 +5,15 @@
 
 /** The attempts of this dispatcher that are in flight at one engine, and what they use there. */
 public final class InFlightWork {
-    private final Map<Float, Integer> loadsByTableGroup = new HashMap<>();
-    private int attempts;
+    private final Map<Float, Integer> loadCountsByTableGroup = new HashMap<>();
+    private int attemptCount;
     private double threads;
     private double memoryMb;
     private double overlongThreads;
 
     /** Returns the number of attempts. */
-    public int attempts() {
-        return attempts;
+    public int attemptCount() {
+        return attemptCount;
     }
 
     /** Returns the threads that the attempts use. */
@@ -33,32 +33,32 @@
 
     /** Returns true if one of the attempts locks a table group. */
     public boolean locksTableGroup(float tableGroup) {
-        return loadsByTableGroup.containsKey(tableGroup);
+        return loadCountsByTableGroup.containsKey(tableGroup);
     }
 
     void reserve(PendingRequest request, double grantMb) {
-        attempts++;
+        attemptCount++;
         threads += request.queryClass().threads();
         memoryMb += grantMb;
         if (request.queryClass().loadsTables()) {
-            loadsByTableGroup.merge(request.tableGroup(), 1, Integer::sum);
+            loadCountsByTableGroup.merge(request.tableGroup(), 1, Integer::sum);
         }
     }
 
     void release(Attempt attempt) {
         PendingRequest request = attempt.request();
-        int released = request.queryClass().threads();
-        attempts--;
-        overlongThreads -= attempt.isOverlong() ? released : 0;
-        threads = attempts == 0 ? 0 : threads - released;
-        memoryMb = attempts == 0 ? 0 : memoryMb - attempt.memoryMb();
+        int releasedThreads = request.queryClass().threads();
+        attemptCount--;
+        overlongThreads -= attempt.isOverlong() ? releasedThreads : 0;
+        threads = attemptCount == 0 ? 0 : threads - releasedThreads;
+        memoryMb = attemptCount == 0 ? 0 : memoryMb - attempt.memoryMb();
         if (request.queryClass().loadsTables()) {
-            loadsByTableGroup.computeIfPresent(
+            loadCountsByTableGroup.computeIfPresent(
                     request.tableGroup(), (group, count) -> count > 1 ? count - 1 : null);
         }
     }
 
-    void addOverlong(int count) {
-        overlongThreads += count;
+    void addOverlongThreads(int threadCount) {
+        overlongThreads += threadCount;
     }
 }
--- a/src/main/java/junipercourse/decision/state/KaplanMeierEstimator.java
+++ b/src/main/java/junipercourse/decision/state/KaplanMeierEstimator.java
@@ -10,10 +10,10 @@
 public final class KaplanMeierEstimator {
     private final double[] values;
     private final boolean[] censored;
-    private final double[] steps;
-    private final double[] surviving;
-    private int added;
-    private int sortedAt = -1;
+    private final double[] sortedValues;
+    private final double[] survivalAtStep;
+    private int totalSamples;
+    private int totalSamplesWhenSorted = -1;
 
     /**
      * Creates an estimator without samples.
@@ -23,8 +23,8 @@
     public KaplanMeierEstimator(int capacity) {
         values = new double[capacity];
         censored = new boolean[capacity];
-        steps = new double[capacity];
-        surviving = new double[capacity];
+        sortedValues = new double[capacity];
+        survivalAtStep = new double[capacity];
     }
 
     /**
@@ -33,41 +33,41 @@
      * @param isCensored true if the true value is at least {@code value}
      */
     public void add(double value, boolean isCensored) {
-        int slot = added++ % values.length;
+        int slot = totalSamples++ % values.length;
         values[slot] = value;
         censored[slot] = isCensored;
     }
 
     /** Returns the number of samples kept. */
     public int size() {
-        return Math.min(added, values.length);
+        return Math.min(totalSamples, values.length);
     }
 
     /** Returns the share that outlives a value; 1 without samples. */
     public double survival(double value) {
-        update();
-        int position = Arrays.binarySearch(steps, 0, size(), value);
-        while (position >= 0 && position + 1 < size() && steps[position + 1] == value) {
+        sortIfStale();
+        int position = Arrays.binarySearch(sortedValues, 0, size(), value);
+        while (position >= 0 && position + 1 < size() && sortedValues[position + 1] == value) {
             position++;
         }
         int step = position >= 0 ? position : -position - 2;
-        return step < 0 ? 1 : surviving[step];
+        return step < 0 ? 1 : survivalAtStep[step];
     }
 
-    private void update() {
-        if (sortedAt == added) {
+    private void sortIfStale() {
+        if (totalSamplesWhenSorted == totalSamples) {
             return;
         }
-        sortedAt = added;
+        totalSamplesWhenSorted = totalSamples;
         int count = size();
         Integer[] order = new Integer[count];
         Arrays.setAll(order, slot -> slot);
         Arrays.sort(order, Comparator.comparingDouble(slot -> values[slot]));
-        double share = 1;
+        double survival = 1;
         for (int step = 0; step < count; step++) {
-            share -= censored[order[step]] ? 0 : share / (count - step);
-            steps[step] = values[order[step]];
-            surviving[step] = share;
+            survival -= censored[order[step]] ? 0 : survival / (count - step);
+            sortedValues[step] = values[order[step]];
+            survivalAtStep[step] = survival;
         }
     }
 }
--- a/src/main/java/junipercourse/decision/state/KeyedRequestQueues.java
+++ b/src/main/java/junipercourse/decision/state/KeyedRequestQueues.java
@@ -7,7 +7,7 @@
 /**
  * The requests of each key in order of arrival, for classes that are {@link
  * junipercourse.decision.api.QueryClass#orderedByKey}. Bounded by the open requests; idle keys are
- * removed by {@link #removeIdle}.
+ * removed by {@link #removeIdleKeys}.
  */
 public final class KeyedRequestQueues {
     private final Map<Long, KeyQueue> queues = new HashMap<>();
@@ -18,32 +18,32 @@
         private double blockedUntil = Double.NEGATIVE_INFINITY;
     }
 
-    private KeyQueue queueOf(PendingRequest request) {
-        return request.queryClass().orderedByKey() ? queues.get(request.request().key()) : null;
+    private KeyQueue findQueue(PendingRequest request) {
+        return request.queryClass().orderedByKey() ? queues.get(request.query().key()) : null;
     }
 
     /** Appends a request to the queue of its key, if it has one. */
     public void add(PendingRequest request) {
-        if (request.queryClass().orderedByKey() && request.request().key() != 0) {
-            queues.computeIfAbsent(request.request().key(), key -> new KeyQueue())
+        if (request.queryClass().orderedByKey() && request.query().key() != 0) {
+            queues.computeIfAbsent(request.query().key(), key -> new KeyQueue())
                     .requests
                     .add(request);
         }
     }
 
     /** Returns true if a request is the first of its key and the key is not blocked. */
-    public boolean isFirst(double now, PendingRequest request) {
-        KeyQueue queue = queueOf(request);
+    public boolean isNextForKey(double now, PendingRequest request) {
+        KeyQueue queue = findQueue(request);
         if (queue == null) {
             return true;
         }
-        boolean unblocked = request.attempts() > 0 || now >= queue.blockedUntil;
-        return queue.requests.peek() == request && unblocked;
+        boolean isUnblocked = request.attemptCount() > 0 || now >= queue.blockedUntil;
+        return queue.requests.peek() == request && isUnblocked;
     }
 
     /** Blocks the key of a request for others until a time: an attempt may still run. */
-    public void block(PendingRequest request, double until) {
-        KeyQueue queue = queueOf(request);
+    public void blockKey(PendingRequest request, double until) {
+        KeyQueue queue = findQueue(request);
         if (queue != null) {
             queue.blockedUntil = until;
         }
@@ -51,14 +51,14 @@
 
     /** Removes a request. */
     public void remove(PendingRequest request) {
-        KeyQueue queue = queueOf(request);
+        KeyQueue queue = findQueue(request);
         if (queue != null) {
             queue.requests.remove(request);
         }
     }
 
     /** Removes the keys without requests that are no longer blocked. */
-    public void removeIdle(double now) {
+    public void removeIdleKeys(double now) {
         queues.values().removeIf(queue -> queue.requests.isEmpty() && now > queue.blockedUntil);
     }
 }
--- a/src/main/java/junipercourse/decision/state/PendingRequest.java
+++ b/src/main/java/junipercourse/decision/state/PendingRequest.java
@@ -13,7 +13,7 @@
     private final Map<Integer, Attempt> outstandingAttempts = new LinkedHashMap<>();
     private final List<EngineState> candidateEngines = new ArrayList<>();
     private final QueryFaults faults = new QueryFaults();
-    private final QueryRequest request;
+    private final QueryRequest query;
     private final ClassStatistics classStatistics;
     private final double receivedAt;
     private final double admissionDraw;
@@ -21,8 +21,8 @@
     private final boolean overQuota;
     private Attempt activeAttempt;
     private Attempt firstExecutedAttempt;
-    private int attempts;
-    private int attemptsNotSent;
+    private int attemptCount;
+    private int notSentCount;
     private boolean restarting;
     private boolean closed;
     private boolean responding;
@@ -40,13 +40,13 @@
      * @param admissionDraw random number from 0 to 1 that decides fractional admission
      */
     public PendingRequest(
-            QueryRequest request,
+            QueryRequest query,
             ClassStatistics classStatistics,
             double receivedAt,
             long sequence,
             boolean overQuota,
             double admissionDraw) {
-        this.request = request;
+        this.query = query;
         this.classStatistics = classStatistics;
         this.receivedAt = receivedAt;
         this.sequence = sequence;
@@ -55,8 +55,8 @@
     }
 
     /** Returns the request as the client sent it. */
-    public QueryRequest request() {
-        return request;
+    public QueryRequest query() {
+        return query;
     }
 
     /** Returns its class. */
@@ -91,22 +91,22 @@
 
     /** Returns the group of tables that it reads or writes. */
     public float tableGroup() {
-        return request.tableGroup();
+        return query.tableGroup();
     }
 
     /** Returns the time from which its final answer is due. */
     public double answerDueAt() {
-        return request.deadlineAt() - DecisionDefaults.ANSWER_LEAD_SECONDS;
+        return query.deadlineAt() - DecisionDefaults.ANSWER_LEAD_SECONDS;
     }
 
     /** Returns true if the client stated an estimate of its work. */
     public boolean hasCostEstimate() {
-        return request.costEstimate() > 0;
+        return query.costEstimate() > 0;
     }
 
     /** Returns the seconds that it would take alone by its estimate; 1 without an estimate. */
-    public double unitLatency() {
-        return hasCostEstimate() ? request.costEstimate() / queryClass().threads() : 1;
+    public double unloadedLatency() {
+        return hasCostEstimate() ? query.costEstimate() / queryClass().threads() : 1;
     }
 
     /** Returns the engines considered for its next attempt; the caller may change the list. */
@@ -130,18 +130,18 @@
     }
 
     /** Removes an attempt that has ended; returns null if there is no such attempt. */
-    public Attempt takeOutstanding(int number) {
+    public Attempt removeOutstandingAttempt(int number) {
         return outstandingAttempts.remove(number);
     }
 
     /** Returns the number of attempts, whether sent or not. */
-    public int attempts() {
-        return attempts;
+    public int attemptCount() {
+        return attemptCount;
     }
 
     /** Returns the number of attempts of which an engine may have received something. */
-    public int sentAttempts() {
-        return attempts - attemptsNotSent;
+    public int sentAttemptCount() {
+        return attemptCount - notSentCount;
     }
 
     /** Returns true if its next attempt restarts one that was cancelled at its cutoff. */
@@ -213,12 +213,12 @@
         return nextEvaluationAt;
     }
 
-    void setNextEvaluationAt(double at) {
-        nextEvaluationAt = at;
+    void setNextEvaluationAt(double time) {
+        nextEvaluationAt = time;
     }
 
     int nextAttemptNumber() {
-        return attempts++;
+        return attemptCount++;
     }
 
     void begin(Attempt attempt) {
@@ -227,7 +227,7 @@
     }
 
     void end(Attempt attempt, AttemptOutcome outcome) {
-        attemptsNotSent += outcome == AttemptOutcome.NOT_SENT ? 1 : 0;
+        notSentCount += outcome == AttemptOutcome.NOT_SENT ? 1 : 0;
         if (firstExecutedAttempt == null && !outcome.neverRan()) {
             firstExecutedAttempt = attempt;
         }
--- a/src/main/java/junipercourse/decision/state/RendezvousAffinity.java
+++ b/src/main/java/junipercourse/decision/state/RendezvousAffinity.java
@@ -22,7 +22,7 @@
     /**
      * Returns the first engines of the front tier by hash, then the first ones of the back tier.
      */
-    public List<EngineState> preferred(
+    public List<EngineState> preferredEngines(
             float tableGroup,
             List<EngineState> front,
             int frontCount,
@@ -30,8 +30,8 @@
             int backCount) {
         List<EngineState> preferred = cache.get(tableGroup);
         if (preferred == null) {
-            preferred = new ArrayList<>(first(tableGroup, front, frontCount));
-            preferred.addAll(first(tableGroup, back, backCount));
+            preferred = new ArrayList<>(firstByHash(tableGroup, front, frontCount));
+            preferred.addAll(firstByHash(tableGroup, back, backCount));
             if (cache.size() >= MAX_CACHED_GROUPS) {
                 cache.clear();
             }
@@ -40,7 +40,8 @@
         return preferred;
     }
 
-    private static List<EngineState> first(float tableGroup, List<EngineState> tier, int count) {
+    private static List<EngineState> firstByHash(
+            float tableGroup, List<EngineState> tier, int count) {
         Map<EngineState, Long> hashes = new HashMap<>();
         tier.forEach(engine -> hashes.put(engine, hash(tableGroup, engine)));
         return tier.stream().sorted(Comparator.comparing(hashes::get)).limit(count).toList();
--- a/src/main/java/junipercourse/decision/state/RequestTable.java
+++ b/src/main/java/junipercourse/decision/state/RequestTable.java
@@ -14,7 +14,7 @@
  * engine. Bounded by {@link #limitOpenRequests}.
  */
 public final class RequestTable {
-    private static final int MIN_WAITING =
+    private static final int MIN_WAITING_REQUESTS =
             4; // may always wait: capacity frees up within milliseconds
 
     private final Map<RequestId, PendingRequest> requests = new HashMap<>();
@@ -35,13 +35,13 @@
     }
 
     /** Bounds the open requests; those that wait with the lowest priority are shed above it. */
-    public void limitOpenRequests(int most) {
-        maxOpenRequests = most;
+    public void limitOpenRequests(int limit) {
+        maxOpenRequests = limit;
     }
 
     /** Adds a new request. */
     public void add(PendingRequest request) {
-        requests.put(request.request().id(), request);
+        requests.put(request.query().id(), request);
         keyedQueues.add(request);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Returns an attempt if its request waits for it; null otherwise. */
-    public Attempt findActive(RequestId id, int number) {
+    public Attempt findActiveAttempt(RequestId id, int number) {
         PendingRequest request = requests.get(id);
         Attempt active = request == null ? null : request.activeAttempt();
         return active != null && active.number() == number ? active : null;
@@ -66,16 +66,16 @@
     /** Removes a request that is closed and has no attempt in flight. */
     public void removeIfDone(PendingRequest request) {
         if (request.isClosed() && !request.hasOutstandingAttempts()) {
-            requests.remove(request.request().id());
+            requests.remove(request.query().id());
             keyedQueues.remove(request);
-            requestAdmission();
+            scheduleAdmission();
         }
     }
 
     /** Makes a request wait for an engine. */
     public void enqueue(PendingRequest request) {
         waiting.add(request);
-        requestAdmission();
+        scheduleAdmission();
     }
 
     /** Returns the waiting requests. */
@@ -91,23 +91,24 @@
     }
 
     /** Offers the waiting requests in order and removes those that were started. */
-    public void removeStarted(Predicate<PendingRequest> start) {
-        waiting.removeIf(start);
+    public void removeIfStarted(Predicate<PendingRequest> tryStart) {
+        waiting.removeIf(tryStart);
     }
 
     /** Returns the waiting request to shed next; null while the bound is kept. */
     public PendingRequest nextToShed() {
-        boolean exceeded = waiting.size() > MIN_WAITING && requests.size() > maxOpenRequests;
-        return exceeded ? waiting.get(waiting.size() - 1) : null;
+        boolean isLimitExceeded =
+                waiting.size() > MIN_WAITING_REQUESTS && requests.size() > maxOpenRequests;
+        return isLimitExceeded ? waiting.get(waiting.size() - 1) : null;
     }
 
     /** Notes that something has changed so that waiting requests may start. */
-    public void requestAdmission() {
+    public void scheduleAdmission() {
         admissionDue = true;
     }
 
     /** Returns whether waiting requests may start, and resets it. */
-    public boolean takeAdmissionDue() {
+    public boolean pollAdmissionDue() {
         boolean due = admissionDue;
         admissionDue = false;
         return due;
--- a/src/main/java/junipercourse/decision/state/RunningMean.java
+++ b/src/main/java/junipercourse/decision/state/RunningMean.java
@@ -16,8 +16,8 @@
     }
 
     /** Returns the mean, or a default as long as it is unknown. */
-    public double valueOr(double unknown) {
-        return known ? value : unknown;
+    public double valueOr(double defaultValue) {
+        return known ? value : defaultValue;
     }
 
     /** Adds a sample; the first one becomes the mean. */
--- a/src/main/java/junipercourse/decision/state/SlowStartState.java
+++ b/src/main/java/junipercourse/decision/state/SlowStartState.java
@@ -22,27 +22,27 @@
     }
 
     /** Moves the start to a later time; an earlier one is ignored. */
-    public void restart(double now) {
-        startedAt = Math.max(startedAt, now);
+    public void restart(double newStartedAt) {
+        startedAt = Math.max(startedAt, newStartedAt);
         refilledAt = startedAt;
     }
 
     /** Sets the credit with which the slow start begins. */
-    public void setCredit(double work) {
-        credit = work;
+    public void setCredit(double initialCredit) {
+        credit = initialCredit;
     }
 
     /** Adds credit, up to 0. */
-    public void refill(double now, double work) {
-        credit = Math.min(0, credit + work);
+    public void refill(double now, double addedCredit) {
+        credit = Math.min(0, credit + addedCredit);
         refilledAt = now;
     }
 
-    void charge(double work) {
-        credit -= work;
+    void charge(double amount) {
+        credit -= amount;
     }
 
-    void refund(double work) {
-        credit += work;
+    void refund(double amount) {
+        credit += amount;
     }
 }
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -196,7 +196,8 @@
             case 202 -> stillRuns(trusted);
             case 503 ->
                     end(plain(neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, response));
-            case 504 -> end(plain(neverRan ? AttemptOutcome.MOOT : AttemptOutcome.ERROR, response));
+            case 504 ->
+                    end(plain(neverRan ? AttemptOutcome.OBSOLETE : AttemptOutcome.ERROR, response));
             case 500 -> {
                 if (leftAlone) {
                     leftAlone();
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -38,7 +38,9 @@
         this.budget = new EnginePool.Budget(loop, share);
         this.loop = loop;
         this.dialTimeout =
-                settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : 1;
+                settings.limits().connectTimeoutSeconds() > 0
+                        ? settings.limits().connectTimeoutSeconds()
+                        : 1;
         this.counters = counters;
         this.gauges = new GaugeReader(settings.loadMetrics());
     }
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -66,7 +66,9 @@
         this.places = new ConnectionSlots(loop, share);
         this.shows = shows;
         this.maxRetryAfter =
-                settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
+                settings.limits().retryAfterAllowed()
+                        ? settings.limits().maxRetryAfterSeconds()
+                        : 0;
         this.mostInput = mostInput;
         this.random = new SplittableRandom(seed);
     }
--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -93,7 +93,7 @@
         double timeout = number("timeout", need(fields, "timeout"));
         // Figures that cannot be meant are told rather than taken: they would mislead the module's
         // means.
-        inRange("timeout", timeout, 1, c.deadline() * 1000 * ROUNDING, fields);
+        inRange("timeout", timeout, 1, c.deadlineSeconds() * 1000 * ROUNDING, fields);
         String dedupe =
                 c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         ? need(fields, "opkey")
@@ -110,7 +110,7 @@
         }
         double work = ms == null ? Double.NaN : number("ms", ms);
         double memory = ram == null ? 0 : number("ram", ram);
-        inRange("ms", work, 0, c.deadline() * 1000 * MOST_WORK, fields);
+        inRange("ms", work, 0, c.deadlineSeconds() * 1000 * MOST_WORK, fields);
         inRange("ram", memory, 0, mostMemory, fields);
         if (statement.isBlank()) {
             throw new InvalidQueryFieldException("statement", "missing");
--- a/src/main/java/junipercourse/sim/Wire.java
+++ b/src/main/java/junipercourse/sim/Wire.java
@@ -61,7 +61,7 @@
             case 304 -> AttemptOutcome.UNREACHABLE;
             case 305 -> AttemptOutcome.RESET;
             case 306 -> AttemptOutcome.CANCELLED;
-            case 307 -> AttemptOutcome.MOOT;
+            case 307 -> AttemptOutcome.OBSOLETE;
             default -> throw new WireException("unknown disposition " + code);
         };
     }
--- a/src/main/java/junipercourse/sim/WireWriter.java
+++ b/src/main/java/junipercourse/sim/WireWriter.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         record(259, 13);
         out.putLong(id.value()).put((byte) priority).putFloat((float) memoryMb);
     }
--- a/src/test/java/junipercourse/decision/DecisionCost.java
+++ b/src/test/java/junipercourse/decision/DecisionCost.java
@@ -66,7 +66,7 @@
                             new RequestId(++lastId),
                             c,
                             tenant < 0.41 ? 0 : tenant < 0.81 ? 1 : 2,
-                            now + site.classes().get(c).deadline(),
+                            now + site.classes().get(c).deadlineSeconds(),
                             key,
                             random.nextInt(40),
                             work,
--- a/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
+++ b/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
@@ -115,7 +115,7 @@
         double capacity = count * site.cores() / site.mean();
         rate = load * capacity;
         up = BEFORE_S;
-        end = up + site.rules().slowStartDuration() + AFTER_S;
+        end = up + site.rules().slowStartSeconds() + AFTER_S;
         List<EngineListing> list = new ArrayList<>();
         for (long id = NEW_ID + 1; id <= NEW_ID + count; id++) {
             engines.put(
@@ -179,7 +179,7 @@
                                 new RequestId(++lastId),
                                 c,
                                 tenant < 0.41 ? 0 : tenant < 0.81 ? 1 : 2,
-                                now + site.classes().get(c).deadline(),
+                                now + site.classes().get(c).deadlineSeconds(),
                                 key,
                                 random.nextInt(40),
                                 cost,
@@ -255,7 +255,7 @@
     }
 
     private double line(double age) {
-        double span = site.rules().overloadWindow();
+        double span = site.rules().overloadWindowSeconds();
         double n =
                 site.cores()
                         * site.warmth(age)
@@ -266,8 +266,8 @@
     }
 
     Joined joined() {
-        double span = site.rules().overloadWindow();
-        double warm = up + site.rules().slowStartDuration();
+        double span = site.rules().overloadWindowSeconds();
+        double warm = up + site.rules().slowStartSeconds();
         double usual = work(front, up, end) / warmFront / (end - up);
         double shareAge = Double.NaN;
         double mostAfter = 0;
--- a/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
+++ b/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
@@ -159,7 +159,7 @@
 
     private static double creditAfter(AttemptOutcome outcome, boolean startedAgain) {
         EngineState engine = new EngineState(new EngineId(1));
-        engine.update(
+        engine.applyListing(
                 RecordingDispatcher.engine(1, EngineStage.READY, 100), new EngineKind("k", 10, 0));
         engine.slowStart().restart(100);
         QueryRequest request = new QueryRequest(FIRST, 0, 0, 104, 0, 0, Double.NaN, 0, false);
--- a/src/test/java/junipercourse/decision/ForwardingActions.java
+++ b/src/test/java/junipercourse/decision/ForwardingActions.java
@@ -28,8 +28,8 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
-        delegate.setAttemptTerms(id, priority, memoryMb);
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
+        delegate.setAttemptParameters(id, priority, memoryMb);
     }
 
     @Override
--- a/src/test/java/junipercourse/decision/ModuleAtSize.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSize.java
@@ -250,8 +250,7 @@
             List<EngineReplacementSimulation.Joined> days,
             ToDoubleFunction<EngineReplacementSimulation.Joined> value) {
         double end =
-                SlowStartSite.MAIN.rules().slowStartDuration()
-                        + EngineReplacementSimulation.AFTER_S;
+                SlowStartSite.MAIN.rules().slowStartSeconds() + EngineReplacementSimulation.AFTER_S;
         double[] ages = days.stream().mapToDouble(value).toArray();
         long never = Arrays.stream(ages).filter(Double::isNaN).count();
         if (never == 0) {
--- a/src/test/java/junipercourse/decision/ModuleAtSizeTest.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSizeTest.java
@@ -19,7 +19,7 @@
                 new EngineReplacementSimulation(SlowStartSite.MAIN, 0.02, 180, engines, 0.7, SEED)
                         .joined();
         String what = "seed " + SEED + ": " + d;
-        double warm = SlowStartSite.MAIN.rules().slowStartDuration();
+        double warm = SlowStartSite.MAIN.rules().slowStartSeconds();
         assertEquals(0, d.cold().over(), "windows over N + 2 root N + 2, " + what);
         assertTrue(d.firstAge() < warm, "no work while cold, " + what);
         assertTrue(d.cold().used() > 0.05, "left idle while cold, " + what);
--- a/src/test/java/junipercourse/decision/OverloadedFleetTest.java
+++ b/src/test/java/junipercourse/decision/OverloadedFleetTest.java
@@ -227,10 +227,15 @@
         for (double from = 0; from < 6; from += 0.1) {
             double at = from;
             double work =
-                    sentAt.stream().filter(t -> t >= at && t < at + g.overloadWindow()).count()
+                    sentAt.stream()
+                                    .filter(t -> t >= at && t < at + g.overloadWindowSeconds())
+                                    .count()
                             * WORK_SECONDS;
             double most =
-                    g.overloadMultiple() * g.slowStartInitialCapacity() * 10 * g.overloadWindow();
+                    g.overloadMultiple()
+                            * g.slowStartInitialCapacity()
+                            * 10
+                            * g.overloadWindowSeconds();
             assertTrue(work <= most, "work " + work + " of " + most + " from " + from);
         }
     }
--- a/src/test/java/junipercourse/decision/RecordingDispatcher.java
+++ b/src/test/java/junipercourse/decision/RecordingDispatcher.java
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         log.add("terms " + id.value() + " " + priority + " " + memoryMb);
     }
 
--- a/src/test/java/junipercourse/decision/RuleChecker.java
+++ b/src/test/java/junipercourse/decision/RuleChecker.java
@@ -79,14 +79,14 @@
                         || outcome == AttemptOutcome.RESET
                         || outcome == AttemptOutcome.CANCELLED;
         if (unsure && a.of.c.orderedByKey()) {
-            rest.put(a.of.r.key(), now + settings.guarantees().keySettleTime());
+            rest.put(a.of.r.key(), now + settings.guarantees().keySettleSeconds());
         }
     }
 
     void lookForLost() {
         for (Taken t : requests.values()) {
             check(
-                    t.over || now <= t.r.deadlineAt() + settings.guarantees().answerGrace(),
+                    t.over || now <= t.r.deadlineAt() + settings.guarantees().answerGraceSeconds(),
                     "1 lost",
                     t.r.id());
         }
@@ -120,7 +120,7 @@
                 id);
         if (t.attempts > 0) {
             resentAt.add(now);
-            double window = settings.guarantees().retryBudgetWindow();
+            double window = settings.guarantees().retryBudgetWindowSeconds();
             double most =
                     settings.guarantees().retryBudgetMinimum()
                             + settings.guarantees().retryBudgetRatio()
@@ -144,7 +144,8 @@
         }
         if (t.ran != null && t.c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
             check(
-                    t.ran.engine.cell() == e.cell() && now <= t.ran.at + t.c.deduplicationWindow(),
+                    t.ran.engine.cell() == e.cell()
+                            && now <= t.ran.at + t.c.deduplicationWindowSeconds(),
                     "2 group or window",
                     id);
         }
@@ -153,14 +154,14 @@
     /** Each send weighs the usual work here: an end is drawn after 0.3 s on average. */
     private void coldBudget(EngineListing e, RequestId id) {
         var g = settings.guarantees();
-        if (e.startedAt() > 0 && now < e.startedAt() + g.slowStartDuration()) {
+        if (e.startedAt() > 0 && now < e.startedAt() + g.slowStartSeconds()) {
             cold.add(new double[] {now, e.id().value()});
             double work =
                     0.3
                             * cold.stream()
                                     .filter(
                                             x ->
-                                                    x[0] > now - g.overloadWindow()
+                                                    x[0] > now - g.overloadWindowSeconds()
                                                             && x[1] == e.id().value())
                                     .count();
             double cores = settings.engineKinds().get(e.kind()).cores();
@@ -169,7 +170,7 @@
                             <= g.overloadMultiple()
                                     * g.slowStartInitialCapacity()
                                     * cores
-                                    * g.overloadWindow(),
+                                    * g.overloadWindowSeconds(),
                     "4 cold",
                     id);
         }
@@ -206,7 +207,7 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         check(priority >= 0 && priority <= 3 && memoryMb >= 0, "terms", id);
     }
 
--- a/src/test/java/junipercourse/decision/SlowStartDispatcher.java
+++ b/src/test/java/junipercourse/decision/SlowStartDispatcher.java
@@ -123,7 +123,7 @@
     public void fail(RequestId id) {}
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {}
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {}
 
     @Override
     public void scheduleTimer(double delay, long token) {
--- a/src/test/java/junipercourse/decision/SlowStartSimulation.java
+++ b/src/test/java/junipercourse/decision/SlowStartSimulation.java
@@ -97,7 +97,7 @@
         double capacity = count * site.cores() / site.mean();
         rate = capacity * (0.45 + 0.75 * random.nextDouble());
         quota = capacity * (0.73 + 0.15 * random.nextDouble());
-        end = BEFORE_S + BULK_S + 2 + site.rules().slowStartDuration();
+        end = BEFORE_S + BULK_S + 2 + site.rules().slowStartSeconds();
         // Estimates lie too high or too low by class, by up to a third.
         bias = random.doubles(site.classes().size()).map(u -> Math.exp((u - 0.5) * 0.7)).toArray();
         backAt = BEFORE_S + BULK_S + 1 + 8 * random.nextDouble();
@@ -107,8 +107,7 @@
             boolean restarts = random.nextDouble() < 0.3;
             double late = random.nextDouble() < 0.15 ? 3 + 5 * random.nextDouble() : 0;
             double restartAt =
-                    BEFORE_S
-                            + random.nextDouble() * (BULK_S + site.rules().slowStartDuration() / 2);
+                    BEFORE_S + random.nextDouble() * (BULK_S + site.rules().slowStartSeconds() / 2);
             gateways.add(new SlowStartDispatcher(i, late, restarts ? restartAt : NEVER));
         }
         part =
@@ -133,7 +132,7 @@
         double notice = 0.23 + 2.2 * random.nextDouble();
         double drawn = random.nextDouble();
         double at = BEFORE_S + BULK_S * drawn;
-        double warm = site.rules().slowStartDuration();
+        double warm = site.rules().slowStartSeconds();
         if (trouble == Trouble.TOLD_AT_ONCE
                 && at + warm < backAt) { // else it is warm when it is told of
             at = backAt - warm * (1 - drawn);
@@ -249,7 +248,7 @@
         }
         double work = site.draw(c, random);
         double cost = work * bias[c] * Math.exp(0.3 * random.nextGaussian());
-        double notAfter = now + site.classes().get(c).deadline();
+        double notAfter = now + site.classes().get(c).deadlineSeconds();
         double tenant = random.nextDouble();
         long key = site.classes().get(c).orderedByKey() ? ++lastId % 50 + 1 : 0;
         gateways.get(g)
--- a/src/test/java/junipercourse/decision/SlowStartSite.java
+++ b/src/test/java/junipercourse/decision/SlowStartSite.java
@@ -153,7 +153,7 @@
     double warmth(double age) {
         return rules.slowStartInitialCapacity()
                 + (1 - rules.slowStartInitialCapacity())
-                        * Math.min(1, age / rules.slowStartDuration());
+                        * Math.min(1, age / rules.slowStartSeconds());
     }
 
     /**
--- a/src/test/java/junipercourse/decision/StartingEngineModel.java
+++ b/src/test/java/junipercourse/decision/StartingEngineModel.java
@@ -54,14 +54,14 @@
     }
 
     void arrived(double now, double work, boolean told) {
-        if (up > 0 && now < up + site.rules().slowStartDuration()) {
+        if (up > 0 && now < up + site.rules().slowStartSeconds()) {
             arrivals.add(new Arrival(now, work, told));
         }
     }
 
     /** Judges every window that ends in a step of the day while it was cold. */
     Verdict judge() {
-        double span = site.rules().overloadWindow();
+        double span = site.rules().overloadWindowSeconds();
         int windows = 0;
         int over = 0;
         double most = 0;
@@ -69,7 +69,7 @@
         boolean fell = false;
         boolean broken = false;
         for (double t = up;
-                t < up + site.rules().slowStartDuration();
+                t < up + site.rules().slowStartSeconds();
                 t += SlowStartSimulation.STEP_S) {
             double sum = 0;
             double told = 0;
@@ -92,7 +92,7 @@
         double bears =
                 site.cores()
                         * speed
-                        * site.rules().slowStartDuration()
+                        * site.rules().slowStartSeconds()
                         * (1 + site.rules().slowStartInitialCapacity())
                         / 2;
         return new Verdict(windows, over, fell, broken, most, age, all / bears);
--- a/src/test/java/junipercourse/decision/estimation/CongestionEstimatorTest.java
+++ b/src/test/java/junipercourse/decision/estimation/CongestionEstimatorTest.java
@@ -31,7 +31,7 @@
             owed += answered;
             double done = Math.floor(owed);
             owed -= done;
-            congestion.add(i * 0.1, Tier.FRONT, held, 0.3 * done);
+            congestion.addAttempt(i * 0.1, Tier.FRONT, held, 0.3 * done);
         }
         assertTrue(
                 congestion.slowdownFactor() >= least && congestion.slowdownFactor() <= most,
@@ -40,16 +40,16 @@
 
     @Test
     void forgetsCongestionThatHasEnded() {
-        congestion.add(0, Tier.BACK, 100, 0);
-        congestion.add(20, Tier.BACK, 1, 1);
+        congestion.addAttempt(0, Tier.BACK, 100, 0);
+        congestion.addAttempt(20, Tier.BACK, 1, 1);
         assertTrue(congestion.slowdownFactor() < 1.5, "factor " + congestion.slowdownFactor());
     }
 
     @Test
     void reportsCongestionOfASingleTier() {
         for (int i = 0; i < 50; i++) {
-            congestion.add(i * 0.1, Tier.FRONT, 0.6, 0.5);
-            congestion.add(i * 0.1, Tier.BACK, 2, 0.2);
+            congestion.addAttempt(i * 0.1, Tier.FRONT, 0.6, 0.5);
+            congestion.addAttempt(i * 0.1, Tier.BACK, 2, 0.2);
         }
         assertTrue(
                 congestion.slowdownFactor(Tier.FRONT) < 1.5
--- a/src/test/java/junipercourse/decision/state/RendezvousAffinityTest.java
+++ b/src/test/java/junipercourse/decision/state/RendezvousAffinityTest.java
@@ -21,7 +21,7 @@
             }
             Collections.shuffle(tier, new Random(seed));
             seen.add(
-                    affinity.preferred(7f, tier, 4, tier.subList(0, 0), 1).stream()
+                    affinity.preferredEngines(7f, tier, 4, tier.subList(0, 0), 1).stream()
                             .map(engine -> engine.id().value())
                             .toList());
         }
--- a/src/test/java/junipercourse/sim/SimHostTest.java
+++ b/src/test/java/junipercourse/sim/SimHostTest.java
@@ -147,7 +147,7 @@
         assertEquals(Idempotency.IDEMPOTENT, s.queryClasses().get(0).idempotency());
         assertEquals(Set.of(0, 2), s.queryClasses().get(0).allowedZones());
         assertEquals(1, s.queryClasses().get(0).threads());
-        assertEquals(0, s.guarantees().retryBudgetWindow());
+        assertEquals(0, s.guarantees().retryBudgetWindowSeconds());
         assertEquals(8, s.engineKinds().get(0).cores());
     }
 }
