--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -114,7 +114,7 @@
                                 ? "not listening yet"
                                 : !gateway.engineRegistry().hasReceivedList()
                                         ? "no list of engines yet"
-                                        : loop.catchingUp()
+                                        : loop.isCatchingUp()
                                                 ? "catching up after a stall"
                                                 : "serving";
         state =
@@ -131,7 +131,7 @@
     }
 
     private void publishLater() {
-        loop.after(
+        loop.scheduleAfter(
                 PUBLISH_S,
                 () -> {
                     publish();
--- a/src/main/java/junipercourse/cli/DispatcherServer.java
+++ b/src/main/java/junipercourse/cli/DispatcherServer.java
@@ -91,10 +91,11 @@
                                         ? STAFF_SOCKETS + AdminService.connections(config)
                                         : 0));
         DescriptorAllocation shares =
-                DescriptorAllocation.of(descriptors.limit(), descriptors.free());
+                DescriptorAllocation.of(descriptors.limit(), descriptors.unallocated());
         DescriptorBudget.Share engineShare =
-                descriptors.share("engines", shares.engines(), shares.closing());
-        DescriptorBudget.Share clientShare = descriptors.share("clients", shares.clients(), 0);
+                descriptors.allocateShare("engines", shares.engines(), shares.closing());
+        DescriptorBudget.Share clientShare =
+                descriptors.allocateShare("clients", shares.clients(), 0);
         EngineClient engines = new EngineClient(loop, config.settings(), engineShare, counters);
         mostTaken =
                 (int)
@@ -192,7 +193,7 @@
                 front.listen(inherited());
             }
             ending.listening();
-            loop.attend();
+            loop.startStallDetection();
             if (staff != null) {
                 staff.listening();
             }
@@ -208,7 +209,7 @@
                             config.listen(),
                             LISTEN_PATIENCE_S);
                 }
-                loop.after(LISTEN_AGAIN_S, () -> listen(started, since));
+                loop.scheduleAfter(LISTEN_AGAIN_S, () -> listen(started, since));
             } else {
                 started.completeExceptionally(
                         new IOException(
@@ -227,7 +228,7 @@
 
     private ServerSocketChannel inherited() {
         try {
-            return InheritedSocket.take(config.listenOn(), config.listen());
+            return InheritedSocket.takeOver(config.listenOn(), config.listen());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("RELAY_FD", e.getMessage());
         }
--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -100,9 +100,9 @@
                         front.leaveToOthers(this::untilIdle);
                         handOver();
                     } else {
-                        loop.after(STILL_COMING_S, this::untilIdle);
+                        loop.scheduleAfter(STILL_COMING_S, this::untilIdle);
                     }
-                    loop.after(
+                    loop.scheduleAfter(
                             answeredAfter(),
                             () -> {
                                 untilIdle();
@@ -123,7 +123,7 @@
     /** What comes on connections that were open before is started at once, or sent on as well. */
     private void handOver() {
         gateway.shutdownResponder().handOverQueries(kept);
-        loop.after(HAND_OVER_S, this::handOver);
+        loop.scheduleAfter(HAND_OVER_S, this::handOver);
     }
 
     private void untilIdle() {
@@ -146,7 +146,7 @@
         if (front.empty() || waited >= (front.unsent() ? LAST_BYTES_S : LINGER_S)) {
             done.countDown();
         } else {
-            loop.after(LOOK_S, () -> lastBytes(waited + LOOK_S));
+            loop.scheduleAfter(LOOK_S, () -> lastBytes(waited + LOOK_S));
         }
     }
 }
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -72,7 +72,7 @@
         this.mostAlone = (int) (descriptors.limit() * ALONE_PART);
         this.mostBeside = mostTaken - mostAlone;
         held = descriptors.used();
-        descriptors.allow(held, true); // until a claim is made, it has none
+        descriptors.applyClaim(held, true); // until a claim is made, it has none
         neighbours = new SiblingProcesses(folder);
         look();
         looks =
@@ -131,7 +131,7 @@
             front.beside(another);
             gateway.limitOpenQueries(another ? mostBeside : mostAlone);
         }
-        descriptors.allow(claim, another);
+        descriptors.applyClaim(claim, another);
         held = descriptors.allowed();
     }
 
--- a/src/main/java/junipercourse/cli/ProcessStatusTables.java
+++ b/src/main/java/junipercourse/cli/ProcessStatusTables.java
@@ -32,7 +32,7 @@
     }
 
     private void stalls(StatusTables.RowWriter rows) {
-        StallStatistics log = loop.stallLog();
+        StallStatistics log = loop.stallStatistics();
         rows.add("stalls", log.stallCount(), "count")
                 .add("longest", millis(log.longestStallSeconds()), "ms")
                 .add("last", millis(log.lastStallSeconds()), "ms")
@@ -57,13 +57,13 @@
     }
 
     private void descriptors(StatusTables.RowWriter rows) {
-        rows.add("all", "limit", descriptors.limit()).add("own", "kept", descriptors.own());
+        rows.add("all", "limit", descriptors.limit()).add("own", "kept", descriptors.reserved());
         for (DescriptorBudget.Share s : descriptors.shares()) {
-            rows.add(s.name(), "most", s.most())
-                    .add(s.name(), "open", s.open())
-                    .add(s.name(), "closing", s.closingNow())
+            rows.add(s.name(), "most", s.maxOpen())
+                    .add(s.name(), "open", s.openCount())
+                    .add(s.name(), "closing", s.closingCount())
                     .add(s.name(), "peak", s.peak())
-                    .add(s.name(), "turned_down", s.turnedDown());
+                    .add(s.name(), "turned_down", s.refusedCount());
         }
     }
 }
--- a/src/main/java/junipercourse/core/AttemptRunner.java
+++ b/src/main/java/junipercourse/core/AttemptRunner.java
@@ -102,7 +102,7 @@
                                 figures.tried(x.query.queryClass());
                             }
                         });
-        x.attemptTimeout = loop.at(until, () -> x.out.abort(AttemptOutcome.TIMEOUT));
+        x.attemptTimeout = loop.scheduleAt(until, () -> x.out.abort(AttemptOutcome.TIMEOUT));
     }
 
     /**
--- a/src/main/java/junipercourse/core/EventBatcher.java
+++ b/src/main/java/junipercourse/core/EventBatcher.java
@@ -44,8 +44,8 @@
     }
 
     private void turn() {
-        if (loop.catchingUp()) { // first all that came is read, then the module decides
-            loop.whenCaughtUp(this::turn);
+        if (loop.isCatchingUp()) { // first all that came is read, then the module decides
+            loop.runWhenCaughtUp(this::turn);
             return;
         }
         turnDue = false;
@@ -56,7 +56,7 @@
         }
         allTold.run();
         if (!guarded(settle, now)) { // it may have lost its timer with its turn
-            loop.after(AFTER_FAULT_S, () -> event(later -> {}));
+            loop.scheduleAfter(AFTER_FAULT_S, () -> event(later -> {}));
         }
     }
 
--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -56,7 +56,7 @@
         this.attempts =
                 new AttemptRunner(
                         loop, settings, backend, module, turns, answers, counters, classMetrics);
-        loop.onStall(this::resumed);
+        loop.addStallListener(this::resumed);
     }
 
     // ---- what the fronts and the roster tell ----
@@ -71,7 +71,7 @@
         if (x == null) {
             return 0;
         }
-        x.lastMoment = loop.at(query.deadlineAt() - LAST_MOMENT_S, () -> lastMoment(x));
+        x.lastMoment = loop.scheduleAt(query.deadlineAt() - LAST_MOMENT_S, () -> lastMoment(x));
         event(
                 now -> {
                     if (ordered(query)) {
@@ -245,7 +245,7 @@
 
     @Override
     public void scheduleTimer(double delay, long token) {
-        loop.after(delay, () -> event(now -> module.timerFired(now, token)));
+        loop.scheduleAfter(delay, () -> event(now -> module.timerFired(now, token)));
     }
 
     @Override
--- a/src/main/java/junipercourse/core/KeyOrderGate.java
+++ b/src/main/java/junipercourse/core/KeyOrderGate.java
@@ -51,7 +51,7 @@
      * Guards the order of keys: a request goes on once nothing that came before it can be unread.
      */
     private void admitSettled(double now) {
-        double readUpTo = loop.readUpTo();
+        double readUpTo = loop.readWatermark();
         for (InFlightQuery x = unsettled.peek(); x != null; x = unsettled.peek()) {
             boolean settled = keyOrder.isSettled(x.query.arrival(), readUpTo);
             boolean waits = !settled && now < x.query.arrival().readAt() + ORDER_WAIT_S;
@@ -73,7 +73,7 @@
     private void lookAtUnsettled() {
         if (unsettledLook == null) {
             unsettledLook =
-                    loop.after(
+                    loop.scheduleAfter(
                             ORDER_LOOK_S,
                             () -> {
                                 unsettledLook = null;
@@ -85,7 +85,7 @@
     /** All events of a turn are told. */
     void turnTold() {
         if (unsettled.isEmpty()) { // and no event is left
-            keyOrder.discardSettledKeys(loop.readUpTo());
+            keyOrder.discardSettledKeys(loop.readWatermark());
         }
     }
 }
--- a/src/main/java/junipercourse/discovery/EndpointWatcher.java
+++ b/src/main/java/junipercourse/discovery/EndpointWatcher.java
@@ -173,7 +173,7 @@
      */
     private void again() {
         leave();
-        redial = loop.at(Math.max(loop.now(), dialledAt + retry), this::dial);
+        redial = loop.scheduleAt(Math.max(loop.now(), dialledAt + retry), this::dial);
         retry = Math.min(RETRY_MOST_S, retry * 2);
     }
 
@@ -193,7 +193,7 @@
         private void listen() {
             loop.cancel(silence);
             silence =
-                    loop.after(
+                    loop.scheduleAfter(
                             patience,
                             () -> {
                                 Logger.warn("the event bus is silent; connecting again");
@@ -242,7 +242,7 @@
         }
 
         @Override
-        public void crashed() {
+        public void handlerFailed() {
             counters.increment(Count.INTERNAL_ERRORS);
             disconnected();
         }
--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -60,7 +60,7 @@
             done.run();
         } else { // a call that is on its way is dropped within the time for its answer
             forgotten =
-                    loop.at(
+                    loop.scheduleAt(
                             Math.min(gone, now + AttemptConnections.ANSWER_S),
                             this::untilForgotten);
         }
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -103,7 +103,7 @@
     /** Does something later instead of waiting for an answer. */
     void later(double delay, Runnable task) {
         loop.cancel(timer);
-        timer = loop.after(delay, task);
+        timer = loop.scheduleAfter(delay, task);
     }
 
     /** Waits for nothing any more; the last call, if there was one, hears no more of its answer. */
@@ -118,7 +118,7 @@
     /** Resets the connection of the ignored call, after a delay only if it has no answer then. */
     void dropIgnored(double delay) {
         if (delay > 0) {
-            loop.after(delay, ignored::drop);
+            loop.scheduleAfter(delay, ignored::drop);
         } else {
             ignored.drop();
         }
@@ -161,7 +161,7 @@
         public boolean mayWrite() {
             begins();
             onTheWay = true;
-            calls.evidence.recordCallStarted(writtenAt, calls.loop.attended());
+            calls.evidence.recordCallStarted(writtenAt, calls.loop.attendedSeconds());
             return true;
         }
 
--- a/src/main/java/junipercourse/engine/EngineConnection.java
+++ b/src/main/java/junipercourse/engine/EngineConnection.java
@@ -59,7 +59,7 @@
         if (left) {
             return false;
         }
-        if (!link.quiet()) {
+        if (!link.isOpenWithoutInput()) {
             counters.increment(Count.ENGINES_GARBLED);
             close();
             return false;
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void crashed() {
+    public void handlerFailed() {
         counters.increment(Count.INTERNAL_ERRORS);
         disconnected();
     }
@@ -171,7 +171,7 @@
         call = null;
         link.abort();
         leave();
-        loop.afterNextPass(this::nothingMore); // by then the reset has surely reached the kernel
+        loop.runAfterNextPass(this::nothingMore); // by then the reset has surely reached the kernel
     }
 
     private void nothingMore() {
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -31,20 +31,20 @@
         Budget(EventLoop loop, DescriptorBudget.Share share) {
             this.loop = loop;
             this.share = share;
-            followUps = share.most() / FOLLOW_UP_PART;
+            followUps = share.maxOpen() / FOLLOW_UP_PART;
         }
 
         boolean take(boolean starts) {
             int spare = starts ? followUps : 0;
-            return share.room() > spare && share.take();
+            return share.available() > spare && share.tryAcquire();
         }
 
         /** One is closed; its descriptor is back once the sockets have been looked at again. */
         void giveBack() {
-            share.closing();
-            loop.afterNextPass(
+            share.markClosing();
+            loop.runAfterNextPass(
                     () -> {
-                        share.gone();
+                        share.markClosed();
                         next();
                     });
             next();
@@ -52,7 +52,7 @@
 
         /** A new query that found no room goes on, in the order come. */
         private void next() {
-            if (!waiting.isEmpty() && share.room() > followUps) {
+            if (!waiting.isEmpty() && share.available() > followUps) {
                 Runnable first = waiting.iterator().next();
                 waiting.remove(first);
                 loop.execute(first);
@@ -126,7 +126,7 @@
                             EngineConnection up =
                                     new EngineConnection(loop, c, this, owner, counters);
                             call.dialing(up::close);
-                            loop.whenCaughtUp(
+                            loop.runWhenCaughtUp(
                                     () -> call.run(up)); // a cancel or a drain may lie unread
                             // after a stall
                         },
--- a/src/main/java/junipercourse/fleet/FleetService.java
+++ b/src/main/java/junipercourse/fleet/FleetService.java
@@ -115,7 +115,7 @@
     }
 
     private static double now() {
-        return Clock.SYSTEM.monotonic();
+        return Clock.SYSTEM.monotonicSeconds();
     }
 
     /**
--- a/src/main/java/junipercourse/net/AcceptBacklog.java
+++ b/src/main/java/junipercourse/net/AcceptBacklog.java
@@ -21,23 +21,24 @@
 final class AcceptBacklog {
     private static final List<Path> TABLES =
             List.of(Path.of("/proc/net/tcp6"), Path.of("/proc/net/tcp"));
-    private static final String LISTENING = "0A";
+    private static final String STATE_LISTEN = "0A";
 
     /**
      * Listening sockets come first; guards the loop against a machine with a hundred thousand
      * others.
      */
-    private static final int MOST_LINES = 2000;
+    private static final int MAX_LINES = 2000;
 
     private AcceptBacklog() {}
 
     /** The number at an address; -1 where the system does not tell. */
-    static int waiting(InetSocketAddress listening) {
+    static int countWaiting(InetSocketAddress listening) {
         for (Path table : TABLES) {
-            try (BufferedReader lines = Files.newBufferedReader(table, StandardCharsets.US_ASCII)) {
-                int found = find(lines, listening);
-                if (found >= 0) {
-                    return found;
+            try (BufferedReader reader =
+                    Files.newBufferedReader(table, StandardCharsets.US_ASCII)) {
+                int waiting = findWaiting(reader, listening);
+                if (waiting >= 0) {
+                    return waiting;
                 }
             } catch (IOException | IllegalArgumentException e) {
                 continue; // another system, or IPv6 is off: the other table, or no answer
@@ -47,20 +48,20 @@
     }
 
     /** Finds the address in a table; -1 if it does not listen there. */
-    static int find(BufferedReader table, InetSocketAddress listening) throws IOException {
-        byte[] raw = listening.getAddress().getAddress();
-        StringBuilder last =
+    static int findWaiting(BufferedReader table, InetSocketAddress listening) throws IOException {
+        byte[] addressBytes = listening.getAddress().getAddress();
+        StringBuilder hexAddress =
                 new StringBuilder(); // four bytes are written as one little-endian number
-        for (int i = raw.length - 1; i >= raw.length - 4; i--) {
-            last.append(String.format("%02X", raw[i]));
+        for (int i = addressBytes.length - 1; i >= addressBytes.length - 4; i--) {
+            hexAddress.append(String.format("%02X", addressBytes[i]));
         }
-        String local = last + String.format(":%04X", listening.getPort());
+        String localSuffix = hexAddress + String.format(":%04X", listening.getPort());
         String line = table.readLine();
-        for (int i = 0; line != null && i < MOST_LINES; i++, line = table.readLine()) {
+        for (int i = 0; line != null && i < MAX_LINES; i++, line = table.readLine()) {
             String[] columns = line.trim().split(" +");
             if (columns.length > 4
-                    && columns[3].equals(LISTENING)
-                    && columns[1].toUpperCase(Locale.ROOT).endsWith(local)) {
+                    && columns[3].equals(STATE_LISTEN)
+                    && columns[1].toUpperCase(Locale.ROOT).endsWith(localSuffix)) {
                 return Integer.parseInt(columns[4].substring(columns[4].indexOf(':') + 1), 16);
             }
         }
--- a/src/main/java/junipercourse/net/Clock.java
+++ b/src/main/java/junipercourse/net/Clock.java
@@ -8,20 +8,20 @@
     Clock SYSTEM =
             new Clock() {
                 @Override
-                public double monotonic() {
+                public double monotonicSeconds() {
                     return System.nanoTime() / 1e9;
                 }
 
                 @Override
-                public double unix() {
+                public double unixSeconds() {
                     Instant t = Instant.now();
                     return t.getEpochSecond() + t.getNano() / 1e9;
                 }
             };
 
     /** Seconds from some point; never steps, and stands still while the machine is suspended. */
-    double monotonic();
+    double monotonicSeconds();
 
     /** Unix time in seconds; may step either way. */
-    double unix();
+    double unixSeconds();
 }
--- a/src/main/java/junipercourse/net/Connection.java
+++ b/src/main/java/junipercourse/net/Connection.java
@@ -16,7 +16,8 @@
  * until the peer takes it ({@link WriteQueue}). It is given back in one place, {@link #close}.
  */
 public final class Connection {
-    private static final int MAX_READS_A_TURN = 8; // so that no one peer keeps the thread to itself
+    private static final int MAX_READS_PER_EVENT =
+            8; // so that no one peer keeps the thread to itself
 
     /** What happens on a link. */
     public interface Handler {
@@ -35,7 +36,7 @@
          * An exception in the handler has cost this connection, which is closed; it is to be
          * counted.
          */
-        void crashed();
+        void handlerFailed();
     }
 
     private final EventLoop loop;
@@ -43,40 +44,42 @@
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
     private final Handler handler;
-    private final ByteBuffer input;
+    private final ByteBuffer readBuffer;
     private final WriteQueue unsent;
     private boolean closed;
     private double unreadSince = Double.NaN;
-    private double doubtedAt;
+    private double assumedUnreadAt;
     private ArrivalInterval arrival;
 
     public Connection(EventLoop loop, StreamConnection connection, Handler handler) {
         this.loop = loop;
         this.connection = connection;
         this.handler = handler;
-        input = loop.input();
-        unsent = new WriteQueue(loop.output());
+        readBuffer = loop.readBuffer();
+        unsent = new WriteQueue(loop.writeBuffer());
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
         source.setReadListener(c -> readable());
         sink.setWriteListener(c -> writable());
         arrival = loop.arrival();
-        doubt(arrival.earliest()); // it may have brought bytes with it
+        assumeUnread(arrival.earliest()); // it may have brought bytes with it
         source.resumeReads();
     }
 
     /** Bytes may lie there that came since then, until a whole pass from now on has found none. */
-    private void doubt(double since) {
-        unreadSince = since;
-        doubtedAt = loop.now();
+    private void assumeUnread(double sinceSeconds) {
+        unreadSince = sinceSeconds;
+        assumedUnreadAt = loop.now();
     }
 
-    private ArrivalInterval arrivalNow() {
-        ArrivalInterval seen = loop.arrival();
-        boolean doubted = !Double.isNaN(unreadSince) && loop.readUpTo() <= doubtedAt;
-        return doubted
-                ? new ArrivalInterval(Math.min(unreadSince, seen.earliest()), seen.readAt())
-                : seen;
+    private ArrivalInterval currentArrival() {
+        ArrivalInterval loopArrival = loop.arrival();
+        boolean mayHaveUnread =
+                !Double.isNaN(unreadSince) && loop.readWatermark() <= assumedUnreadAt;
+        return mayHaveUnread
+                ? new ArrivalInterval(
+                        Math.min(unreadSince, loopArrival.earliest()), loopArrival.readAt())
+                : loopArrival;
     }
 
     /** When the bytes that were read last have come. */
@@ -85,12 +88,12 @@
     }
 
     private void readable() {
-        loop.enter();
+        loop.recordActivity();
         try {
-            arrival = arrivalNow();
-            for (int i = 0; i < MAX_READS_A_TURN && !closed && source.isReadResumed(); i++) {
-                input.clear();
-                int n = source.read(input);
+            arrival = currentArrival();
+            for (int i = 0; i < MAX_READS_PER_EVENT && !closed && source.isReadResumed(); i++) {
+                readBuffer.clear();
+                int n = source.read(readBuffer);
                 if (n < 0) {
                     fail();
                     return;
@@ -99,11 +102,11 @@
                     unreadSince = Double.NaN;
                     return;
                 }
-                input.flip();
-                handler.received(input);
+                readBuffer.flip();
+                handler.received(readBuffer);
             }
             if (!closed) { // what is left came after what was read
-                doubt(arrival.earliest());
+                assumeUnread(arrival.earliest());
             }
         } catch (IOException e) {
             fail();
@@ -111,10 +114,10 @@
             Logger.error(e, "a connection's handler failed; the connection is closed");
             if (!closed) {
                 close();
-                handler.crashed();
+                handler.handlerFailed();
             }
         } catch (Error e) {
-            loop.failed(e);
+            loop.reportError(e);
             throw e;
         }
     }
@@ -129,31 +132,31 @@
     /**
      * Takes in at once what has come, as if its turn had come; nothing while reading is stopped.
      */
-    public void poll() {
+    public void readNow() {
         if (!closed && source.isReadResumed()) {
             readable();
         }
     }
 
     /** Whether it is open and nothing has come that was not read; what has come is lost. */
-    public boolean quiet() {
+    public boolean isOpenWithoutInput() {
         try {
-            input.clear();
-            return !closed && source.read(input) == 0;
+            readBuffer.clear();
+            return !closed && source.read(readBuffer) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Reading stops while a peer sends more than can be taken. */
-    public void reading(boolean on) {
+    public void setReadingEnabled(boolean enabled) {
         if (closed) {
             return;
         }
-        if (on && !source.isReadResumed()) {
-            doubt(Double.isNaN(unreadSince) ? loop.arrival().earliest() : unreadSince);
+        if (enabled && !source.isReadResumed()) {
+            assumeUnread(Double.isNaN(unreadSince) ? loop.arrival().earliest() : unreadSince);
             source.resumeReads();
-        } else if (!on) {
+        } else if (!enabled) {
             source.suspendReads();
         }
     }
@@ -172,11 +175,11 @@
 
     /** Bytes that the peer has not taken yet. */
     public long unsentBytes() {
-        return unsent.bytes();
+        return unsent.unsentBytes();
     }
 
     private void writable() {
-        loop.enter();
+        loop.recordActivity();
         flush();
         if (unsent.isEmpty() && !closed) {
             handler.flushed();
@@ -200,15 +203,15 @@
 
     /**
      * Ends the connection in order, with last words; the handler hears nothing more. For use right
-     * after {@link #poll}: whatever this process does in between, or is kept from doing by a stop,
-     * is time in which a query may come that nobody would read.
+     * after {@link #readNow}: whatever this process does in between, or is kept from doing by a
+     * stop, is time in which a query may come that nobody would read.
      */
-    public LingeringClose linger(byte[] goodbye, Consumer<LingeringClose> gone) {
-        shut();
-        if (goodbye.length > 0) {
-            unsent.add(goodbye);
+    public LingeringClose closeLingering(byte[] finalBytes, Consumer<LingeringClose> onClosing) {
+        markClosed();
+        if (finalBytes.length > 0) {
+            unsent.add(finalBytes);
         }
-        return new LingeringClose(loop, connection, unsent, gone);
+        return new LingeringClose(loop, connection, unsent, onClosing);
     }
 
     /**
@@ -217,17 +220,17 @@
      * not given back yet.
      */
     public void close() {
-        if (shut()) {
+        if (markClosed()) {
             loop.execute(() -> closeQuietly(connection));
         }
     }
 
-    private boolean shut() {
-        boolean open = !closed;
+    private boolean markClosed() {
+        boolean wasOpen = !closed;
         closed = true;
         source.suspendReads();
         sink.suspendWrites();
-        return open;
+        return wasOpen;
     }
 
     /**
--- a/src/main/java/junipercourse/net/DeadlineQueue.java
+++ b/src/main/java/junipercourse/net/DeadlineQueue.java
@@ -5,17 +5,17 @@
 /** All deadlines, in one ordered set. */
 public final class DeadlineQueue {
     private final TreeSet<Entry> entries = new TreeSet<>();
-    private long added;
+    private long nextSequence;
 
     /** One deadline. */
     public static final class Entry implements Comparable<Entry> {
         private final double time;
-        private final long seq;
+        private final long sequence;
         private final Runnable task;
 
         private Entry(double time, long seq, Runnable task) {
             this.time = time;
-            this.seq = seq;
+            this.sequence = seq;
             this.task = task;
         }
 
@@ -23,12 +23,12 @@
         public int compareTo(Entry other) {
             return time != other.time
                     ? Double.compare(time, other.time)
-                    : Long.compare(seq, other.seq);
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     Entry add(double time, Runnable task) {
-        Entry entry = new Entry(time, added++, task);
+        Entry entry = new Entry(time, nextSequence++, task);
         entries.add(entry);
         return entry;
     }
@@ -40,12 +40,12 @@
     }
 
     /** The time of the next deadline; infinite without any. */
-    double next() {
+    double nextTime() {
         return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().time;
     }
 
     /** Takes out the first task that is due, or null. */
-    Runnable poll(double now) {
-        return next() <= now ? entries.pollFirst().task : null;
+    Runnable pollDue(double now) {
+        return nextTime() <= now ? entries.pollFirst().task : null;
     }
 }
--- a/src/main/java/junipercourse/net/DescriptorBudget.java
+++ b/src/main/java/junipercourse/net/DescriptorBudget.java
@@ -15,9 +15,9 @@
  */
 public final class DescriptorBudget {
     private final int limit;
-    private final int own;
+    private final int reserved;
     private final List<Share> shares = new ArrayList<>();
-    private int given;
+    private int allocated;
     private int allowed;
 
     /**
@@ -25,19 +25,23 @@
      * @param own what is not given out here: files of the JVM, selector, pipe, event bus, listening
      *     sockets
      */
-    public DescriptorBudget(int limit, int own) {
-        if (own >= limit) {
+    public DescriptorBudget(int limit, int reserved) {
+        if (reserved >= limit) {
             throw new IllegalArgumentException(
-                    "limits.sockets: " + limit + " leaves nothing beside " + own + " of our own");
+                    "limits.sockets: "
+                            + limit
+                            + " leaves nothing beside "
+                            + reserved
+                            + " of our own");
         }
         this.limit = limit;
-        this.own = own;
+        this.reserved = reserved;
         this.allowed = limit;
     }
 
     /** What is open or closing now, with all that is our own. */
     public int used() {
-        return own + shares.stream().mapToInt(s -> s.open + s.closing).sum();
+        return reserved + shares.stream().mapToInt(s -> s.openCount + s.markClosing).sum();
     }
 
     /** What this process may hold for now; its limit while it is alone. */
@@ -53,39 +57,39 @@
      * @param held what it claims by now, at least all that it holds
      * @param others what all others claim; -1: there are none
      */
-    public static int claim(int held, int others, int limit) {
-        return others < 0 ? limit : held + Math.max(0, limit - held - others) / 2;
+    public static int claim(int ownClaim, int othersClaim, int limit) {
+        return othersClaim < 0 ? limit : ownClaim + Math.max(0, limit - ownClaim - othersClaim) / 2;
     }
 
     /**
      * Takes a claim on that has been told. Beside others, half of what is not used of it is given
      * back.
      */
-    public void allow(int claimed, boolean beside) {
-        allowed = beside ? used() + Math.max(0, claimed - used()) / 2 : limit;
+    public void applyClaim(int claimed, boolean hasSiblings) {
+        allowed = hasSiblings ? used() + Math.max(0, claimed - used()) / 2 : limit;
     }
 
     /** What is not promised to any share yet. */
-    public int free() {
-        return limit - own - given;
+    public int unallocated() {
+        return limit - reserved - allocated;
     }
 
     /** Promises a part: so many open at most, and so many more that are closing. */
-    public Share share(String name, int most, int slack) {
-        if (most < 1 || slack < 0 || most + slack > free()) {
+    public Share allocateShare(String name, int maxOpen, int slack) {
+        if (maxOpen < 1 || slack < 0 || maxOpen + slack > unallocated()) {
             throw new IllegalArgumentException(
                     "limits.sockets: "
-                            + most
+                            + maxOpen
                             + " and "
                             + slack
                             + " for "
                             + name
                             + ", but "
-                            + free()
+                            + unallocated()
                             + " are left");
         }
-        given += most + slack;
-        Share share = new Share(name, most, slack);
+        allocated += maxOpen + slack;
+        Share share = new Share(name, maxOpen, slack);
         shares.add(share);
         return share;
     }
@@ -97,94 +101,95 @@
     /** The peak of each share, in one line. */
     @Override
     public String toString() {
-        StringJoiner out = new StringJoiner(" ");
-        shares.forEach(s -> out.add("most_" + s.name + "=" + s.peak + "/" + s.most));
-        return out.toString();
+        StringJoiner peaks = new StringJoiner(" ");
+        shares.forEach(s -> peaks.add("most_" + s.name + "=" + s.peak + "/" + s.maxOpen));
+        return peaks.toString();
     }
 
     public int limit() {
         return limit;
     }
 
-    public int own() {
-        return own;
+    public int reserved() {
+        return reserved;
     }
 
-    private int leftOfAll() {
+    private int availableOverall() {
         return allowed == limit ? Integer.MAX_VALUE : allowed - used();
     }
 
     /** One part, with one user, who takes before he opens and says when he closes. */
     public final class Share {
         private final String name;
-        private final int most;
+        private final int maxOpen;
         private final int slack;
-        private int open;
-        private int closing;
+        private int openCount;
+        private int markClosing;
         private int peak;
-        private long turnedDown;
+        private long refusedCount;
 
-        private Share(String name, int most, int slack) {
+        private Share(String name, int maxOpen, int slack) {
             this.name = name;
-            this.most = most;
+            this.maxOpen = maxOpen;
             this.slack = slack;
         }
 
         /** How many more may be opened now. */
-        public int room() {
-            return Math.min(most - open - Math.max(0, closing - slack), leftOfAll());
+        public int available() {
+            return Math.min(
+                    maxOpen - openCount - Math.max(0, markClosing - slack), availableOverall());
         }
 
         /** Takes one; false if none is left. */
-        public boolean take() {
-            if (room() <= 0) {
-                turnedDown++;
+        public boolean tryAcquire() {
+            if (available() <= 0) {
+                refusedCount++;
                 return false;
             }
-            open++;
-            peak = Math.max(peak, open + closing);
+            openCount++;
+            peak = Math.max(peak, openCount + markClosing);
             return true;
         }
 
         /** Counts one that is open already, whatever the bounds: the system has accepted it. */
-        public void hold() {
-            open++;
-            peak = Math.max(peak, open + closing);
+        public void acquireUnconditionally() {
+            openCount++;
+            peak = Math.max(peak, openCount + markClosing);
         }
 
         /** One is being closed. */
-        public void closing() {
-            if (open <= 0) {
+        public void markClosing() {
+            if (openCount <= 0) {
                 throw new IllegalStateException(name + ": one is closed that was not open");
             }
-            open--;
-            closing++;
-            peak = Math.max(peak, open + closing);
+            openCount--;
+            markClosing++;
+            peak = Math.max(peak, openCount + markClosing);
         }
 
         /** One that was being closed is gone. */
-        public void gone() {
-            if (closing <= 0) {
+        public void markClosed() {
+            if (markClosing <= 0) {
                 throw new IllegalStateException(name + ": one is gone that was not closing");
             }
-            closing--;
+            markClosing--;
         }
 
         public String name() {
             return name;
         }
 
-        public int most() {
-            return most;
+        public int maxOpen() {
+            return maxOpen;
         }
 
-        public int open() {
-            return open;
+        public int openCount() {
+            return openCount;
         }
 
         /** Those closed whose descriptors the system may still count. */
-        public int closingNow() {
-            return closing;
+        public int closingCount() {
+            return markClosing;
         }
 
         /** The most that were open or closing at once. */
@@ -193,8 +198,8 @@
         }
 
         /** How often one was wanted and none was left. */
-        public long turnedDown() {
-            return turnedDown;
+        public long refusedCount() {
+            return refusedCount;
         }
     }
 }
--- a/src/main/java/junipercourse/net/InheritedSocket.java
+++ b/src/main/java/junipercourse/net/InheritedSocket.java
@@ -29,9 +29,11 @@
      * @param listen where it has to listen
      * @throws IllegalArgumentException if it is none that can be used; the message says what it is
      */
-    public static ServerSocketChannel take(String named, InetSocketAddress listen) {
-        if (!DESCRIPTOR.equals(named.trim())) {
-            throw new IllegalArgumentException("only descriptor 0 can be taken over, not " + named);
+    public static ServerSocketChannel takeOver(
+            String descriptor, InetSocketAddress expectedAddress) {
+        if (!DESCRIPTOR.equals(descriptor.trim())) {
+            throw new IllegalArgumentException(
+                    "only descriptor 0 can be taken over, not " + descriptor);
         }
         try {
             Channel channel = System.inheritedChannel();
@@ -42,15 +44,17 @@
                                         ? "no TCP socket"
                                         : "no listening socket: " + channel));
             }
-            InetSocketAddress at = (InetSocketAddress) server.getLocalAddress();
-            if (at == null
-                    || at.getPort() != listen.getPort()
-                    || !at.getAddress().equals(listen.getAddress())) {
+            InetSocketAddress boundAddress = (InetSocketAddress) server.getLocalAddress();
+            if (boundAddress == null
+                    || boundAddress.getPort() != expectedAddress.getPort()
+                    || !boundAddress.getAddress().equals(expectedAddress.getAddress())) {
                 throw new IllegalArgumentException(
-                        "descriptor 0 is bound to " + at + ", not to " + listen);
+                        "descriptor 0 is bound to " + boundAddress + ", not to " + expectedAddress);
             }
-            if (Files.isReadable(Path.of("/proc/net/tcp")) && AcceptBacklog.waiting(at) < 0) {
-                throw new IllegalArgumentException("descriptor 0 does not listen on " + at);
+            if (Files.isReadable(Path.of("/proc/net/tcp"))
+                    && AcceptBacklog.countWaiting(boundAddress) < 0) {
+                throw new IllegalArgumentException(
+                        "descriptor 0 does not listen on " + boundAddress);
             }
             return server;
         } catch (IOException e) {
--- a/src/main/java/junipercourse/net/IoThread.java
+++ b/src/main/java/junipercourse/net/IoThread.java
@@ -23,8 +23,8 @@
  * task that fails from costing more than itself.
  */
 final class IoThread {
-    private final Runnable onFault;
-    private final Consumer<Throwable> onError;
+    private final Runnable onTaskFailure;
+    private final Consumer<Throwable> onFatalError;
     private final XnioWorker worker;
     private final XnioIoThread thread;
 
@@ -32,9 +32,9 @@
      * @param onFault is told of each task that failed
      * @param onError is told of an error of the JVM itself, after which the thread may not go on
      */
-    IoThread(Runnable onFault, Consumer<Throwable> onError) throws IOException {
-        this.onFault = onFault;
-        this.onError = onError;
+    IoThread(Runnable onTaskFailure, Consumer<Throwable> onFatalError) throws IOException {
+        this.onTaskFailure = onTaskFailure;
+        this.onFatalError = onFatalError;
         worker =
                 Xnio.getInstance()
                         .createWorker(
@@ -45,7 +45,7 @@
                                         .set(Options.WORKER_NAME, "junipercourse")
                                         .getMap());
         thread = worker.getIoThread();
-        thread.setUncaughtExceptionHandler((t, e) -> onError.accept(e));
+        thread.setUncaughtExceptionHandler((t, e) -> onFatalError.accept(e));
     }
 
     /** What listening sockets belong to. */
@@ -54,7 +54,7 @@
     }
 
     /** Runs a task on the thread, unguarded; ignored after the end. */
-    void queue(Runnable task) {
+    void enqueue(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
@@ -66,12 +66,12 @@
      * Runs a task on the thread after so many whole milliseconds, unguarded; rejected after the
      * end.
      */
-    XnioIoThread.Key after(long millis, Runnable task) {
+    XnioIoThread.Key executeAfter(long millis, Runnable task) {
         return thread.executeAfter(task, millis, TimeUnit.MILLISECONDS);
     }
 
     /** A pipe whose both ends are on the thread; it ends with it. */
-    ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe() throws IOException {
+    ChannelPipe<StreamSourceChannel, StreamSinkChannel> createPipe() throws IOException {
         return thread.createHalfDuplexPipe();
     }
 
@@ -83,21 +83,21 @@
     }
 
     /** An exception costs the task at hand, never the process; an error of the JVM costs that. */
-    void guarded(Runnable task) {
+    void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | StackOverflowError e) {
-            onFault.run();
+            onTaskFailure.run();
             Logger.error(e, "a task failed");
         } catch (Error e) { // XNIO would log it and go on, or lose its thread
-            onError.accept(e);
+            onFatalError.accept(e);
             throw e;
         }
     }
 
     /** Hands on what a handler met that is no exception. */
-    void failed(Error error) {
-        onError.accept(error);
+    void reportError(Error error) {
+        onFatalError.accept(error);
     }
 
     /** Ends the thread, and with it all that is on it. */
--- a/src/main/java/junipercourse/net/LingeringClose.java
+++ b/src/main/java/junipercourse/net/LingeringClose.java
@@ -16,20 +16,20 @@
  * parsed.
  */
 public final class LingeringClose {
-    private static final double MOST_S = 1.0;
-    private static final long MOST_BYTES = 1 << 20;
-    private static final int MAX_READS_A_TURN = 8; // as a link's
+    private static final double MAX_LINGER_SECONDS = 1.0;
+    private static final long MAX_DISCARDED_BYTES = 1 << 20;
+    private static final int MAX_READS_PER_EVENT = 8; // as a link's
 
     private final EventLoop loop;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
-    private final WriteQueue unsent;
-    private final Consumer<LingeringClose> gone;
-    private final DeadlineQueue.Entry last;
-    private long thrownAway;
-    private boolean shut;
-    private boolean ended;
+    private final WriteQueue hasUnsentBytes;
+    private final Consumer<LingeringClose> onClosing;
+    private final DeadlineQueue.Entry timeout;
+    private long discardedBytes;
+    private boolean writesShutDown;
+    private boolean peerClosed;
     private boolean closed;
 
     /** {@code gone} runs once, later, when it is being closed. */
@@ -37,65 +37,65 @@
             EventLoop loop,
             StreamConnection connection,
             WriteQueue unsent,
-            Consumer<LingeringClose> gone) {
+            Consumer<LingeringClose> onClosing) {
         this.loop = loop;
         this.connection = connection;
-        this.unsent = unsent;
-        this.gone = gone;
+        this.hasUnsentBytes = unsent;
+        this.onClosing = onClosing;
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
         source.setReadListener(c -> readable());
         sink.setWriteListener(c -> writable());
-        last = loop.after(MOST_S, this::close);
+        timeout = loop.scheduleAfter(MAX_LINGER_SECONDS, this::close);
         send(() -> loop.execute(this::close)); // whoever begins this is in the middle of its work
         if (!closed) {
             source.resumeReads();
         }
     }
 
-    private void send(Runnable over) {
+    private void send(Runnable onComplete) {
         try {
-            if (!unsent.sendTo(sink)) {
+            if (!hasUnsentBytes.sendTo(sink)) {
                 sink.resumeWrites();
                 return;
             }
             sink.suspendWrites();
             sink.shutdownWrites();
-            shut = sink.flush();
-            if (!shut) {
+            writesShutDown = sink.flush();
+            if (!writesShutDown) {
                 sink.resumeWrites();
-            } else if (ended) {
-                over.run();
+            } else if (peerClosed) {
+                onComplete.run();
             }
         } catch (IOException e) { // the peer is gone
-            over.run();
+            onComplete.run();
         }
     }
 
     private void writable() {
-        loop.enter();
+        loop.recordActivity();
         if (!closed) {
             send(this::close);
         }
     }
 
     private void readable() {
-        loop.enter();
-        ByteBuffer input = loop.input();
+        loop.recordActivity();
+        ByteBuffer readBuffer = loop.readBuffer();
         try {
-            for (int i = 0; i < MAX_READS_A_TURN && !closed; i++) {
-                input.clear();
-                int n = source.read(input);
+            for (int i = 0; i < MAX_READS_PER_EVENT && !closed; i++) {
+                readBuffer.clear();
+                int n = source.read(readBuffer);
                 if (n == 0) {
                     return;
                 }
-                thrownAway += Math.max(0, n);
-                ended = n < 0;
-                if (ended && !shut) { // it may still read what it has not taken yet
+                discardedBytes += Math.max(0, n);
+                peerClosed = n < 0;
+                if (peerClosed && !writesShutDown) { // it may still read what it has not taken yet
                     source.suspendReads();
                     return;
                 }
-                if (ended || thrownAway > MOST_BYTES) {
+                if (peerClosed || discardedBytes > MAX_DISCARDED_BYTES) {
                     close();
                 }
             }
@@ -105,8 +105,8 @@
     }
 
     /** Whether some of what was written has not been taken, or its end not been told yet. */
-    public boolean unsent() {
-        return !shut && !closed;
+    public boolean hasUnsentBytes() {
+        return !writesShutDown && !closed;
     }
 
     /**
@@ -118,10 +118,10 @@
             return;
         }
         closed = true;
-        loop.cancel(last);
+        loop.cancel(timeout);
         source.suspendReads();
         sink.suspendWrites();
         loop.execute(() -> Connection.closeQuietly(connection));
-        gone.accept(this);
+        onClosing.accept(this);
     }
 }
--- a/src/main/java/junipercourse/net/Listeners.java
+++ b/src/main/java/junipercourse/net/Listeners.java
@@ -26,15 +26,15 @@
      * Once there is room again, the acceptor is woken in a pass, accepts in the next, and is read
      * then.
      */
-    private static final int MARKS_BEHIND = 3;
+    private static final int PROBES_AFTER_BACKLOG = 3;
 
     private final EventLoop loop;
     private final IoThread thread;
-    private final List<InetSocketAddress> listening = new ArrayList<>();
-    private long handedOver;
-    private long toHandOver;
-    private boolean backlog;
-    private int marksBehind;
+    private final List<InetSocketAddress> listeningAddresses = new ArrayList<>();
+    private long acceptedCount;
+    private long acceptTarget;
+    private boolean setBacklogged;
+    private int remainingProbes;
 
     Listeners(EventLoop loop, IoThread thread) {
         this.loop = loop;
@@ -43,15 +43,15 @@
 
     /** Listens on an address; see {@link EventLoop#listen(InetSocketAddress, int, Consumer)}. */
     AcceptingChannel<StreamConnection> listen(
-            InetSocketAddress address, int most, Consumer<StreamConnection> accepted)
+            InetSocketAddress address, int maxConnections, Consumer<StreamConnection> onAccepted)
             throws IOException {
-        return accepting(
+        return startAccepting(
                 thread.worker()
                         .createStreamConnectionServer(
                                 address,
-                                onAccept(accepted),
+                                createAcceptListener(onAccepted),
                                 OptionMap.builder()
-                                        .addAll(accepts(most))
+                                        .addAll(acceptOptions(maxConnections))
                                         .set(Options.BACKLOG, BACKLOG)
                                         .set(Options.REUSE_ADDRESSES, true)
                                         .getMap()));
@@ -59,29 +59,35 @@
 
     /** The same on a socket that listens already. */
     AcceptingChannel<StreamConnection> listen(
-            ServerSocketChannel socket, int most, Consumer<StreamConnection> accepted)
+            ServerSocketChannel socket, int maxConnections, Consumer<StreamConnection> onAccepted)
             throws IOException {
-        return accepting(
-                ExistingTcpServer.on(thread.worker(), socket, onAccept(accepted), accepts(most)));
+        return startAccepting(
+                ExistingTcpServer.adopt(
+                        thread.worker(),
+                        socket,
+                        createAcceptListener(onAccepted),
+                        acceptOptions(maxConnections)));
     }
 
-    private static OptionMap accepts(int most) {
+    private static OptionMap acceptOptions(int maxConnections) {
         return OptionMap.builder()
-                .set(Options.CONNECTION_HIGH_WATER, most)
-                .set(Options.CONNECTION_LOW_WATER, most)
+                .set(Options.CONNECTION_HIGH_WATER, maxConnections)
+                .set(Options.CONNECTION_LOW_WATER, maxConnections)
                 .set(Options.TCP_NODELAY, true)
                 .getMap();
     }
 
-    private ChannelListener<AcceptingChannel<StreamConnection>> onAccept(
-            Consumer<StreamConnection> accepted) {
+    private ChannelListener<AcceptingChannel<StreamConnection>> createAcceptListener(
+            Consumer<StreamConnection> onAccepted) {
         return server -> {
-            loop.enter();
+            loop.recordActivity();
             try {
-                for (StreamConnection c = server.accept(); c != null; c = server.accept()) {
-                    StreamConnection connection = c;
-                    handedOver++;
-                    thread.guarded(() -> accepted.accept(connection));
+                for (StreamConnection next = server.accept();
+                        next != null;
+                        next = server.accept()) {
+                    StreamConnection connection = next;
+                    acceptedCount++;
+                    thread.runGuarded(() -> onAccepted.accept(connection));
                 }
             } catch (ClosedChannelException e) {
                 Logger.debug("the listening socket has been closed");
@@ -91,9 +97,9 @@
         };
     }
 
-    private AcceptingChannel<StreamConnection> accepting(
+    private AcceptingChannel<StreamConnection> startAccepting(
             AcceptingChannel<StreamConnection> server) {
-        listening.add(server.getLocalAddress(InetSocketAddress.class));
+        listeningAddresses.add(server.getLocalAddress(InetSocketAddress.class));
         server.resumeAccepts();
         return server;
     }
@@ -102,16 +108,16 @@
      * Closes a listening socket once what waits there is handed over, as far as the bound on it
      * allows.
      */
-    void closeEmptied(AcceptingChannel<StreamConnection> server, Runnable over) {
-        ExistingTcpServer.closeEmptied(
-                server, BACKLOG, () -> loop.execute(over)); // behind those accepted
+    void drainAndClose(AcceptingChannel<StreamConnection> server, Runnable onDrained) {
+        ExistingTcpServer.drainAndClose(
+                server, BACKLOG, () -> loop.execute(onDrained)); // behind those accepted
     }
 
     /** Whether connections may be waiting unaccepted because no more may be open. */
-    void backlog(boolean mayWait) {
-        backlog = mayWait;
+    void setBacklogged(boolean mayWait) {
+        setBacklogged = mayWait;
         if (mayWait) {
-            marksBehind = MARKS_BEHIND;
+            remainingProbes = PROBES_AFTER_BACKLOG;
         }
     }
 
@@ -120,28 +126,31 @@
      *
      * @param catchingUp whether to count those that wait; done anyway while there is a backlog
      */
-    boolean markGoesOut(boolean catchingUp) {
-        if (catchingUp || marksBehind > 0) {
-            countWaiting();
+    boolean mayMissConnections(boolean catchingUp) {
+        if (catchingUp || remainingProbes > 0) {
+            updateAcceptTarget();
         }
-        if (marksBehind > 0) {
-            marksBehind -= backlog ? 0 : 1;
+        if (remainingProbes > 0) {
+            remainingProbes -= setBacklogged ? 0 : 1;
             return true;
         }
         return false;
     }
 
     /** Whether some of those that were counted last have not been accepted yet. */
-    boolean behind() {
-        return handedOver < toHandOver;
+    boolean hasWaitingConnections() {
+        return acceptedCount < acceptTarget;
     }
 
     /**
      * Guards against an acceptor that is not done: what waits now comes first, since the queue is
      * one. Where the system does not tell how many wait, time must do.
      */
-    private void countWaiting() {
-        int waiting = listening.stream().mapToInt(a -> Math.max(0, AcceptBacklog.waiting(a))).sum();
-        toHandOver = handedOver + waiting;
+    private void updateAcceptTarget() {
+        int waiting =
+                listeningAddresses.stream()
+                        .mapToInt(address -> Math.max(0, AcceptBacklog.countWaiting(address)))
+                        .sum();
+        acceptTarget = acceptedCount + waiting;
     }
 }
--- a/src/main/java/junipercourse/net/PendingConnect.java
+++ b/src/main/java/junipercourse/net/PendingConnect.java
@@ -10,28 +10,28 @@
  */
 final class PendingConnect implements EventLoop.Dial {
     private final EventLoop loop;
-    private final Consumer<StreamConnection> connected;
-    private final Consumer<EventLoop.DialFailure> failed;
+    private final Consumer<StreamConnection> onConnected;
+    private final Consumer<EventLoop.DialFailure> onFailed;
     private IoFuture<StreamConnection> future;
     private DeadlineQueue.Entry deadline;
-    private boolean over;
+    private boolean done;
 
     PendingConnect(
             EventLoop loop,
-            Consumer<StreamConnection> connected,
-            Consumer<EventLoop.DialFailure> failed) {
+            Consumer<StreamConnection> onConnected,
+            Consumer<EventLoop.DialFailure> onFailed) {
         this.loop = loop;
-        this.connected = connected;
-        this.failed = failed;
+        this.onConnected = onConnected;
+        this.onFailed = onFailed;
     }
 
     /** Waits for the connection so many seconds. */
-    void watch(IoFuture<StreamConnection> opening, double timeout) {
-        future = opening;
-        deadline = loop.after(timeout, () -> fail(EventLoop.DialFailure.TIMED_OUT));
-        opening.addNotifier(
-                (f, none) -> {
-                    if (f.getStatus() == IoFuture.Status.FAILED) {
+    void watch(IoFuture<StreamConnection> connectFuture, double timeoutSeconds) {
+        future = connectFuture;
+        deadline = loop.scheduleAfter(timeoutSeconds, () -> fail(EventLoop.DialFailure.TIMED_OUT));
+        connectFuture.addNotifier(
+                (finished, attachment) -> {
+                    if (finished.getStatus() == IoFuture.Status.FAILED) {
                         loop.execute(() -> fail(EventLoop.DialFailure.REFUSED));
                     }
                 },
@@ -39,27 +39,27 @@
     }
 
     /** It came up. */
-    void open(StreamConnection connection) {
-        loop.enter();
-        if (over) { // it came up just after it was given up
+    void complete(StreamConnection connection) {
+        loop.recordActivity();
+        if (done) { // it came up just after it was given up
             Connection.closeQuietly(connection);
             return;
         }
-        over = true;
+        done = true;
         loop.cancel(deadline);
-        connected.accept(connection);
+        onConnected.accept(connection);
     }
 
-    private void fail(EventLoop.DialFailure why) {
-        if (!over) {
+    private void fail(EventLoop.DialFailure failure) {
+        if (!done) {
             cancel();
-            failed.accept(why);
+            onFailed.accept(failure);
         }
     }
 
     @Override
     public void cancel() {
-        over = true;
+        done = true;
         loop.cancel(deadline);
         future.cancel();
     }
--- a/src/main/java/junipercourse/net/StallRecovery.java
+++ b/src/main/java/junipercourse/net/StallRecovery.java
@@ -16,106 +16,118 @@
     /**
      * A gap this much longer than a beat is a stall; single turns of a busy core come close to it.
      */
-    private static final double STALL_S = 0.1;
+    private static final double MIN_STALL_SECONDS = 0.1;
 
     /** The wall clock is corrected by less than this all the time. */
-    private static final double STEP_S = 0.25;
+    private static final double MIN_CLOCK_STEP_SECONDS = 0.25;
 
     /** After a stall, deadlines wait for all that came during it no longer than this. */
-    private static final double CATCH_UP_MOST_S = 0.3;
+    private static final double MAX_CATCH_UP_SECONDS = 0.3;
 
     /** The first pass accepts what waited, the second reads it. */
-    private static final int MARKS_TO_CATCH_UP = 2;
+    private static final int PROBES_TO_CATCH_UP = 2;
 
     private final EventLoop loop;
     private final IoThread thread;
-    private final WakeupTimer alarm;
+    private final WakeupTimer wakeupTimer;
     private final Clock clock;
-    private final StallDetector attention;
-    private final StallStatistics log = new StallStatistics();
+    private final StallDetector stallDetector;
+    private final StallStatistics statistics = new StallStatistics();
     private final List<Consumer<StallDetector.Stall>> listeners = new ArrayList<>();
-    private final ArrayDeque<Runnable> afterCatchUp = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> tasksAfterCatchUp = new ArrayDeque<>();
     private double stalledUntil = Double.NaN;
     private StallDetector.Stall stall;
-    private boolean attending;
-    private int marksToCome;
+    private boolean isDetecting;
+    private int remainingProbes;
 
     /**
      * @param alarm goes off once a stall is caught up with: the deadlines kept back are due
      * @param beat between the loop's turns at most, in seconds
      */
-    StallRecovery(EventLoop loop, IoThread thread, WakeupTimer alarm, Clock clock, double beat) {
+    StallRecovery(
+            EventLoop loop,
+            IoThread thread,
+            WakeupTimer wakeupTimer,
+            Clock clock,
+            double heartbeatSeconds) {
         this.loop = loop;
         this.thread = thread;
-        this.alarm = alarm;
+        this.wakeupTimer = wakeupTimer;
         this.clock = clock;
-        this.attention = new StallDetector(beat, STALL_S, STEP_S, loop.now(), clock.unix());
+        this.stallDetector =
+                new StallDetector(
+                        heartbeatSeconds,
+                        MIN_STALL_SECONDS,
+                        MIN_CLOCK_STEP_SECONDS,
+                        loop.now(),
+                        clock.unixSeconds());
     }
 
     /** From now on gaps are stalls. */
-    void attend() {
-        attention.restartMeasurement(loop.now());
-        attending = true;
+    void startDetection() {
+        stallDetector.restartMeasurement(loop.now());
+        isDetecting = true;
     }
 
     /** Seconds in which this process has attended to its sockets. */
-    double attended() {
-        return attention.responsiveSeconds();
+    double attendedSeconds() {
+        return stallDetector.responsiveSeconds();
     }
 
     /** Turns a Unix time told by others, in seconds, into the loop's. */
     double fromUnix(double unix) {
-        return attention.toLoopTime(unix);
+        return stallDetector.toLoopTime(unix);
     }
 
     /** Figures of those that were. */
-    StallStatistics log() {
-        return log;
+    StallStatistics statistics() {
+        return statistics;
     }
 
     /**
      * Is told of each stall once all that came during it was read, and before any deadline is run.
      */
-    void onStall(Consumer<StallDetector.Stall> listener) {
+    void addStallListener(Consumer<StallDetector.Stall> listener) {
         listeners.add(listener);
     }
 
     /** Whether a stall has ended and what came during it is still being read. */
-    boolean catchingUp() {
+    boolean isCatchingUp() {
         return stall != null;
     }
 
     /** Runs a task at once or, while a stall is being caught up with, when that is done. */
-    void whenCaughtUp(Runnable task) {
-        if (catchingUp()) {
-            afterCatchUp.add(task);
+    void runWhenCaughtUp(Runnable task) {
+        if (isCatchingUp()) {
+            tasksAfterCatchUp.add(task);
         } else {
-            thread.guarded(task);
+            thread.runGuarded(task);
         }
     }
 
     /** The thread has a turn: the first after a gap finds the stall. */
-    void turn() {
+    void recordActivity() {
         double now = loop.now();
-        StallDetector.Stall found = attending ? attention.recordIteration(now) : null;
-        if (found != null) {
-            marksToCome = MARKS_TO_CATCH_UP;
-            stall = stall == null ? found : new StallDetector.Stall(stall.startTime(), now);
+        StallDetector.Stall detected = isDetecting ? stallDetector.recordIteration(now) : null;
+        if (detected != null) {
+            remainingProbes = PROBES_TO_CATCH_UP;
+            stall = stall == null ? detected : new StallDetector.Stall(stall.startTime(), now);
             stalledUntil = now;
         }
     }
 
     /** Compares the clocks, and ends a catching-up that takes too long. */
-    void beat() {
-        double wall = clock.unix();
-        double step = attention.detectClockStep(loop.now(), wall);
-        if (step != 0) {
-            log.recordClockStep(step);
+    void onHeartbeat() {
+        double wallSeconds = clock.unixSeconds();
+        double stepSeconds = stallDetector.detectClockStep(loop.now(), wallSeconds);
+        if (stepSeconds != 0) {
+            statistics.recordClockStep(stepSeconds);
             Logger.warn(
-                    "the system's clock has stepped by {} s, or the machine was suspended", step);
+                    "the system's clock has stepped by {} s, or the machine was suspended",
+                    stepSeconds);
         }
-        if (catchingUp() && loop.now() > stalledUntil + CATCH_UP_MOST_S) {
-            caughtUp();
+        if (isCatchingUp() && loop.now() > stalledUntil + MAX_CATCH_UP_SECONDS) {
+            finishCatchUp();
         }
     }
 
@@ -125,33 +137,35 @@
      * @param looked whether a mark came home in it
      * @param readUpTo all that came before this time has been read
      */
-    boolean wantMark(boolean looked, double readUpTo) {
-        if (!catchingUp()) {
+    boolean needsProbe(boolean probeReturned, double readWatermark) {
+        if (!isCatchingUp()) {
             return false;
         }
-        if (looked && readUpTo >= stalledUntil) {
-            marksToCome--;
+        if (probeReturned && readWatermark >= stalledUntil) {
+            remainingProbes--;
         }
-        if (marksToCome <= 0) {
-            caughtUp();
+        if (remainingProbes <= 0) {
+            finishCatchUp();
             return false;
         }
         return true;
     }
 
-    private void caughtUp() {
-        StallDetector.Stall ended = stall;
+    private void finishCatchUp() {
+        StallDetector.Stall endedStall = stall;
         stall = null;
-        log.recordStall(ended, clock.unix());
-        log.recordCatchUp(loop.now() - ended.endTime());
+        statistics.recordStall(endedStall, clock.unixSeconds());
+        statistics.recordCatchUp(loop.now() - endedStall.endTime());
         Logger.warn(
                 "this process did nothing for {} ms; read what came meanwhile in {} ms",
-                Math.round(ended.durationSeconds() * 1e3),
-                Math.round((loop.now() - ended.endTime()) * 1e3));
-        listeners.forEach(l -> thread.guarded(() -> l.accept(ended)));
-        for (Runnable task = afterCatchUp.poll(); task != null; task = afterCatchUp.poll()) {
-            thread.guarded(task);
+                Math.round(endedStall.durationSeconds() * 1e3),
+                Math.round((loop.now() - endedStall.endTime()) * 1e3));
+        listeners.forEach(listener -> thread.runGuarded(() -> listener.accept(endedStall)));
+        for (Runnable task = tasksAfterCatchUp.poll();
+                task != null;
+                task = tasksAfterCatchUp.poll()) {
+            thread.runGuarded(task);
         }
-        alarm.fire();
+        wakeupTimer.fire();
     }
 }
--- a/src/main/java/junipercourse/net/WakeupTimer.java
+++ b/src/main/java/junipercourse/net/WakeupTimer.java
@@ -9,9 +9,9 @@
     private final EventLoop loop;
     private final IoThread thread;
     private final DeadlineQueue deadlines = new DeadlineQueue();
-    private XnioIoThread.Key wakeUp;
-    private double wakeAt = Double.POSITIVE_INFINITY;
-    private int wakeUps;
+    private XnioIoThread.Key wakeUpKey;
+    private double nextWakeUp = Double.POSITIVE_INFINITY;
+    private int wakeUpCount;
 
     WakeupTimer(EventLoop loop, IoThread thread) {
         this.loop = loop;
@@ -19,7 +19,7 @@
     }
 
     /** Runs a task at a time unless it is taken back before. */
-    DeadlineQueue.Entry at(double time, Runnable task) {
+    DeadlineQueue.Entry scheduleAt(double time, Runnable task) {
         DeadlineQueue.Entry entry = deadlines.add(time, task);
         rearm();
         return entry;
@@ -31,29 +31,29 @@
     }
 
     private void rearm() {
-        double next = deadlines.next();
-        if (next >= wakeAt) {
+        double next = deadlines.nextTime();
+        if (next >= nextWakeUp) {
             return;
         }
-        if (wakeUp != null) {
-            wakeUp.remove();
-            wakeUp = null;
+        if (wakeUpKey != null) {
+            wakeUpKey.remove();
+            wakeUpKey = null;
         }
-        wakeAt = next;
+        nextWakeUp = next;
         // XNIO cuts a delay to whole milliseconds, and one under a millisecond to none: rounded
         // down, the
         // rest of each deadline's last millisecond would be spent in a busy loop.
         long millis = (long) Math.ceil(Math.max(0, next - loop.now()) * 1e3);
         try {
-            wakeUp = thread.after(millis, this::fire);
+            wakeUpKey = thread.executeAfter(millis, this::fire);
         } catch (RejectedExecutionException e) {
             Logger.debug("a deadline came after the loop's end");
         }
     }
 
     /** How often it went off. */
-    int wakeUps() {
-        return wakeUps;
+    int wakeUpCount() {
+        return wakeUpCount;
     }
 
     /**
@@ -61,17 +61,17 @@
      * next.
      */
     void fire() {
-        wakeUps++;
-        wakeUp = null;
-        wakeAt = Double.POSITIVE_INFINITY;
-        loop.enter();
-        if (loop.catchingUp()) { // StallRecovery comes back here when that is done
+        wakeUpCount++;
+        wakeUpKey = null;
+        nextWakeUp = Double.POSITIVE_INFINITY;
+        loop.recordActivity();
+        if (loop.isCatchingUp()) { // StallRecovery comes back here when that is done
             return;
         }
-        for (Runnable due = deadlines.poll(loop.now());
+        for (Runnable due = deadlines.pollDue(loop.now());
                 due != null;
-                due = deadlines.poll(loop.now())) {
-            thread.guarded(due);
+                due = deadlines.pollDue(loop.now())) {
+            thread.runGuarded(due);
         }
         rearm();
     }
--- a/src/main/java/junipercourse/net/WatermarkProbe.java
+++ b/src/main/java/junipercourse/net/WatermarkProbe.java
@@ -19,73 +19,76 @@
 final class WatermarkProbe {
     private final EventLoop loop;
     private final IoThread thread;
-    private final Listeners acceptors;
-    private final StallRecovery stalls;
-    private final ReadWatermark tide;
-    private final ByteBuffer mark = ByteBuffer.allocateDirect(16);
+    private final Listeners listeners;
+    private final StallRecovery stallRecovery;
+    private final ReadWatermark watermark;
+    private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(16);
     private final StreamSourceChannel source;
     private final StreamSinkChannel sink;
-    private List<Runnable> nextPass = new ArrayList<>();
-    private List<Runnable> thisPass = new ArrayList<>();
-    private boolean passOpen;
+    private List<Runnable> nextPassTasks = new ArrayList<>();
+    private List<Runnable> thisPassTasks = new ArrayList<>();
+    private boolean passInProgress;
 
     /**
      * @param acceptors may hold connections that a mark cannot vouch for
      * @param stalls are caught up with once enough marks came home
      */
-    WatermarkProbe(EventLoop loop, IoThread thread, Listeners acceptors, StallRecovery stalls)
+    WatermarkProbe(
+            EventLoop loop, IoThread thread, Listeners listeners, StallRecovery stallRecovery)
             throws IOException {
         this.loop = loop;
         this.thread = thread;
-        this.acceptors = acceptors;
-        this.stalls = stalls;
-        tide = new ReadWatermark(loop.now());
-        ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe = thread.pipe();
+        this.listeners = listeners;
+        this.stallRecovery = stallRecovery;
+        watermark = new ReadWatermark(loop.now());
+        ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe = thread.createPipe();
         source = pipe.getLeftSide();
         sink = pipe.getRightSide();
-        source.getReadSetter().set(c -> came());
+        source.getReadSetter().set(c -> receiveProbe());
         source.resumeReads();
     }
 
     /** All that came before this time has been read. */
-    double readUpTo() {
-        return tide.watermark();
+    double readWatermark() {
+        return watermark.watermark();
     }
 
     /** Something is left in this pass, so that the mark on its way proves nothing. */
-    void leftOver() {
-        tide.recordUnreadData();
+    void markIncomplete() {
+        watermark.recordUnreadData();
     }
 
     /**
      * Runs a task when the second mark from now has come home: sockets were looked for anew twice
      * then.
      */
-    void afterNextPass(Runnable task) {
-        nextPass.add(task);
+    void runAfterNextPass(Runnable task) {
+        nextPassTasks.add(task);
     }
 
     /** The thread has a turn: the first of a pass sees to it that the pass's end is noticed. */
-    void turn() {
-        if (!passOpen) {
-            passOpen = true;
-            thread.queue(
-                    () -> thread.queue(this::passOver)); // behind what XNIO has queued of this pass
+    void recordActivity() {
+        if (!passInProgress) {
+            passInProgress = true;
+            thread.enqueue(
+                    () ->
+                            thread.enqueue(
+                                    this::endPass)); // behind what XNIO has queued of this pass
         }
     }
 
     /** Sends a mark, unless one is on its way. */
-    void send() {
-        if (tide.isProbePending()) {
+    void sendProbe() {
+        if (watermark.isProbePending()) {
             return;
         }
-        tide.recordProbeSent(loop.now());
-        if (acceptors.markGoesOut(stalls.catchingUp())) {
-            tide.recordUnreadData();
+        watermark.recordProbeSent(loop.now());
+        if (listeners.mayMissConnections(stallRecovery.isCatchingUp())) {
+            watermark.recordUnreadData();
         }
-        mark.clear().limit(1);
+        probeBuffer.clear().limit(1);
         try {
-            sink.write(mark);
+            sink.write(probeBuffer);
         } catch (ClosedChannelException e) {
             Logger.debug("the loop has ended");
         } catch (IOException e) {
@@ -93,12 +96,12 @@
         }
     }
 
-    private void came() {
-        loop.enter();
-        mark.clear();
+    private void receiveProbe() {
+        loop.recordActivity();
+        probeBuffer.clear();
         try {
-            if (source.read(mark) > 0) {
-                tide.recordProbeRead();
+            if (source.read(probeBuffer) > 0) {
+                watermark.recordProbeRead();
             }
         } catch (IOException e) {
             Logger.error(e, "the loop cannot read from its own pipe");
@@ -106,20 +109,20 @@
     }
 
     /** Runs when all sockets of a pass have been dealt with, before the next are looked for. */
-    private void passOver() {
-        passOpen = false;
-        if (acceptors.behind()) {
-            tide.recordUnreadData();
+    private void endPass() {
+        passInProgress = false;
+        if (listeners.hasWaitingConnections()) {
+            watermark.recordUnreadData();
         }
-        boolean looked = tide.completePass();
-        if (looked) {
-            List<Runnable> due = thisPass;
-            thisPass = nextPass;
-            nextPass = new ArrayList<>();
-            due.forEach(thread::guarded);
+        boolean probeReturned = watermark.completePass();
+        if (probeReturned) {
+            List<Runnable> dueTasks = thisPassTasks;
+            thisPassTasks = nextPassTasks;
+            nextPassTasks = new ArrayList<>();
+            dueTasks.forEach(thread::runGuarded);
         }
-        if (stalls.wantMark(looked, tide.watermark())) {
-            send();
+        if (stallRecovery.needsProbe(probeReturned, watermark.watermark())) {
+            sendProbe();
         }
     }
 }
--- a/src/main/java/junipercourse/net/WriteQueue.java
+++ b/src/main/java/junipercourse/net/WriteQueue.java
@@ -7,23 +7,23 @@
 
 /**
  * What was written to a link and its peer has not taken yet, in order. It has no bound of its own:
- * who writes looks at {@link #bytes}.
+ * who writes looks at {@link #unsentBytes}.
  */
 final class WriteQueue {
     /** The loop's: small pieces are gathered here, so that one system call sends many. */
-    private final ByteBuffer output;
+    private final ByteBuffer gatherBuffer;
 
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
-    private long bytes;
+    private long unsentBytes;
 
-    WriteQueue(ByteBuffer output) {
-        this.output = output;
+    WriteQueue(ByteBuffer gatherBuffer) {
+        this.gatherBuffer = gatherBuffer;
     }
 
     /** Adds bytes at the end. The array is not to be changed afterwards. */
-    void add(byte[] more) {
-        unsent.add(ByteBuffer.wrap(more));
-        bytes += more.length;
+    void add(byte[] data) {
+        unsent.add(ByteBuffer.wrap(data));
+        unsentBytes += data.length;
     }
 
     boolean isEmpty() {
@@ -31,8 +31,8 @@
     }
 
     /** Bytes that have not been taken yet. */
-    long bytes() {
-        return bytes;
+    long unsentBytes() {
+        return unsentBytes;
     }
 
     /** Sends what is taken now. Returns whether that is all. */
@@ -42,7 +42,7 @@
             if (n == 0) {
                 return false;
             }
-            drop(n);
+            removeWritten(n);
         }
         return true;
     }
@@ -50,35 +50,35 @@
     /** Forgets all: nobody will take it. */
     void clear() {
         unsent.clear();
-        bytes = 0;
+        unsentBytes = 0;
     }
 
     private ByteBuffer gather() {
-        output.clear();
-        for (ByteBuffer b : unsent) {
-            if (!output.hasRemaining()) {
+        gatherBuffer.clear();
+        for (ByteBuffer pending : unsent) {
+            if (!gatherBuffer.hasRemaining()) {
                 break;
             }
-            copy(b);
+            copy(pending);
         }
-        return output.flip();
+        return gatherBuffer.flip();
     }
 
-    private void copy(ByteBuffer from) {
-        ByteBuffer part = from.duplicate();
-        part.limit(part.position() + Math.min(part.remaining(), output.remaining()));
-        output.put(part);
+    private void copy(ByteBuffer source) {
+        ByteBuffer slice = source.duplicate();
+        slice.limit(slice.position() + Math.min(slice.remaining(), gatherBuffer.remaining()));
+        gatherBuffer.put(slice);
     }
 
-    private void drop(int written) {
-        bytes -= written;
-        int left = written;
-        while (left > 0) {
-            ByteBuffer first = unsent.peek();
-            int n = Math.min(left, first.remaining());
-            first.position(first.position() + n);
-            left -= n;
-            if (!first.hasRemaining()) {
+    private void removeWritten(int written) {
+        unsentBytes -= written;
+        int remaining = written;
+        while (remaining > 0) {
+            ByteBuffer head = unsent.peek();
+            int n = Math.min(remaining, head.remaining());
+            head.position(head.position() + n);
+            remaining -= n;
+            if (!head.hasRemaining()) {
                 unsent.poll();
             }
         }
--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -33,7 +33,7 @@
     ConnectionSlots(EventLoop loop, DescriptorBudget.Share share) {
         this.loop = loop;
         this.share = share;
-        this.most = share.most();
+        this.most = share.maxOpen();
         this.lobby = Math.max(1, Math.min(LOBBY_MOST, most / LOBBY_PART));
     }
 
@@ -56,12 +56,12 @@
 
     /** Whether all connections are closed. */
     boolean empty() {
-        return share.open() == 0;
+        return share.openCount() == 0;
     }
 
     /** Whether a client whose connection we have ended has not been sent all that it was to get. */
     boolean unsent() {
-        return lingering.stream().anyMatch(LingeringClose::unsent);
+        return lingering.stream().anyMatch(LingeringClose::hasUnsentBytes);
     }
 
     /**
@@ -78,7 +78,7 @@
     /** Takes one that has been accepted. */
     void take(Session session) {
         session.slot = sessions.add(session);
-        share.hold();
+        share.acquireUnconditionally();
         giveWay();
         full();
     }
@@ -89,7 +89,7 @@
      * be told.
      */
     private void giveWay() {
-        while (share.open() > most - lobby && !lingering.isEmpty()) {
+        while (share.openCount() > most - lobby && !lingering.isEmpty()) {
             lingering.peek().close();
         }
     }
@@ -99,7 +99,7 @@
      * acceptor counts a connection until its descriptor is closed.
      */
     private void full() {
-        loop.backlog(share.open() + share.closingNow() >= most);
+        loop.setBacklogged(share.openCount() + share.closingCount() >= most);
     }
 
     /**
@@ -109,7 +109,7 @@
      * for one that comes.
      */
     private boolean makeRoom() {
-        double now = loop.attended();
+        double now = loop.attendedSeconds();
         Session silent = longest(Session::silentSince);
         Session idle = longest(Session::idleSince);
         if (silent != null && silent.silentSince() < now - FRESH_S) {
@@ -144,7 +144,7 @@
      */
     void linger(Connection link, byte[] goodbye) {
         lingering.add(
-                link.linger(
+                link.closeLingering(
                         goodbye,
                         over -> {
                             lingering.remove(over);
@@ -158,10 +158,10 @@
 
     /** A connection's close is queued: the one place where its descriptor is given back. */
     void closed() {
-        share.closing();
+        share.markClosing();
         loop.execute(
                 () -> { // the close has been queued before; the acceptor looks only after that
-                    share.gone();
+                    share.markClosed();
                     full();
                 });
     }
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -75,14 +75,14 @@
 
     public void listen(InetSocketAddress address) throws IOException {
         server = loop.listen(address, places.most(), this::accepted);
-        loop.after(LOOK_S, this::lookAround);
+        loop.scheduleAfter(LOOK_S, this::lookAround);
     }
 
     /** Listens on a socket that others accept from, too. */
     public void listen(ServerSocketChannel shared) throws IOException {
         server = loop.listen(shared, places.most(), this::accepted);
         sharesSocket = true;
-        loop.after(LOOK_S, this::lookAround);
+        loop.scheduleAfter(LOOK_S, this::lookAround);
     }
 
     /**
@@ -129,10 +129,10 @@
             whenEmpty.run();
             return;
         }
-        loop.after(
+        loop.scheduleAfter(
                 LOOK_S,
                 this::lookAround); // first of all, so that no fault in this look makes it the last
-        double now = loop.attended();
+        double now = loop.attendedSeconds();
         for (Session s : places.sessions()) {
             // Guards clients, which open no more than a third of the descriptors, against running
             // out of
@@ -169,7 +169,7 @@
         if (sharesSocket) { // see InheritedSocket: that one is not closed
             handedOver.run();
         } else { // whoever the system has let in would be reset by the close
-            loop.closeEmptied(server, handedOver);
+            loop.drainAndClose(server, handedOver);
         }
     }
 
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -47,7 +47,7 @@
         this.front = front;
         this.secret = secret;
         this.conversation = new PgProtocolHandler(front, this);
-        connectedAt = front.loop().attended();
+        connectedAt = front.loop().attendedSeconds();
         idleSince = connectedAt;
         tookAt = connectedAt;
         this.link = new Connection(front.loop(), connection, this);
@@ -90,7 +90,7 @@
         } else if (!conversation.waiting() && now > partSince + MESSAGE_S) {
             fatal("08P01", "a message without its end");
         } else if (now > idleSince() + mostIdle) {
-            link.poll();
+            link.readNow();
             boolean inTheMiddle =
                     link.unsentBytes() > 0 || in.held() > 0; // of an answer, or of a query
             if (now > idleSince() + mostIdle && !inTheMiddle) {
@@ -101,14 +101,14 @@
 
     /** Guards a query that has come and was not read yet against the close of its idle session. */
     void poll() {
-        link.poll();
+        link.readNow();
     }
 
     // ---- what comes in ----
 
     @Override
     public void received(ByteBuffer bytes) {
-        idleSince = front.loop().attended();
+        idleSince = front.loop().attendedSeconds();
         arrival = link.arrival();
         in.add(ahead(bytes));
         if (overrun > MOST_OVERRUN) {
@@ -147,7 +147,7 @@
             partSince =
                     in.held() == 0 || conversation.waiting()
                             ? Double.POSITIVE_INFINITY
-                            : Math.min(partSince, front.loop().attended());
+                            : Math.min(partSince, front.loop().attendedSeconds());
             int grown = in.held() - heldBefore;
             heldBefore = in.held();
             // Guards memory against many who each send the better part of a large message.
@@ -159,7 +159,7 @@
                 tooMuchAhead(); // all that was held whole has been answered
                 return;
             }
-            link.reading(
+            link.setReadingEnabled(
                     conversation.waiting()
                             || overrun > 0
                             || in.held() < FrontendMessageDecoder.MAX_MESSAGE + 5);
@@ -199,7 +199,7 @@
 
     /** Sends the answer to the query that was open. */
     void answered(byte[] bytes) {
-        idleSince = front.loop().attended();
+        idleSince = front.loop().attendedSeconds();
         link.write(bytes);
         front.loop().execute(this::work); // a next query may have come already
     }
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void crashed() {
+    public void handlerFailed() {
         front.counters().increment(Count.INTERNAL_ERRORS);
         disconnected();
     }
--- a/src/main/java/org/xnio/nio/ExistingTcpServer.java
+++ b/src/main/java/org/xnio/nio/ExistingTcpServer.java
@@ -16,7 +16,8 @@
  * visible in their package alone, which is why this one class stands here.
  */
 public final class ExistingTcpServer {
-    private static final int MOST_A_TURN = 128; // that the worker accepts before it looks elsewhere
+    private static final int ACCEPTS_PER_ITERATION =
+            128; // that the worker accepts before it looks elsewhere
 
     private ExistingTcpServer() {}
 
@@ -26,7 +27,7 @@
      * @param options as for a server of the worker's own, but for those that must precede the bind
      * @throws IOException if the channel cannot be registered
      */
-    public static AcceptingChannel<StreamConnection> on(
+    public static AcceptingChannel<StreamConnection> adopt(
             XnioWorker worker,
             ServerSocketChannel channel,
             ChannelListener<AcceptingChannel<StreamConnection>> accepted,
@@ -48,20 +49,22 @@
      * @param backlog the length of that queue
      * @param over runs on that thread once all has been queued for the I/O threads
      */
-    public static void closeEmptied(
-            AcceptingChannel<StreamConnection> server, int backlog, Runnable over) {
+    public static void drainAndClose(
+            AcceptingChannel<StreamConnection> server, int backlog, Runnable onDrained) {
         QueuedNioTcpServer2 accepting = (QueuedNioTcpServer2) server;
         ((NioXnioWorker) server.getWorker())
                 .getAcceptThread()
                 .execute(
                         () -> {
                             try {
-                                for (int taken = 0; taken <= backlog; taken += MOST_A_TURN) {
+                                for (int accepted = 0;
+                                        accepted <= backlog;
+                                        accepted += ACCEPTS_PER_ITERATION) {
                                     accepting.handleReady();
                                 }
                             } finally {
                                 IoUtils.safeClose(server);
-                                over.run();
+                                onDrained.run();
                             }
                         });
     }
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -100,7 +100,7 @@
                 new EngineClient(
                         loop,
                         config.settings(),
-                        descriptorBudget.share("engines", engineConnections, 4),
+                        descriptorBudget.allocateShare("engines", engineConnections, 4),
                         counters);
         StatusTables shows = new StatusTables();
         counters.addTable(shows);
@@ -111,13 +111,13 @@
                         loop,
                         config.settings(),
                         gateway,
-                        descriptorBudget.share("clients", MAX_CLIENTS, 0),
+                        descriptorBudget.allocateShare("clients", MAX_CLIENTS, 0),
                         1 << 20,
                         7,
                         counters,
                         shows);
         pgServer.listen(config.listen());
-        loop.execute(loop::attend);
+        loop.execute(loop::startStallDetection);
     }
 
     public static DecisionSettings settings() {
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -38,7 +38,7 @@
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(() -> {}, e -> {});
-        loop.execute(loop::attend);
+        loop.execute(loop::startStallDetection);
         bus = new ScriptedBus();
         other = new ScriptedBus();
     }
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -60,7 +60,7 @@
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(() -> {}, e -> {});
-        loop.execute(loop::attend);
+        loop.execute(loop::startStallDetection);
         add("mute", SILENCE_S, (bus, s) -> ScriptedBus.awaitDisconnect(s));
         add("dribbles", SILENCE_S, (bus, s) -> dribble(s, "%08x%016x02".formatted(LONG, 2)));
         add(
@@ -97,7 +97,7 @@
     }
 
     private double slack() {
-        return SLACK_S + loop.stallLog().totalStallSeconds();
+        return SLACK_S + loop.stallStatistics().totalStallSeconds();
     }
 
     private void add(String name, double seconds, Fault fault) {
@@ -291,7 +291,7 @@
             assertEquals(List.of(), p.faults);
             assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), p.told);
             assertEquals(List.of(0L, 2L), bus.requestedOffsets);
-            assertTrue(loop.stallLog().totalStallSeconds() >= 4, "no stalls were seen");
+            assertTrue(loop.stallStatistics().totalStallSeconds() >= 4, "no stalls were seen");
             double took = p.newsAt - bus.lastFrameAt;
             assertTrue(took < SILENCE_S + slack() - 3, took + " s");
         }
--- a/src/test/java/junipercourse/engine/CrossedDialTest.java
+++ b/src/test/java/junipercourse/engine/CrossedDialTest.java
@@ -41,7 +41,7 @@
     private final EventLoop loop =
             new EventLoop(() -> counters.increment(Count.INTERNAL_ERRORS), e -> {});
     private final DescriptorBudget.Share share =
-            new DescriptorBudget(1024, 28).share("engines", 16, 4);
+            new DescriptorBudget(1024, 28).allocateShare("engines", 16, 4);
     private final EngineClient engines =
             new EngineClient(loop, SocketTestSupport.settings(), share, counters);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -147,7 +147,7 @@
             assertEquals(outcome == AttemptOutcome.OK ? "POST" : "", call, "ended as " + outcome);
         }
         SocketTestSupport.await(
-                () -> share.room() == 16); // whoever closed it, its descriptor came back once
+                () -> share.available() == 16); // whoever closed it, its descriptor came back once
         assertEquals(1, ends.size());
         assertEquals(0, counters.get(Count.INTERNAL_ERRORS));
     }
--- a/src/test/java/junipercourse/net/AcceptBacklogTest.java
+++ b/src/test/java/junipercourse/net/AcceptBacklogTest.java
@@ -34,7 +34,7 @@
     })
     void readsTheQueueOfAListeningSocketOnly(String host, int port, int waiting) throws Exception {
         BufferedReader table = new BufferedReader(new StringReader(TABLE));
-        assertEquals(waiting, AcceptBacklog.find(table, new InetSocketAddress(host, port)));
+        assertEquals(waiting, AcceptBacklog.findWaiting(table, new InetSocketAddress(host, port)));
     }
 
     @Test
@@ -45,12 +45,12 @@
         }
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
-            assertEquals(0, AcceptBacklog.waiting(at));
+            assertEquals(0, AcceptBacklog.countWaiting(at));
             try (Socket one = new Socket(at.getAddress(), at.getPort());
                     Socket two = new Socket(at.getAddress(), at.getPort())) {
-                assertEquals(2, AcceptBacklog.waiting(at), one + " " + two);
+                assertEquals(2, AcceptBacklog.countWaiting(at), one + " " + two);
                 server.accept().close();
-                assertEquals(1, AcceptBacklog.waiting(at));
+                assertEquals(1, AcceptBacklog.countWaiting(at));
             }
         }
     }
--- a/src/test/java/junipercourse/net/EventLoopTest.java
+++ b/src/test/java/junipercourse/net/EventLoopTest.java
@@ -28,10 +28,12 @@
         double start = loop.now();
         loop.execute(
                 () -> {
-                    loop.at(start + 0.060, () -> got.add("c " + (loop.now() >= start + 0.060)));
-                    loop.at(start + 0.040, () -> got.add("b " + (loop.now() >= start + 0.040)));
-                    loop.cancel(loop.at(start + 0.050, () -> got.add("taken back")));
-                    loop.at(
+                    loop.scheduleAt(
+                            start + 0.060, () -> got.add("c " + (loop.now() >= start + 0.060)));
+                    loop.scheduleAt(
+                            start + 0.040, () -> got.add("b " + (loop.now() >= start + 0.040)));
+                    loop.cancel(loop.scheduleAt(start + 0.050, () -> got.add("taken back")));
+                    loop.scheduleAt(
                             start + 0.020,
                             () -> {
                                 got.add("a");
@@ -53,13 +55,15 @@
         next[0] =
                 () -> {
                     if (left.decrementAndGet() > 0) {
-                        loop.after(0.0027, next[0]);
+                        loop.scheduleAfter(0.0027, next[0]);
                     }
                 };
         loop.execute(next[0]);
         SocketTestSupport.await(() -> left.get() == 0);
         loop.stop();
-        assertTrue(loop.wakeUps() <= 100, "woken " + loop.wakeUps() + " times for 50 deadlines");
+        assertTrue(
+                loop.wakeUpCount() <= 100,
+                "woken " + loop.wakeUpCount() + " times for 50 deadlines");
     }
 
     /**
--- a/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
+++ b/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
@@ -19,7 +19,7 @@
     /** One process: what it told last, and the claim that its loop has not taken on yet. */
     private static final class Side {
         final DescriptorBudget descriptors = new DescriptorBudget(LIMIT, OWN);
-        final DescriptorBudget.Share share = descriptors.share("all", 80, 5);
+        final DescriptorBudget.Share share = descriptors.allocateShare("all", 80, 5);
         int told = OWN;
         int held = OWN;
     }
@@ -28,12 +28,12 @@
     @Example
     void whatIsAcceptedPastTheBoundIsCounted() {
         Side s = new Side();
-        s.descriptors.allow(OWN, true);
-        assertFalse(s.share.take(), "nothing is left to open");
-        s.share.hold();
+        s.descriptors.applyClaim(OWN, true);
+        assertFalse(s.share.tryAcquire(), "nothing is left to open");
+        s.share.acquireUnconditionally();
         assertEquals(OWN + 1, s.descriptors.used());
-        s.share.closing();
-        s.share.gone();
+        s.share.markClosing();
+        s.share.markClosed();
         assertEquals(OWN, s.descriptors.used());
     }
 
@@ -48,26 +48,26 @@
         Side[] sides = {new Side(), new Side()};
         sides[0].held = sides[0].told = LIMIT; // it was alone
         for (int i = 0; i < before; i++) {
-            sides[0].share.take();
+            sides[0].share.tryAcquire();
         }
-        sides[1].descriptors.allow(sides[1].told, true);
+        sides[1].descriptors.applyClaim(sides[1].told, true);
         for (int step : steps) {
             Side s = sides[step % 2];
             switch (step / 2) {
                 case 0 -> s.told = DescriptorBudget.claim(s.held, sides[1 - step % 2].told, LIMIT);
                 case 1 -> {
-                    s.descriptors.allow(s.told, true);
+                    s.descriptors.applyClaim(s.told, true);
                     s.held = s.descriptors.allowed();
                 }
                 case 2 -> {
-                    while (s.share.take()) {
+                    while (s.share.tryAcquire()) {
                         continue;
                     }
                 }
                 default -> {
-                    if (s.share.open() > 0) {
-                        s.share.closing();
-                        s.share.gone();
+                    if (s.share.openCount() > 0) {
+                        s.share.markClosing();
+                        s.share.markClosed();
                     }
                 }
             }
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -192,7 +192,7 @@
         assertTrue(
                 bench.descriptorBudget.shares().stream()
                         .filter(s -> s.name().equals("clients"))
-                        .allMatch(s -> s.peak() <= s.most()),
+                        .allMatch(s -> s.peak() <= s.maxOpen()),
                 bench.descriptorBudget.toString());
     }
 
--- a/src/test/java/junipercourse/scale/Listeners.java
+++ b/src/test/java/junipercourse/scale/Listeners.java
@@ -33,7 +33,7 @@
     Listeners(int size) throws IOException {
         clients = new EndpointWatcher[size];
         last = new AtomicIntegerArray(size);
-        loop.execute(loop::attend);
+        loop.execute(loop::startStallDetection);
     }
 
     /** The member's process has started: its client begins with the events up to now. */
--- a/src/test/java/junipercourse/scale/Network.java
+++ b/src/test/java/junipercourse/scale/Network.java
@@ -47,7 +47,7 @@
     }
 
     static double now() {
-        return Clock.SYSTEM.monotonic();
+        return Clock.SYSTEM.monotonicSeconds();
     }
 
     /** From now on, members of different sides do not hear each other. */
