--- a/src/main/java/junipercourse/decision/AttemptEventHandler.java
+++ b/src/main/java/junipercourse/decision/AttemptEventHandler.java
@@ -62,7 +62,7 @@
         }
         state.requests().scheduleAdmission();
         AttemptOutcome outcome = result.outcome();
-        lifecycle.feedback().record(now, attempt, result);
+        lifecycle.feedback().recordResult(now, attempt, result);
         attempt.end(outcome);
         if (outcome != AttemptOutcome.REJECTED) { // a full engine's cores may look idle
             boolean slowed = lifecycle.feedback().wasSlowedByCongestion(now, attempt);
--- a/src/main/java/junipercourse/decision/EndpointListUpdater.java
+++ b/src/main/java/junipercourse/decision/EndpointListUpdater.java
@@ -51,7 +51,7 @@
         engine.applyListing(entry, resolveKind(entry));
         if (entry.startedAt() > 0 && entry.startedAt() > engine.slowStart().startedAt()) {
             engine.resetSlowdown();
-            slowStart.start(engine, entry.startedAt());
+            slowStart.startSlowStart(engine, entry.startedAt());
         }
     }
 
--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -43,7 +43,7 @@
     }
 
     /** Takes in the end of an attempt; one that was never sent teaches nothing. */
-    public void record(double now, Attempt attempt, AttemptResult result) {
+    public void recordResult(double now, Attempt attempt, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.NOT_SENT) {
             return;
@@ -121,7 +121,7 @@
             case UNREACHABLE, RESET -> {
                 if (outliers.recordReset(now, engine)) {
                     if (outcome == AttemptOutcome.UNREACHABLE) {
-                        slowStart.start(engine, now);
+                        slowStart.startSlowStart(engine, now);
                     }
                     outliers.eject(now, engine, EjectionReason.DEAD);
                 }
--- a/src/main/java/junipercourse/decision/constraints/SlowStartController.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartController.java
@@ -28,7 +28,7 @@
     }
 
     /** Starts the slow start of an engine that was started or may have been restarted. */
-    public void start(EngineState engine, double startedAt) {
+    public void startSlowStart(EngineState engine, double startedAt) {
         SlowStartState slowStart = engine.slowStart();
         slowStart.restart(startedAt);
         double largestWork =
