--- a/src/main/java/junipercourse/core/EngineRegistry.java
+++ b/src/main/java/junipercourse/core/EngineRegistry.java
@@ -73,7 +73,7 @@
                         e.cell(),
                         e.stage(),
                         e.rating(),
-                        loop.fromUnix(e.startedAt()));
+                        loop.toLoopTime(e.startedAt()));
     }
 
     /** The engines in the list; none before the first list has come. */
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -161,7 +161,7 @@
         public boolean mayWrite() {
             begins();
             onTheWay = true;
-            calls.evidence.recordCallStarted(writtenAt, calls.loop.attendedSeconds());
+            calls.evidence.recordCallStarted(writtenAt, calls.loop.responsiveSeconds());
             return true;
         }
 
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -160,7 +160,7 @@
     private void askAgain() {
         counters.increment(Count.ENGINES_ASKED_AGAIN);
         breaks++;
-        switch (evidence.assessUnansweredCall(loop.now(), loop.attendedSeconds())) {
+        switch (evidence.assessUnansweredCall(loop.now(), loop.responsiveSeconds())) {
             case ENGINE_LOST -> end(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
             case NOT_POLLED -> leftAlone();
             default -> {
--- a/src/main/java/junipercourse/net/EventLoop.java
+++ b/src/main/java/junipercourse/net/EventLoop.java
@@ -78,8 +78,8 @@
     }
 
     /** Turns a Unix time told by others, in seconds, into the loop's. */
-    public double fromUnix(double unix) {
-        return stallRecovery.fromUnix(unix);
+    public double toLoopTime(double unixSeconds) {
+        return stallRecovery.toLoopTime(unixSeconds);
     }
 
     ByteBuffer readBuffer() {
@@ -95,8 +95,8 @@
     /**
      * Seconds in which this process has attended to its sockets: what silences are measured with.
      */
-    public double attendedSeconds() {
-        return stallRecovery.attendedSeconds();
+    public double responsiveSeconds() {
+        return stallRecovery.responsiveSeconds();
     }
 
     /** When bytes that are read now have come, on a socket that was read to its end before. */
--- a/src/main/java/junipercourse/net/StallRecovery.java
+++ b/src/main/java/junipercourse/net/StallRecovery.java
@@ -70,13 +70,13 @@
     }
 
     /** Seconds in which this process has attended to its sockets. */
-    double attendedSeconds() {
+    double responsiveSeconds() {
         return stallDetector.responsiveSeconds();
     }
 
     /** Turns a Unix time told by others, in seconds, into the loop's. */
-    double fromUnix(double unix) {
-        return stallDetector.toLoopTime(unix);
+    double toLoopTime(double unixSeconds) {
+        return stallDetector.toLoopTime(unixSeconds);
     }
 
     /** Figures of those that were. */
--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -109,7 +109,7 @@
      * for one that comes.
      */
     private boolean makeRoom() {
-        double now = loop.attendedSeconds();
+        double now = loop.responsiveSeconds();
         Session silent = longest(Session::silentSince);
         Session idle = longest(Session::idleSince);
         if (silent != null && silent.silentSince() < now - FRESH_S) {
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -132,7 +132,7 @@
         loop.scheduleAfter(
                 LOOK_S,
                 this::lookAround); // first of all, so that no fault in this look makes it the last
-        double now = loop.attendedSeconds();
+        double now = loop.responsiveSeconds();
         for (Session s : places.sessions()) {
             // Guards clients, which open no more than a third of the descriptors, against running
             // out of
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -47,7 +47,7 @@
         this.front = front;
         this.secret = secret;
         this.conversation = new PgProtocolHandler(front, this);
-        connectedAt = front.loop().attendedSeconds();
+        connectedAt = front.loop().responsiveSeconds();
         idleSince = connectedAt;
         tookAt = connectedAt;
         this.link = new Connection(front.loop(), connection, this);
@@ -108,7 +108,7 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-        idleSince = front.loop().attendedSeconds();
+        idleSince = front.loop().responsiveSeconds();
         arrival = link.arrival();
         in.add(ahead(bytes));
         if (overrun > MOST_OVERRUN) {
@@ -147,7 +147,7 @@
             partSince =
                     in.held() == 0 || conversation.waiting()
                             ? Double.POSITIVE_INFINITY
-                            : Math.min(partSince, front.loop().attendedSeconds());
+                            : Math.min(partSince, front.loop().responsiveSeconds());
             int grown = in.held() - heldBefore;
             heldBefore = in.held();
             // Guards memory against many who each send the better part of a large message.
@@ -199,7 +199,7 @@
 
     /** Sends the answer to the query that was open. */
     void answered(byte[] bytes) {
-        idleSince = front.loop().attendedSeconds();
+        idleSince = front.loop().responsiveSeconds();
         link.write(bytes);
         front.loop().execute(this::work); // a next query may have come already
     }
