--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -151,7 +151,7 @@
                                         query.tableGroup(),
                                         query.costEstimate(),
                                         query.memoryEstimateMb(),
-                                        query.clientRetry())),
+                                        query.isClientRetry())),
                 now);
     }
 
--- a/src/main/java/junipercourse/core/Query.java
+++ b/src/main/java/junipercourse/core/Query.java
@@ -30,6 +30,6 @@
         float tableGroup,
         double costEstimate,
         double memoryEstimateMb,
-        boolean clientRetry,
+        boolean isClientRetry,
         byte[] statement,
         ArrivalInterval arrival) {}
--- a/src/test/java/junipercourse/core/AttemptEndCountTest.java
+++ b/src/test/java/junipercourse/core/AttemptOutcomeCountTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Holds the labels under which SHOW COUNTERS shows the ends of attempts. */
-class AttemptEndCountTest {
+class AttemptOutcomeCountTest {
     @ParameterizedTest
     @CsvSource({
         "OK, ok",
