--- a/src/main/java/junipercourse/admin/AdminOperations.java
+++ b/src/main/java/junipercourse/admin/AdminOperations.java
@@ -6,24 +6,24 @@
  */
 public interface AdminOperations {
     /** What became of a change. */
-    enum Verdict {
+    enum MaintenanceResult {
         DONE,
-        UNKNOWN,
+        UNKNOWN_ENGINE,
         FAILED
     }
 
     /** Whether queries can be taken. */
-    boolean ready();
+    boolean isReady();
 
     /** Why not, in one short reason. */
-    String readyWhy();
+    String describeReadiness();
 
     /** Figures as JSON. */
-    String stats();
+    String getStatisticsJson();
 
     /** Takes an engine out. */
-    Verdict down(String id);
+    MaintenanceResult startMaintenance(String id);
 
     /** Takes an engine in again. */
-    Verdict up(String id);
+    MaintenanceResult endMaintenance(String id);
 }
--- a/src/main/java/junipercourse/admin/AdminServer.java
+++ b/src/main/java/junipercourse/admin/AdminServer.java
@@ -146,21 +146,25 @@
         } else if (change) {
             boolean down = path.startsWith(DOWN);
             String id = path.substring((down ? DOWN : UP).length());
-            AdminOperations.Verdict v = down ? operations.down(id) : operations.up(id);
+            AdminOperations.MaintenanceResult v =
+                    down ? operations.startMaintenance(id) : operations.endMaintenance(id);
             answer(
                     x,
-                    v == AdminOperations.Verdict.DONE
+                    v == AdminOperations.MaintenanceResult.DONE
                             ? 200
-                            : v == AdminOperations.Verdict.UNKNOWN ? 404 : 503,
+                            : v == AdminOperations.MaintenanceResult.UNKNOWN_ENGINE ? 404 : 503,
                     "{}");
         } else if (ready) {
-            boolean now = operations.ready();
+            boolean now = operations.isReady();
             answer(
                     x,
                     now ? 200 : 503,
-                    Json.object().add("ready", now).add("why", operations.readyWhy()).toString());
+                    Json.object()
+                            .add("ready", now)
+                            .add("why", operations.describeReadiness())
+                            .toString());
         } else {
-            answer(x, 200, operations.stats());
+            answer(x, 200, operations.getStatisticsJson());
         }
     }
 
--- a/src/main/java/junipercourse/admin/MaintenanceMarkers.java
+++ b/src/main/java/junipercourse/admin/MaintenanceMarkers.java
@@ -40,7 +40,7 @@
      * The engine of an id as the event bus writes it, such as {@code s-00c41f7a}; empty if it is
      * none.
      */
-    public static Optional<EngineId> engine(String id) {
+    public static Optional<EngineId> parseEngineId(String id) {
         return ID.matcher(id).matches()
                 ? Optional.of(new EngineId(Long.parseLong(id.substring(2), 16)))
                 : Optional.empty();
@@ -53,7 +53,7 @@
     /**
      * @throws IOException if that cannot be kept: then nothing has changed
      */
-    public synchronized void out(EngineId id) throws IOException {
+    public synchronized void add(EngineId id) throws IOException {
         if (read().size() >= MOST) {
             throw new IOException("already " + MOST + " engines are out");
         }
@@ -67,7 +67,7 @@
     /**
      * @throws IOException if that cannot be kept: then nothing has changed
      */
-    public synchronized void in(EngineId id) throws IOException {
+    public synchronized void remove(EngineId id) throws IOException {
         if (!Files.isDirectory(folder)) { // no file is there, and yet what was out stays out
             throw new IOException(folder + " is not there");
         }
@@ -83,7 +83,7 @@
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (Path f : files) {
                 String name = f.getFileName().toString();
-                Optional<EngineId> id = engine(name);
+                Optional<EngineId> id = parseEngineId(name);
                 if (id.isPresent()) {
                     out.add(id.get());
                 } else if (strange.size() < MOST && strange.add(name)) {
--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -75,7 +75,7 @@
         this.gateway = gateway;
         this.classes = config.settings().queryClasses();
         this.files = new MaintenanceMarkers(folder);
-        this.server = new AdminServer(config.admin(), this, connections(config));
+        this.server = new AdminServer(config.adminAddress(), this, connections(config));
         look();
         looks =
                 new ScheduledThreadPoolExecutor(
@@ -185,40 +185,40 @@
         }
     }
 
-    private Verdict change(String id, boolean takeOut) {
-        Optional<EngineId> engine = MaintenanceMarkers.engine(id);
+    private MaintenanceResult change(String id, boolean takeOut) {
+        Optional<EngineId> engine = MaintenanceMarkers.parseEngineId(id);
         if (engine.isEmpty()
                 || !state.engines().contains(engine.get()) && !out.contains(engine.get())) {
-            return Verdict.UNKNOWN;
+            return MaintenanceResult.UNKNOWN_ENGINE;
         }
         return change(engine.get(), takeOut);
     }
 
-    private Verdict change(EngineId id, boolean takeOut) {
+    private MaintenanceResult change(EngineId id, boolean takeOut) {
         try {
             if (takeOut) {
-                files.out(id);
+                files.add(id);
             } else {
-                files.in(id);
+                files.remove(id);
             }
         } catch (IOException e) {
             Logger.error("engine {} cannot be taken {}: {}", id.value(), takeOut ? "out" : "in", e);
-            return Verdict.FAILED;
+            return MaintenanceResult.FAILED;
         }
         look();
-        return Verdict.DONE;
+        return MaintenanceResult.DONE;
     }
 
     // ---- the second address's own thread ----
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         State s = state;
         return s.ready() && !ending && System.nanoTime() - s.at() < OLD_S * 1e9;
     }
 
     @Override
-    public String readyWhy() {
+    public String describeReadiness() {
         State s = state;
         return ending
                 ? "ending"
@@ -226,17 +226,17 @@
     }
 
     @Override
-    public String stats() {
+    public String getStatisticsJson() {
         return state.figures();
     }
 
     @Override
-    public Verdict down(String id) {
+    public MaintenanceResult startMaintenance(String id) {
         return change(id, true);
     }
 
     @Override
-    public Verdict up(String id) {
+    public MaintenanceResult endMaintenance(String id) {
         return change(id, false);
     }
 
--- a/src/main/java/junipercourse/cli/ConfigReloader.java
+++ b/src/main/java/junipercourse/cli/ConfigReloader.java
@@ -53,7 +53,7 @@
     private synchronized void read() {
         try {
             Config next = Config.read(environment);
-            List<InitialEventsReader.Event> known = roster.check(next.known());
+            List<InitialEventsReader.Event> known = roster.readInitialEvents(next.initialEvents());
             loop.execute(() -> apply(next, known));
         } catch (ConfigException e) {
             Logger.error(
@@ -65,13 +65,14 @@
 
     private void apply(Config next, List<InitialEventsReader.Event> known) {
         counters.increment(Count.CONFIG_RELOADED);
-        next.fixedChanges(atStart)
+        next.findRestartOnlyChanges(atStart)
                 .forEach(
                         key ->
                                 Logger.warn(
                                         "{} has changed; that takes effect at the next start",
                                         key));
-        roster.follow(next.bus(), known);
-        Logger.info("the configuration has been read again; the event bus is at {}", next.bus());
+        roster.reconfigure(next.busAddress(), known);
+        Logger.info(
+                "the configuration has been read again; the event bus is at {}", next.busAddress());
     }
 }
--- a/src/main/java/junipercourse/cli/DispatcherServer.java
+++ b/src/main/java/junipercourse/cli/DispatcherServer.java
@@ -82,7 +82,7 @@
         loop =
                 new EventLoop(
                         () -> counters.increment(Count.INTERNAL_ERRORS), DispatcherServer::die);
-        boolean administered = config.admin() != null;
+        boolean administered = config.adminAddress() != null;
         descriptors =
                 new DescriptorBudget(
                         config.resources().sockets(),
@@ -100,7 +100,7 @@
         mostTaken =
                 (int)
                         (config.resources().sockets()
-                                * (config.listenOn() == null
+                                * (config.listenFd() == null
                                         ? TAKEN_PART
                                         : HandoverCoordinator.ALONE_PART));
         gateway = new Gateway(loop, config.settings(), config.seed(), mostTaken, engines, counters);
@@ -121,8 +121,8 @@
         roster =
                 new EndpointWatcher(
                         loop,
-                        config.bus(),
-                        config.known(),
+                        config.busAddress(),
+                        config.initialEvents(),
                         config.zones(),
                         config.settings().engineKinds().stream().map(EngineKind::name).toList(),
                         gateway::updateEndpoints,
@@ -133,7 +133,7 @@
                                 loop, gateway, config, HandoverCoordinator.folder(config, "out"))
                         : null;
         overlap =
-                config.listenOn() == null
+                config.listenFd() == null
                         ? null
                         : new HandoverCoordinator(
                                 loop,
@@ -187,8 +187,8 @@
         }
         double waited = loop.now() - since;
         try {
-            if (config.listenOn() == null) {
-                front.listen(config.listen());
+            if (config.listenFd() == null) {
+                front.listen(config.listenAddress());
             } else {
                 front.listen(inherited());
             }
@@ -198,15 +198,18 @@
                 staff.listening();
             }
             if (waited >= LISTEN_AGAIN_S) {
-                Logger.info("{} was in use for {} ms", config.listen(), Math.round(waited * 1e3));
+                Logger.info(
+                        "{} was in use for {} ms",
+                        config.listenAddress(),
+                        Math.round(waited * 1e3));
             }
             started.complete(null);
         } catch (IOException e) {
-            if (waited < LISTEN_PATIENCE_S && inUse(config.listen(), e)) {
+            if (waited < LISTEN_PATIENCE_S && inUse(config.listenAddress(), e)) {
                 if (waited < LISTEN_AGAIN_S) {
                     Logger.warn(
                             "{} is in use; trying again for {} s",
-                            config.listen(),
+                            config.listenAddress(),
                             LISTEN_PATIENCE_S);
                 }
                 loop.scheduleAfter(LISTEN_AGAIN_S, () -> listen(started, since));
@@ -214,7 +217,7 @@
                 started.completeExceptionally(
                         new IOException(
                                 "cannot listen on "
-                                        + config.listen()
+                                        + config.listenAddress()
                                         + ": "
                                         + e.getMessage()
                                         + "; waited "
@@ -228,7 +231,7 @@
 
     private ServerSocketChannel inherited() {
         try {
-            return InheritedSocket.takeOver(config.listenOn(), config.listen());
+            return InheritedSocket.takeOver(config.listenFd(), config.listenAddress());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("RELAY_FD", e.getMessage());
         }
@@ -269,7 +272,7 @@
                                 part.shutDown();
                             }
                             Logger.info("{} ends: {}; {}", config.name(), counters, descriptors);
-                            BoundedConsoleWriter.end();
+                            BoundedConsoleWriter.closeAll();
                         },
                         "finish");
         Runtime.getRuntime().addShutdownHook(finish);
@@ -292,7 +295,7 @@
     private static void die(Throwable error) {
         try {
             Logger.error(error, "the JVM failed; this process ends");
-            BoundedConsoleWriter.end();
+            BoundedConsoleWriter.closeAll();
         } finally {
             Runtime.getRuntime().halt(DEAD);
         }
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -94,7 +94,7 @@
      */
     static Path folder(Config config, String what) {
         String tmp = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
-        InetSocketAddress listen = config.listen();
+        InetSocketAddress listen = config.listenAddress();
         return Path.of(
                 tmp,
                 "junipercourse-"
--- a/src/main/java/junipercourse/cli/Main.java
+++ b/src/main/java/junipercourse/cli/Main.java
@@ -62,7 +62,7 @@
     public static void main(String[] args) {
         int code = run(args);
         if (code != 0) {
-            BoundedConsoleWriter.end();
+            BoundedConsoleWriter.closeAll();
             System.exit(code);
         }
     }
@@ -132,7 +132,7 @@
                 DispatcherServer server = new DispatcherServer(config);
                 server.start();
                 server.stop();
-                BoundedConsoleWriter.end();
+                BoundedConsoleWriter.closeAll();
                 System.out.println("the configuration of " + config.name() + " can be used");
             }
             case "rehearse" -> {
--- a/src/main/java/junipercourse/cli/ProcessStatusTables.java
+++ b/src/main/java/junipercourse/cli/ProcessStatusTables.java
@@ -49,7 +49,7 @@
                 .add("attempts_reexamined", counters.get(Count.STALLS_REEXAMINED), "count")
                 .add("attempts_left_alone", counters.get(Count.ATTEMPTS_LEFT_ALONE), "count")
                 .add("queries_unordered", counters.get(Count.QUERIES_UNORDERED), "count")
-                .add("log_lines_dropped", BoundedConsoleWriter.dropped(), "count");
+                .add("log_lines_dropped", BoundedConsoleWriter.totalDroppedLines(), "count");
     }
 
     private static long millis(double seconds) {
--- a/src/main/java/junipercourse/config/Config.java
+++ b/src/main/java/junipercourse/config/Config.java
@@ -32,16 +32,16 @@
  */
 public record Config(
         String name,
-        InetSocketAddress listen,
-        String listenOn,
-        InetSocketAddress admin,
+        InetSocketAddress listenAddress,
+        String listenFd,
+        InetSocketAddress adminAddress,
         long seed,
         Resources resources,
-        InetSocketAddress bus,
-        JsonObject known,
+        InetSocketAddress busAddress,
+        JsonObject initialEvents,
         DecisionSettings settings,
         List<String> zones,
-        double idleSeconds) {
+        double idleTimeoutSeconds) {
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int LEAST_SOCKETS = 64;
@@ -90,15 +90,15 @@
         Map<String, String> pairs = SettingsText.flatten(settings.json());
         return new Config(
                 name,
-                address(given ? "RELAY_LISTEN" : "listen", listen),
+                parseAddress(given ? "RELAY_LISTEN" : "listen", listen),
                 environment.get("RELAY_FD"),
-                admin(root, environment),
+                adminAddress(root, environment),
                 seed(root),
                 new Resources(
                         limits.number("cores", 1, 0.01),
                         (int) limits.number("memory_mb", DEFAULT_MEMORY_MB, 1),
                         (int) limits.number("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)),
-                bus == null ? null : address("bus", bus),
+                bus == null ? null : parseAddress("bus", bus),
                 root.section("known").json(),
                 SettingsReader.read(pairs),
                 List.of(pairs.getOrDefault("dcs", "").split(",")),
@@ -108,15 +108,15 @@
     /**
      * The keys, among those that a running dispatcher cannot take on, in which another one differs.
      */
-    public List<String> fixedChanges(Config before) {
+    public List<String> findRestartOnlyChanges(Config before) {
         List<String> changed = new ArrayList<>();
         if (!name.equals(before.name)) {
             changed.add("name");
         }
-        if (!listen.equals(before.listen)) {
+        if (!listenAddress.equals(before.listenAddress)) {
             changed.add("listen");
         }
-        if (!Objects.equals(admin, before.admin)) {
+        if (!Objects.equals(adminAddress, before.adminAddress)) {
             changed.add("admin");
         }
         if (!resources.equals(before.resources)) {
@@ -124,16 +124,16 @@
         }
         if (!settings.equals(before.settings)
                 || !zones.equals(before.zones)
-                || idleSeconds != before.idleSeconds) {
+                || idleTimeoutSeconds != before.idleTimeoutSeconds) {
             changed.add("settings");
         }
         return changed;
     }
 
-    private static InetSocketAddress admin(Section root, Map<String, String> environment) {
+    private static InetSocketAddress adminAddress(Section root, Map<String, String> environment) {
         boolean given = environment.containsKey("RELAY_ADMIN");
         String text = given ? environment.get("RELAY_ADMIN") : root.text("admin", null);
-        return text == null ? null : address(given ? "RELAY_ADMIN" : "admin", text);
+        return text == null ? null : parseAddress(given ? "RELAY_ADMIN" : "admin", text);
     }
 
     private static long seed(Section root) {
@@ -151,7 +151,7 @@
     /**
      * Reads {@code host:port}; only numeric addresses are taken, since nothing here resolves names.
      */
-    public static InetSocketAddress address(String key, String text) {
+    public static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         boolean numeric =
--- a/src/main/java/junipercourse/discovery/EndpointWatcher.java
+++ b/src/main/java/junipercourse/discovery/EndpointWatcher.java
@@ -54,7 +54,7 @@
 
     /** Takes the news of the list. */
     public interface Listener {
-        void roster(EndpointUpdateKind kind, List<EngineEndpoint> members);
+        void onEndpointUpdate(EndpointUpdateKind updateKind, List<EngineEndpoint> endpoints);
     }
 
     private final EventLoop loop;
@@ -113,13 +113,13 @@
 
     private void tell(InitialEventsReader.Event e, EndpointUpdateKind whole) {
         last = Math.max(last, e.offset());
-        listener.roster(e.whole() ? whole : EndpointUpdateKind.DELTA, e.members());
+        listener.onEndpointUpdate(e.isFullList() ? whole : EndpointUpdateKind.DELTA, e.endpoints());
     }
 
     /**
      * Reads and checks the events that a new configuration holds; null holds none. For any thread.
      */
-    public List<InitialEventsReader.Event> check(JsonObject newlyKnown) {
+    public List<InitialEventsReader.Event> readInitialEvents(JsonObject newlyKnown) {
         return newlyKnown == null ? List.of() : reader.read(newlyKnown);
     }
 
@@ -127,7 +127,7 @@
      * Takes on a new configuration: tells those of its events that are new here, and if the event
      * bus has another address, connects there at once, from the last event, and leaves the old one.
      */
-    public void follow(InetSocketAddress newBus, List<InitialEventsReader.Event> newlyKnown) {
+    public void reconfigure(InetSocketAddress newBus, List<InitialEventsReader.Event> newlyKnown) {
         newlyKnown.stream()
                 .filter(e -> e.offset() > last)
                 .forEach(e -> tell(e, EndpointUpdateKind.FULL));
@@ -213,7 +213,7 @@
                         f = watch == this ? frames.next() : null) {
                     take(f);
                 }
-            } catch (WatchFrameDecoder.GarbledException e) {
+            } catch (WatchFrameDecoder.MalformedFrameException e) {
                 counters.increment(Count.ROSTER_GARBLED);
                 Logger.warn("event bus: {}; connecting again", e.getMessage());
                 again();
@@ -228,7 +228,7 @@
             listen();
             if (f.kind() != WatchFrameDecoder.Kind.NOTHING && f.number() > last) {
                 last = f.number();
-                listener.roster(
+                listener.onEndpointUpdate(
                         f.kind() == WatchFrameDecoder.Kind.WHOLE
                                 ? EndpointUpdateKind.FULL
                                 : EndpointUpdateKind.DELTA,
--- a/src/main/java/junipercourse/discovery/InitialEventsReader.java
+++ b/src/main/java/junipercourse/discovery/InitialEventsReader.java
@@ -15,7 +15,7 @@
 /** Reads the events that the configuration holds under {@code known}. */
 public final class InitialEventsReader {
     /** One event. */
-    public record Event(long offset, boolean whole, List<EngineEndpoint> members) {}
+    public record Event(long offset, boolean isFullList, List<EngineEndpoint> endpoints) {}
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -60,7 +60,8 @@
     }
 
     private EngineEndpoint member(String path, JsonObject m) {
-        InetSocketAddress address = Config.address(path + ".host_port", text(path, m, "host_port"));
+        InetSocketAddress address =
+                Config.parseAddress(path + ".host_port", text(path, m, "host_port"));
         return new EngineEndpoint(
                 new EngineListing(
                         id(path, text(path, m, "id")),
--- a/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
+++ b/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
@@ -29,10 +29,10 @@
     record Frame(Kind kind, long number, List<EngineEndpoint> members) {}
 
     /** Bytes that are no frame. */
-    static final class GarbledException extends Exception {
+    static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        GarbledException(String message) {
+        MalformedFrameException(String message) {
             super(message);
         }
     }
@@ -69,13 +69,13 @@
     }
 
     /** The next whole frame, or null if more bytes are needed. */
-    Frame next() throws GarbledException {
+    Frame next() throws MalformedFrameException {
         if (pending.remaining() < Integer.BYTES) {
             return null;
         }
         long length = pending.getInt(pending.position()) & 0xffffffffL;
         if (length < HEAD || length > MAX_FRAME) {
-            throw new GarbledException("frame of " + length + " bytes");
+            throw new MalformedFrameException("frame of " + length + " bytes");
         }
         if (pending.remaining() < Integer.BYTES + length) {
             return null;
@@ -85,7 +85,8 @@
         int kind = pending.get() & 0xff;
         int payload = (int) length - HEAD;
         if (kind >= Kind.values().length || payload % RECORD != 0 || kind == 0 && payload > 0) {
-            throw new GarbledException("frame of kind " + kind + " with " + payload + " bytes");
+            throw new MalformedFrameException(
+                    "frame of kind " + kind + " with " + payload + " bytes");
         }
         List<EngineEndpoint> members = new ArrayList<>();
         for (int i = 0; i < payload / RECORD; i++) {
@@ -94,7 +95,7 @@
         return new Frame(Kind.values()[kind], number, members);
     }
 
-    private EngineEndpoint member() throws GarbledException {
+    private EngineEndpoint member() throws MalformedFrameException {
         EngineId id = new EngineId(pending.getInt() & 0xffffffffL);
         byte[] address = new byte[4];
         pending.get(address);
@@ -106,7 +107,7 @@
         double weight = (pending.getInt() & 0xffffffffL) / 1000.0;
         double started = pending.getLong() / 1000.0;
         if (state >= EngineStage.values().length) {
-            throw new GarbledException("engine state " + state);
+            throw new MalformedFrameException("engine state " + state);
         }
         try {
             return new EngineEndpoint(
@@ -114,7 +115,7 @@
                             id, zone, kind, cell, EngineStage.values()[state], weight, started),
                     new InetSocketAddress(InetAddress.getByAddress(address), port));
         } catch (UnknownHostException e) {
-            throw new GarbledException("engine address");
+            throw new MalformedFrameException("engine address");
         }
     }
 }
--- a/src/main/java/junipercourse/fleet/transport/UdpTransport.java
+++ b/src/main/java/junipercourse/fleet/transport/UdpTransport.java
@@ -221,7 +221,7 @@
             return;
         }
         try {
-            if (channel.send(sendBuffer, Config.address("fleet address", envelope.address()))
+            if (channel.send(sendBuffer, Config.parseAddress("fleet address", envelope.address()))
                     == size) {
                 counters.sent(size);
                 return;
--- a/src/main/java/junipercourse/log/BoundedConsoleWriter.java
+++ b/src/main/java/junipercourse/log/BoundedConsoleWriter.java
@@ -78,7 +78,7 @@
     }
 
     /** Lines of the process's log that were dropped since its start. */
-    public static long dropped() {
+    public static long totalDroppedLines() {
         long dropped = 0;
         for (Writer w : writers()) {
             dropped += w instanceof BoundedConsoleWriter ours ? ours.lost() : 0;
@@ -87,7 +87,7 @@
     }
 
     /** Lets the last lines out at the end of the process; what is logged later is lost. */
-    public static void end() {
+    public static void closeAll() {
         for (Writer w : writers()) {
             if (w instanceof BoundedConsoleWriter ours) {
                 ours.close();
--- a/src/main/java/junipercourse/product/FleetConfigReader.java
+++ b/src/main/java/junipercourse/product/FleetConfigReader.java
@@ -85,7 +85,7 @@
     }
 
     private static InetSocketAddress address(String text) {
-        return Config.address(text, text);
+        return Config.parseAddress(text, text);
     }
 
     private RateLimits bounds() {
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -116,7 +116,7 @@
                         7,
                         counters,
                         shows);
-        pgServer.listen(config.listen());
+        pgServer.listen(config.listenAddress());
         loop.execute(loop::startStallDetection);
     }
 
--- a/src/test/java/junipercourse/admin/AdminServerTest.java
+++ b/src/test/java/junipercourse/admin/AdminServerTest.java
@@ -13,28 +13,28 @@
 
 class AdminServerTest implements AdminOperations {
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return true;
     }
 
     @Override
-    public String readyWhy() {
+    public String describeReadiness() {
         return "serves";
     }
 
     @Override
-    public String stats() {
+    public String getStatisticsJson() {
         throw new IllegalStateException("on purpose");
     }
 
     @Override
-    public Verdict down(String id) {
-        return Verdict.UNKNOWN;
+    public MaintenanceResult startMaintenance(String id) {
+        return MaintenanceResult.UNKNOWN_ENGINE;
     }
 
     @Override
-    public Verdict up(String id) {
-        return Verdict.FAILED;
+    public MaintenanceResult endMaintenance(String id) {
+        return MaintenanceResult.FAILED;
     }
 
     private static int status(AdminServer server, String call) throws IOException {
--- a/src/test/java/junipercourse/admin/StoredFilesTest.java
+++ b/src/test/java/junipercourse/admin/StoredFilesTest.java
@@ -26,7 +26,7 @@
     @Test
     void namesAnEngineInMaintenanceByItsBusId() throws IOException {
         MaintenanceMarkers markers = new MaintenanceMarkers(folder);
-        markers.out(new EngineId(0xc41f7a));
+        markers.add(new EngineId(0xc41f7a));
         assertEquals(List.of("s-00c41f7a"), names());
         assertEquals(0, Files.size(folder.resolve("s-00c41f7a")));
         assertEquals(Set.of(new EngineId(0xc41f7a)), new MaintenanceMarkers(folder).read());
--- a/src/test/java/junipercourse/config/ConfigTest.java
+++ b/src/test/java/junipercourse/config/ConfigTest.java
@@ -19,7 +19,7 @@
                         SocketTestSupport.CONFIG,
                         Map.of("RELAY_NAME", "n9", "RELAY_LISTEN", "10.0.0.4:7001"));
         assertEquals("n9", c.name());
-        assertEquals("/10.0.0.4:7001", c.listen().toString());
+        assertEquals("/10.0.0.4:7001", c.listenAddress().toString());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
         assertEquals(new Config.Resources(1, 192, 1024), c.resources());
         assertEquals(
@@ -37,7 +37,7 @@
                                 + "\"goal_time_s\":1,\"deadline_s\":2}]}}",
                         Map.of());
         assertEquals(new Config.Resources(1, 192, 1024), c.resources());
-        assertEquals(30, c.idleSeconds());
+        assertEquals(30, c.idleTimeoutSeconds());
     }
 
     /** Each case changes one part of a good file; the message begins with the key at fault. */
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -102,7 +102,7 @@
             bus.acceptSubscription();
             assertEquals(List.of(expected.split(";")), told);
             assertEquals(List.of(0L, last), bus.requestedOffsets);
-            loop.execute(() -> client.follow(null, List.of()));
+            loop.execute(() -> client.reconfigure(null, List.of()));
         }
     }
 
@@ -167,7 +167,7 @@
         Socket s = bus.acceptSubscription();
         sendBytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
         SocketTestSupport.await(() -> told.size() == 1);
-        loop.execute(() -> client.follow(other.address(), List.of()));
+        loop.execute(() -> client.reconfigure(other.address(), List.of()));
         Socket next = other.acceptSubscription();
         try {
             sendBytes(s, frame("c2").substring(2 * cut) + frame("c3"));
@@ -206,7 +206,7 @@
                     }
                 });
         held.await();
-        Runnable move = () -> client.follow(other.address(), List.of());
+        Runnable move = () -> client.reconfigure(other.address(), List.of());
         if (moveFirst) {
             loop.execute(move);
         }
@@ -231,8 +231,8 @@
                 bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.recordingListener(told).roster(kind, members);
-                            client[0].follow(other.address(), List.of());
+                            ScriptedBus.recordingListener(told).onEndpointUpdate(kind, members);
+                            client[0].reconfigure(other.address(), List.of());
                         });
         loop.execute(client[0]::start);
         Socket s = bus.acceptSubscription();
@@ -260,7 +260,7 @@
                     client.start();
                     SocketTestSupport.sleepMillis(
                             50); // it is up in the system by now, and not handed over
-                    client.follow(other.address(), List.of());
+                    client.reconfigure(other.address(), List.of());
                 });
         sendBytes(other.acceptSubscription(), frame("w1"));
         SocketTestSupport.await(() -> told.size() == 1);
@@ -292,8 +292,9 @@
                         + ","
                         + event.formatted(7, true, 7);
         List<InitialEventsReader.Event> known =
-                client.check(Json.parse("{\"offset\":7,\"batch\":[" + batch + "]}").asObject());
-        loop.execute(() -> client.follow(other.address(), known));
+                client.readInitialEvents(
+                        Json.parse("{\"offset\":7,\"batch\":[" + batch + "]}").asObject());
+        loop.execute(() -> client.reconfigure(other.address(), known));
         other.acceptSubscription();
         assertEquals(List.of("FULL 5", "DELTA 6", "FULL 7"), told);
         assertEquals(List.of(7L), other.requestedOffsets);
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -42,13 +42,13 @@
         void on(ScriptedBus bus, Socket s) throws IOException;
     }
 
-    private static final class Play {
+    private static final class Scenario {
         final ScriptedBus bus;
         final List<String> told = new CopyOnWriteArrayList<>();
         final List<Throwable> faults = new CopyOnWriteArrayList<>();
         volatile double newsAt;
 
-        Play() throws IOException {
+        Scenario() throws IOException {
             bus = new ScriptedBus();
         }
     }
@@ -118,7 +118,7 @@
         throw new AssertionError("a bus that only dribbles is never left");
     }
 
-    private void play(Play p, String first, String second) throws IOException {
+    private void play(Scenario p, String first, String second) throws IOException {
         p.bus.runScript(
                 () -> {
                     Socket s = p.bus.acceptSubscription();
@@ -135,7 +135,7 @@
                 p.bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.recordingListener(p.told).roster(kind, members);
+                            ScriptedBus.recordingListener(p.told).onEndpointUpdate(kind, members);
                             p.newsAt = ScriptedBus.nowSeconds();
                         });
         loop.execute(client::start);
@@ -144,16 +144,16 @@
     /** Each fault alone and after each other; all plays at once, each with a bus of its own. */
     @Test
     void whateverEndsAWatchTheNextOneTellsInTime() throws Exception {
-        Map<String, Play> plays = new LinkedHashMap<>();
+        Map<String, Scenario> plays = new LinkedHashMap<>();
         Map<String, Double> bounds = new LinkedHashMap<>();
         try {
             for (String first : faults.keySet()) {
-                plays.put(first, new Play());
+                plays.put(first, new Scenario());
                 bounds.put(first, cost.get(first));
                 play(plays.get(first), first, null);
                 for (String second : faults.keySet()) {
                     String both = first + ", then " + second;
-                    plays.put(both, new Play());
+                    plays.put(both, new Scenario());
                     bounds.put(both, cost.get(first) + cost.get(second));
                     play(plays.get(both), first, second);
                 }
@@ -184,7 +184,7 @@
                     });
             assertEquals(List.of(), wrong);
         } finally {
-            for (Play p : plays.values()) {
+            for (Scenario p : plays.values()) {
                 p.bus.close();
             }
         }
@@ -196,7 +196,7 @@
      */
     @Test
     void silenceThenADialThatHangsThenAMuteWatch() throws Exception {
-        Play p = new Play();
+        Scenario p = new Scenario();
         try (ScriptedBus bus = p.bus) {
             bus.runScript(
                     () -> {
@@ -214,7 +214,8 @@
                     bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.recordingListener(p.told).roster(kind, members);
+                                ScriptedBus.recordingListener(p.told)
+                                        .onEndpointUpdate(kind, members);
                                 p.newsAt = ScriptedBus.nowSeconds();
                             });
             loop.execute(client::start);
@@ -231,7 +232,7 @@
      */
     @Test
     void aBusThatIsSlowToSpeakIsHeard() throws Exception {
-        Play p = new Play();
+        Scenario p = new Scenario();
         try (ScriptedBus bus = p.bus) {
             bus.runScript(
                     () -> {
@@ -253,7 +254,7 @@
      */
     @Test
     void aStallIsNoSilenceAndHidesNone() throws Exception {
-        Play p = new Play();
+        Scenario p = new Scenario();
         try (ScriptedBus bus = p.bus) {
             bus.runScript(
                     () -> {
@@ -283,7 +284,8 @@
                     bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.recordingListener(p.told).roster(kind, members);
+                                ScriptedBus.recordingListener(p.told)
+                                        .onEndpointUpdate(kind, members);
                                 p.newsAt = ScriptedBus.nowSeconds();
                             });
             loop.execute(client::start);
--- a/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
+++ b/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
@@ -41,11 +41,11 @@
     private static final EngineEndpoint MEMBER =
             new EngineEndpoint(
                     new EngineListing(new EngineId(0xc41f7aL), 0, 0, 2, EngineStage.DRAINING, 4, 5),
-                    Config.address("x", "10.1.0.9:7001"));
+                    Config.parseAddress("x", "10.1.0.9:7001"));
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 13, 14, 100})
-    void readsFramesInAnyPieces(int piece) throws WatchFrameDecoder.GarbledException {
+    void readsFramesInAnyPieces(int piece) throws WatchFrameDecoder.MalformedFrameException {
         byte[] bytes = HexFormat.of().parseHex(EMPTY + CHANGE);
         WatchFrameDecoder frames = new WatchFrameDecoder();
         List<WatchFrameDecoder.Frame> got = new ArrayList<>();
@@ -75,12 +75,13 @@
     void garbledFramesAreTold(String hex) {
         WatchFrameDecoder frames = new WatchFrameDecoder();
         frames.add(ByteBuffer.wrap(HexFormat.of().parseHex(hex)));
-        assertThrows(WatchFrameDecoder.GarbledException.class, frames::next);
+        assertThrows(WatchFrameDecoder.MalformedFrameException.class, frames::next);
     }
 
     /** A frame's length is known at its start: one that is too long holds no memory. */
     @Test
-    void aLongFrameInSmallPiecesTakesBoundedMemory() throws WatchFrameDecoder.GarbledException {
+    void aLongFrameInSmallPiecesTakesBoundedMemory()
+            throws WatchFrameDecoder.MalformedFrameException {
         byte[] frame =
                 ByteBuffer.allocate(Integer.BYTES + WatchFrameDecoder.MAX_FRAME)
                         .putInt(WatchFrameDecoder.MAX_FRAME)
--- a/src/test/java/junipercourse/fleet/transport/HollowTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/HollowTransport.java
@@ -148,7 +148,7 @@
         int size = bytes.limit();
         try {
             if (channel.isOpen()
-                    && channel.send(bytes, Config.address("fleet address", address)) == size) {
+                    && channel.send(bytes, Config.parseAddress("fleet address", address)) == size) {
                 tally.sent(size);
                 return;
             }
--- a/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
+++ b/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
@@ -56,7 +56,7 @@
         assertTrue(
                 System.nanoTime() - from < 2_000_000_000L, "writing 5 MB to a full pipe took long");
         long dropped = w.lost();
-        assertEquals(0, BoundedConsoleWriter.dropped(), "of the process's own log");
+        assertEquals(0, BoundedConsoleWriter.totalDroppedLines(), "of the process's own log");
         assertTrue(dropped > 4500 && dropped < 5000, "dropped " + dropped);
         StringBuilder got = new StringBuilder();
         while (got.indexOf("lines of the log were dropped") < 0) {
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -196,7 +196,7 @@
     static FleetConfig part(int number, String zone, List<String> seeds, FleetConfig pattern) {
         return new FleetConfig(
                 pattern.name(),
-                Config.address("listen", Network.address(number)),
+                Config.parseAddress("listen", Network.address(number)),
                 Network.address(number),
                 zone,
                 seeds,
--- a/src/test/java/junipercourse/scale/Listeners.java
+++ b/src/test/java/junipercourse/scale/Listeners.java
@@ -67,7 +67,7 @@
         loop.execute(
                 () -> {
                     if (clients[member] != null) {
-                        clients[member].follow(null, List.of());
+                        clients[member].reconfigure(null, List.of());
                         clients[member] = null;
                     }
                 });
