--- a/src/main/java/junipercourse/admin/AdminServer.java
+++ b/src/main/java/junipercourse/admin/AdminServer.java
@@ -26,38 +26,38 @@
  * own.
  */
 public final class AdminServer implements Closeable {
-    private static final int MOST_CONNECTIONS = 64;
-    private static final int MOST_BYTES = 8192;
-    private static final int WHOLE_CALL_MS = 5000;
+    private static final int DEFAULT_MAX_CONNECTIONS = 64;
+    private static final int MAX_REQUEST_BYTES = 8192;
+    private static final int CONNECTION_TIMEOUT_MILLIS = 5000;
     private static final int BACKLOG = 512;
-    private static final int BUFFER = 1024;
-    private static final String DOWN = "/ops/engines/down/";
-    private static final String UP = "/ops/engines/up/";
+    private static final int BUFFER_BYTES = 1024;
+    private static final String DOWN_PATH = "/ops/engines/down/";
+    private static final String UP_PATH = "/ops/engines/up/";
 
     private final AdminOperations operations;
-    private final int most;
+    private final int maxConnections;
     private final XnioWorker worker;
-    private final HttpOpenListener http;
+    private final HttpOpenListener httpListener;
     private final AcceptingChannel<StreamConnection> server;
 
     /** Those open, oldest first, each with the end of its time; on the I/O thread only. */
-    private final LinkedHashMap<StreamConnection, XnioIoThread.Key> connections =
+    private final LinkedHashMap<StreamConnection, XnioIoThread.Key> closeTimers =
             new LinkedHashMap<>();
 
-    private int open;
+    private int openConnections;
 
     /**
      * @throws IOException if the address cannot be listened on, which it names
      */
     public AdminServer(InetSocketAddress address, AdminOperations operations) throws IOException {
-        this(address, operations, MOST_CONNECTIONS);
+        this(address, operations, DEFAULT_MAX_CONNECTIONS);
     }
 
     /** With a bound on connections. */
-    public AdminServer(InetSocketAddress address, AdminOperations operations, int most)
+    public AdminServer(InetSocketAddress address, AdminOperations operations, int maxConnections)
             throws IOException {
         this.operations = operations;
-        this.most = most;
+        this.maxConnections = maxConnections;
         worker =
                 Xnio.getInstance()
                         .createWorker(
@@ -68,11 +68,11 @@
                                         .set(Options.THREAD_DAEMON, true)
                                         .set(Options.WORKER_NAME, "ops")
                                         .getMap());
-        http =
+        httpListener =
                 new HttpOpenListener(
-                        new DefaultByteBufferPool(false, BUFFER, most, 0),
-                        OptionMap.create(UndertowOptions.MAX_HEADER_SIZE, MOST_BYTES));
-        http.setRootHandler(this::called);
+                        new DefaultByteBufferPool(false, BUFFER_BYTES, maxConnections, 0),
+                        OptionMap.create(UndertowOptions.MAX_HEADER_SIZE, MAX_REQUEST_BYTES));
+        httpListener.setRootHandler(this::handleRequest);
         try {
             server =
                     worker.createStreamConnectionServer(
@@ -87,91 +87,102 @@
         server.resumeAccepts();
     }
 
-    private void accept(AcceptingChannel<? extends StreamConnection> from) {
+    private void accept(AcceptingChannel<? extends StreamConnection> channel) {
         try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                StreamConnection connection = c;
-                connection.getIoThread().execute(() -> opened(connection));
+            for (StreamConnection accepted = channel.accept();
+                    accepted != null;
+                    accepted = channel.accept()) {
+                StreamConnection connection = accepted;
+                connection.getIoThread().execute(() -> registerConnection(connection));
             }
         } catch (IOException e) {
             Logger.warn("ops: a connection could not be accepted: {}", e.getMessage());
         }
     }
 
-    private void opened(StreamConnection c) {
-        if (open >= most && !connections.isEmpty()) {
-            IoUtils.safeClose(connections.keySet().iterator().next());
+    private void registerConnection(StreamConnection connection) {
+        if (openConnections >= maxConnections && !closeTimers.isEmpty()) {
+            IoUtils.safeClose(closeTimers.keySet().iterator().next());
         }
-        if (open >= most) {
-            IoUtils.safeClose(c);
+        if (openConnections >= maxConnections) {
+            IoUtils.safeClose(connection);
             return;
         }
-        open++;
-        connections.put(
-                c,
-                c.getIoThread()
+        openConnections++;
+        closeTimers.put(
+                connection,
+                connection
+                        .getIoThread()
                         .executeAfter(
-                                () -> IoUtils.safeClose(c), WHOLE_CALL_MS, TimeUnit.MILLISECONDS));
-        c.setCloseListener(
-                x -> {
-                    open--;
-                    over(c);
+                                () -> IoUtils.safeClose(connection),
+                                CONNECTION_TIMEOUT_MILLIS,
+                                TimeUnit.MILLISECONDS));
+        connection.setCloseListener(
+                channel -> {
+                    openConnections--;
+                    cancelCloseTimer(connection);
                 });
-        http.handleEvent(c);
+        httpListener.handleEvent(connection);
     }
 
-    private void over(StreamConnection c) {
-        XnioIoThread.Key key = connections.remove(c);
-        if (key != null) {
-            key.remove();
+    private void cancelCloseTimer(StreamConnection connection) {
+        XnioIoThread.Key timer = closeTimers.remove(connection);
+        if (timer != null) {
+            timer.remove();
         }
     }
 
-    private void called(HttpServerExchange x) {
-        x.setPersistent(false);
-        x.setMaxEntitySize(MOST_BYTES);
-        x.getRequestReceiver()
-                .receiveFullBytes((e, body) -> route(e), (e, fault) -> answer(e, 413, "{}"));
+    private void handleRequest(HttpServerExchange exchange) {
+        exchange.setPersistent(false);
+        exchange.setMaxEntitySize(MAX_REQUEST_BYTES);
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (received, body) -> route(received),
+                        (received, failure) -> respond(received, 413, "{}"));
     }
 
-    private void route(HttpServerExchange x) {
-        String path = x.getRequestPath();
-        boolean change = path.startsWith(DOWN) || path.startsWith(UP);
-        boolean ready = path.equals("/ops/readiness");
-        if (!change && !ready && !path.equals("/ops/stats")) {
-            answer(x, 404, "{}");
-        } else if (!x.getRequestMethod().toString().equals(change ? "POST" : "GET")) {
-            x.getResponseHeaders().put(Headers.ALLOW, change ? "POST" : "GET");
-            answer(x, 405, "{}");
-        } else if (change) {
-            boolean down = path.startsWith(DOWN);
-            String id = path.substring((down ? DOWN : UP).length());
-            AdminOperations.MaintenanceResult v =
-                    down ? operations.startMaintenance(id) : operations.endMaintenance(id);
-            answer(
-                    x,
-                    v == AdminOperations.MaintenanceResult.DONE
+    private void route(HttpServerExchange exchange) {
+        String path = exchange.getRequestPath();
+        boolean isMaintenanceChange = path.startsWith(DOWN_PATH) || path.startsWith(UP_PATH);
+        boolean isReadinessCheck = path.equals("/ops/readiness");
+        if (!isMaintenanceChange && !isReadinessCheck && !path.equals("/ops/stats")) {
+            respond(exchange, 404, "{}");
+        } else if (!exchange.getRequestMethod()
+                .toString()
+                .equals(isMaintenanceChange ? "POST" : "GET")) {
+            exchange.getResponseHeaders().put(Headers.ALLOW, isMaintenanceChange ? "POST" : "GET");
+            respond(exchange, 405, "{}");
+        } else if (isMaintenanceChange) {
+            boolean isStart = path.startsWith(DOWN_PATH);
+            String id = path.substring((isStart ? DOWN_PATH : UP_PATH).length());
+            AdminOperations.MaintenanceResult result =
+                    isStart ? operations.startMaintenance(id) : operations.endMaintenance(id);
+            respond(
+                    exchange,
+                    result == AdminOperations.MaintenanceResult.DONE
                             ? 200
-                            : v == AdminOperations.MaintenanceResult.UNKNOWN_ENGINE ? 404 : 503,
+                            : result == AdminOperations.MaintenanceResult.UNKNOWN_ENGINE
+                                    ? 404
+                                    : 503,
                     "{}");
-        } else if (ready) {
-            boolean now = operations.isReady();
-            answer(
-                    x,
-                    now ? 200 : 503,
+        } else if (isReadinessCheck) {
+            boolean isReady = operations.isReady();
+            respond(
+                    exchange,
+                    isReady ? 200 : 503,
                     Json.object()
-                            .add("ready", now)
+                            .add("ready", isReady)
                             .add("why", operations.describeReadiness())
                             .toString());
         } else {
-            answer(x, 200, operations.getStatisticsJson());
+            respond(exchange, 200, operations.getStatisticsJson());
         }
     }
 
-    private static void answer(HttpServerExchange x, int status, String body) {
-        x.setStatusCode(status);
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        x.getResponseSender().send(body);
+    private static void respond(HttpServerExchange exchange, int status, String body) {
+        exchange.setStatusCode(status);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseSender().send(body);
     }
 
     /** Where it listens. */
@@ -182,7 +193,7 @@
     @Override
     public void close() {
         IoUtils.safeClose(server);
-        http.closeConnections();
+        httpListener.closeConnections();
         worker.shutdownNow();
     }
 }
--- a/src/main/java/junipercourse/admin/MaintenanceMarkers.java
+++ b/src/main/java/junipercourse/admin/MaintenanceMarkers.java
@@ -20,13 +20,13 @@
  */
 public final class MaintenanceMarkers {
     /** More than a list of engines holds, so that the folder cannot grow for good. */
-    private static final int MOST = 4096;
+    private static final int MAX_MARKERS = 4096;
 
-    private static final Pattern ID = Pattern.compile("s-[0-9a-f]{8}");
+    private static final Pattern ENGINE_ID_PATTERN = Pattern.compile("s-[0-9a-f]{8}");
     private final Path folder;
-    private final Set<String> strange = new HashSet<>();
-    private Set<EngineId> last = Set.of();
-    private String fault = "";
+    private final Set<String> reportedNames = new HashSet<>();
+    private Set<EngineId> lastRead = Set.of();
+    private String lastError = "";
 
     /**
      * @throws IOException if the folder is not there and cannot be made
@@ -41,12 +41,12 @@
      * none.
      */
     public static Optional<EngineId> parseEngineId(String id) {
-        return ID.matcher(id).matches()
+        return ENGINE_ID_PATTERN.matcher(id).matches()
                 ? Optional.of(new EngineId(Long.parseLong(id.substring(2), 16)))
                 : Optional.empty();
     }
 
-    private Path file(EngineId id) {
+    private Path markerPath(EngineId id) {
         return folder.resolve(String.format("s-%08x", id.value()));
     }
 
@@ -54,11 +54,11 @@
      * @throws IOException if that cannot be kept: then nothing has changed
      */
     public synchronized void add(EngineId id) throws IOException {
-        if (read().size() >= MOST) {
-            throw new IOException("already " + MOST + " engines are out");
+        if (read().size() >= MAX_MARKERS) {
+            throw new IOException("already " + MAX_MARKERS + " engines are out");
         }
         try {
-            Files.createFile(file(id));
+            Files.createFile(markerPath(id));
         } catch (FileAlreadyExistsException e) {
             Logger.debug("engine {} is out already", id.value());
         }
@@ -71,7 +71,7 @@
         if (!Files.isDirectory(folder)) { // no file is there, and yet what was out stays out
             throw new IOException(folder + " is not there");
         }
-        Files.deleteIfExists(file(id));
+        Files.deleteIfExists(markerPath(id));
     }
 
     /**
@@ -79,26 +79,27 @@
      * out.
      */
     public synchronized Set<EngineId> read() {
-        Set<EngineId> out = new HashSet<>();
+        Set<EngineId> engines = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-            for (Path f : files) {
-                String name = f.getFileName().toString();
+            for (Path file : files) {
+                String name = file.getFileName().toString();
                 Optional<EngineId> id = parseEngineId(name);
                 if (id.isPresent()) {
-                    out.add(id.get());
-                } else if (strange.size() < MOST && strange.add(name)) {
+                    engines.add(id.get());
+                } else if (reportedNames.size() < MAX_MARKERS && reportedNames.add(name)) {
                     Logger.warn("{} holds {}, which names no engine", folder, name);
                 }
             }
-            last = Set.copyOf(out);
-            fault = "";
+            lastRead = Set.copyOf(engines);
+            lastError = "";
         } catch (IOException | RuntimeException e) { // the stream's own failures come unchecked
-            if (!fault.equals(e.toString())) { // it is read several times a second
-                fault = e.toString();
+            if (!lastError.equals(e.toString())) { // it is read several times a second
+                lastError = e.toString();
                 Logger.error(
-                        "the engines taken out cannot be read, and stay as they were: {}", fault);
+                        "the engines taken out cannot be read, and stay as they were: {}",
+                        lastError);
             }
         }
-        return last;
+        return lastRead;
     }
 }
--- a/src/main/java/junipercourse/admin/SiblingProcesses.java
+++ b/src/main/java/junipercourse/admin/SiblingProcesses.java
@@ -22,41 +22,41 @@
     /**
      * More processes of one dispatcher are never started: the next one finds no number and ends.
      */
-    private static final int MOST = 8;
+    private static final int MAX_PROCESSES = 8;
 
-    private static final int TRIES = 20;
-    private static final long TRY_AGAIN_NS = 10_000_000;
+    private static final int LOCK_ATTEMPTS = 20;
+    private static final long LOCK_RETRY_NANOS = 10_000_000;
     private final Path folder;
-    private final FileChannel mine;
-    private final FileLock lock;
-    private final int number;
+    private final FileChannel processFile;
+    private final FileLock processLock;
+    private final int processNumber;
 
     /**
      * @throws IOException if the folder cannot be used, or all numbers are taken
      */
     public SiblingProcesses(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
-        for (int i = 0; i < MOST; i++) {
-            FileChannel file = open(name(i));
-            FileLock taken = file.tryLock();
-            if (taken != null) {
-                mine = file;
-                lock = taken;
-                number = i;
+        for (int i = 0; i < MAX_PROCESSES; i++) {
+            FileChannel file = open(fileName(i));
+            FileLock ownLock = file.tryLock();
+            if (ownLock != null) {
+                processFile = file;
+                processLock = ownLock;
+                processNumber = i;
                 return;
             }
             file.close();
         }
-        throw new IOException(folder + ": " + MOST + " processes run already");
+        throw new IOException(folder + ": " + MAX_PROCESSES + " processes run already");
     }
 
-    private static String name(int i) {
-        return "process-" + i;
+    private static String fileName(int processNumber) {
+        return "process-" + processNumber;
     }
 
-    private FileChannel open(String name) throws IOException {
+    private FileChannel open(String fileName) throws IOException {
         return FileChannel.open(
-                folder.resolve(name),
+                folder.resolve(fileName),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE);
@@ -69,52 +69,53 @@
      * @return what all others claim together; -1 if there is no other
      * @throws IOException if the files cannot be used: then nothing is claimed anew
      */
-    public int claim(IntUnaryOperator claim) throws IOException {
-        try (FileChannel turn = open("turn");
-                FileLock one = turn(turn)) {
-            int others = -1;
-            for (int i = 0; i < MOST; i++) {
-                if (i != number && Files.exists(folder.resolve(name(i)))) {
-                    others = add(others, i);
+    public int claim(IntUnaryOperator computeClaim) throws IOException {
+        try (FileChannel lockFile = open("turn");
+                FileLock claimLock = acquireLock(lockFile)) {
+            int othersClaim = -1;
+            for (int i = 0; i < MAX_PROCESSES; i++) {
+                if (i != processNumber && Files.exists(folder.resolve(fileName(i)))) {
+                    othersClaim = addClaim(othersClaim, i);
                 }
             }
-            int claimed = claim.applyAsInt(others);
-            mine.write(ByteBuffer.allocate(Integer.BYTES).putInt(0, claimed), 0);
-            return one.isValid() ? others : -1;
+            int ownClaim = computeClaim.applyAsInt(othersClaim);
+            processFile.write(ByteBuffer.allocate(Integer.BYTES).putInt(0, ownClaim), 0);
+            return claimLock.isValid() ? othersClaim : -1;
         }
     }
 
     /**
      * Guards against one that was stopped in the middle of its turn: nobody waits for it for long.
      */
-    private static FileLock turn(FileChannel file) throws IOException {
-        for (int i = 0; i < TRIES; i++) {
-            FileLock mine = file.tryLock();
-            if (mine != null) {
-                return mine;
+    private static FileLock acquireLock(FileChannel file) throws IOException {
+        for (int i = 0; i < LOCK_ATTEMPTS; i++) {
+            FileLock acquired = file.tryLock();
+            if (acquired != null) {
+                return acquired;
             }
-            LockSupport.parkNanos(TRY_AGAIN_NS);
+            LockSupport.parkNanos(LOCK_RETRY_NANOS);
         }
         throw new IOException("another process has had its turn for too long");
     }
 
-    private int add(int sum, int i) throws IOException {
-        try (FileChannel file = open(name(i));
-                FileLock free = file.tryLock()) {
-            if (free != null) { // nobody holds it: its process has ended
+    private int addClaim(int sum, int processNumber) throws IOException {
+        try (FileChannel file = open(fileName(processNumber));
+                FileLock acquiredLock = file.tryLock()) {
+            if (acquiredLock != null) { // nobody holds it: its process has ended
                 return sum;
             }
-            ByteBuffer told = ByteBuffer.allocate(Integer.BYTES);
-            int n = file.read(told, 0);
-            return Math.max(0, sum) + (n == Integer.BYTES ? Math.max(0, told.getInt(0)) : 0);
+            ByteBuffer claim = ByteBuffer.allocate(Integer.BYTES);
+            int bytesRead = file.read(claim, 0);
+            return Math.max(0, sum)
+                    + (bytesRead == Integer.BYTES ? Math.max(0, claim.getInt(0)) : 0);
         }
     }
 
     @Override
     public void close() {
         try {
-            lock.release();
-            mine.close();
+            processLock.release();
+            processFile.close();
         } catch (IOException e) {
             Logger.debug("the lock of this process: {}", e.getMessage());
         }
--- a/src/main/java/junipercourse/config/Config.java
+++ b/src/main/java/junipercourse/config/Config.java
@@ -44,8 +44,8 @@
         double idleTimeoutSeconds) {
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_SOCKETS = 1024;
-    private static final int LEAST_SOCKETS = 64;
-    private static final double DEFAULT_IDLE_S = 30;
+    private static final int MIN_SOCKETS = 64;
+    private static final double DEFAULT_IDLE_TIMEOUT_SECONDS = 30;
 
     /** What the process may use. */
     public record Resources(double cores, int memoryMb, int sockets) {}
@@ -76,8 +76,11 @@
             throw new ConfigException("RELAY_CONFIG", "not a JSON object: " + e.getMessage());
         }
         String name = environment.getOrDefault("RELAY_NAME", root.text("name", "junipercourse"));
-        boolean given = environment.containsKey("RELAY_LISTEN");
-        String listen = given ? environment.get("RELAY_LISTEN") : root.text("listen", null);
+        boolean isListenSetInEnvironment = environment.containsKey("RELAY_LISTEN");
+        String listen =
+                isListenSetInEnvironment
+                        ? environment.get("RELAY_LISTEN")
+                        : root.text("listen", null);
         if (listen == null) {
             throw new ConfigException("listen", "missing; RELAY_LISTEN is not set either");
         }
@@ -87,64 +90,68 @@
         if (settings.isEmpty()) {
             throw new ConfigException("settings", "missing");
         }
-        Map<String, String> pairs = SettingsText.flatten(settings.json());
+        Map<String, String> settingsByPath = SettingsText.flatten(settings.json());
         return new Config(
                 name,
-                parseAddress(given ? "RELAY_LISTEN" : "listen", listen),
+                parseAddress(isListenSetInEnvironment ? "RELAY_LISTEN" : "listen", listen),
                 environment.get("RELAY_FD"),
                 adminAddress(root, environment),
                 seed(root),
                 new Resources(
                         limits.number("cores", 1, 0.01),
                         (int) limits.number("memory_mb", DEFAULT_MEMORY_MB, 1),
-                        (int) limits.number("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)),
+                        (int) limits.number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS)),
                 bus == null ? null : parseAddress("bus", bus),
                 root.section("known").json(),
-                SettingsReader.read(pairs),
-                List.of(pairs.getOrDefault("dcs", "").split(",")),
-                settings.section("limits").number("conn_idle_s", DEFAULT_IDLE_S, 0.1));
+                SettingsReader.read(settingsByPath),
+                List.of(settingsByPath.getOrDefault("dcs", "").split(",")),
+                settings.section("limits")
+                        .number("conn_idle_s", DEFAULT_IDLE_TIMEOUT_SECONDS, 0.1));
     }
 
     /**
      * The keys, among those that a running dispatcher cannot take on, in which another one differs.
      */
-    public List<String> findRestartOnlyChanges(Config before) {
-        List<String> changed = new ArrayList<>();
-        if (!name.equals(before.name)) {
-            changed.add("name");
+    public List<String> findRestartOnlyChanges(Config running) {
+        List<String> changedKeys = new ArrayList<>();
+        if (!name.equals(running.name)) {
+            changedKeys.add("name");
         }
-        if (!listenAddress.equals(before.listenAddress)) {
-            changed.add("listen");
+        if (!listenAddress.equals(running.listenAddress)) {
+            changedKeys.add("listen");
         }
-        if (!Objects.equals(adminAddress, before.adminAddress)) {
-            changed.add("admin");
+        if (!Objects.equals(adminAddress, running.adminAddress)) {
+            changedKeys.add("admin");
         }
-        if (!resources.equals(before.resources)) {
-            changed.add("limits");
+        if (!resources.equals(running.resources)) {
+            changedKeys.add("limits");
         }
-        if (!settings.equals(before.settings)
-                || !zones.equals(before.zones)
-                || idleTimeoutSeconds != before.idleTimeoutSeconds) {
-            changed.add("settings");
+        if (!settings.equals(running.settings)
+                || !zones.equals(running.zones)
+                || idleTimeoutSeconds != running.idleTimeoutSeconds) {
+            changedKeys.add("settings");
         }
-        return changed;
+        return changedKeys;
     }
 
     private static InetSocketAddress adminAddress(Section root, Map<String, String> environment) {
-        boolean given = environment.containsKey("RELAY_ADMIN");
-        String text = given ? environment.get("RELAY_ADMIN") : root.text("admin", null);
-        return text == null ? null : parseAddress(given ? "RELAY_ADMIN" : "admin", text);
+        boolean isSetInEnvironment = environment.containsKey("RELAY_ADMIN");
+        String text =
+                isSetInEnvironment ? environment.get("RELAY_ADMIN") : root.text("admin", null);
+        return text == null
+                ? null
+                : parseAddress(isSetInEnvironment ? "RELAY_ADMIN" : "admin", text);
     }
 
     private static long seed(Section root) {
-        String text = root.text("seed", null);
-        if (text == null) {
+        String seedText = root.text("seed", null);
+        if (seedText == null) {
             return System.nanoTime();
         }
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(seedText, 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException("seed", "not a hexadecimal number of 64 bits: " + text);
+            throw new ConfigException("seed", "not a hexadecimal number of 64 bits: " + seedText);
         }
     }
 
@@ -154,11 +161,11 @@
     public static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
-        boolean numeric =
+        boolean isNumeric =
                 host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}") || host.matches("\\[[0-9a-fA-F:.]+]");
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (numeric && port >= 0) {
+            if (isNumeric && port >= 0) {
                 return new InetSocketAddress(host, port);
             }
         } catch (IllegalArgumentException e) {
@@ -169,7 +176,7 @@
 
     /** One object of the configuration file, with the path to it for messages. */
     private record Section(String path, JsonObject json) {
-        private String key(String name) {
+        private String keyPath(String name) {
             return path.isEmpty() ? name : path + "." + name;
         }
 
@@ -178,36 +185,37 @@
         }
 
         Section section(String name) {
-            JsonValue v = json == null ? null : json.get(name);
-            if (v != null && !v.isNull() && !v.isObject()) {
-                throw new ConfigException(key(name), "not an object");
+            JsonValue value = json == null ? null : json.get(name);
+            if (value != null && !value.isNull() && !value.isObject()) {
+                throw new ConfigException(keyPath(name), "not an object");
             }
-            return new Section(key(name), v == null || v.isNull() ? null : v.asObject());
+            return new Section(
+                    keyPath(name), value == null || value.isNull() ? null : value.asObject());
         }
 
         String text(String name, String fallback) {
-            JsonValue v = json == null ? null : json.get(name);
-            if (v == null || v.isNull()) {
+            JsonValue value = json == null ? null : json.get(name);
+            if (value == null || value.isNull()) {
                 return fallback;
             }
-            if (!v.isString()) {
-                throw new ConfigException(key(name), "not a text");
+            if (!value.isString()) {
+                throw new ConfigException(keyPath(name), "not a text");
             }
-            return v.asString();
+            return value.asString();
         }
 
-        double number(String name, double fallback, double least) {
-            JsonValue v = json == null ? null : json.get(name);
-            if (v == null || v.isNull()) {
+        double number(String name, double fallback, double minimum) {
+            JsonValue value = json == null ? null : json.get(name);
+            if (value == null || value.isNull()) {
                 return fallback;
             }
-            if (!v.isNumber()) {
-                throw new ConfigException(key(name), "not a number");
+            if (!value.isNumber()) {
+                throw new ConfigException(keyPath(name), "not a number");
             }
-            if (!(v.asDouble() >= least)) {
-                throw new ConfigException(key(name), "under " + least + ": " + v);
+            if (!(value.asDouble() >= minimum)) {
+                throw new ConfigException(keyPath(name), "under " + minimum + ": " + value);
             }
-            return v.asDouble();
+            return value.asDouble();
         }
     }
 
@@ -219,37 +227,44 @@
         private SettingsText() {}
 
         static Map<String, String> flatten(JsonObject settings) {
-            Map<String, String> pairs = new HashMap<>();
-            settings.forEach(m -> put(pairs, m.getName(), m.getValue()));
-            return pairs;
+            Map<String, String> valuesByPath = new HashMap<>();
+            settings.forEach(member -> put(valuesByPath, member.getName(), member.getValue()));
+            return valuesByPath;
         }
 
-        private static void put(Map<String, String> pairs, String path, JsonValue value) {
+        private static void put(Map<String, String> valuesByPath, String path, JsonValue value) {
             if (value.isObject()) {
-                value.asObject().forEach(m -> put(pairs, path + "." + m.getName(), m.getValue()));
+                value.asObject()
+                        .forEach(
+                                member ->
+                                        put(
+                                                valuesByPath,
+                                                path + "." + member.getName(),
+                                                member.getValue()));
             } else if (value.isArray()) {
-                list(pairs, path, value.asArray());
+                putList(valuesByPath, path, value.asArray());
             } else if (!value.isNull()) {
-                pairs.put(path, plain(value));
+                valuesByPath.put(path, toText(value));
             }
         }
 
-        private static void list(Map<String, String> pairs, String path, JsonArray items) {
-            boolean objects = !items.isEmpty() && items.get(0).isObject();
-            if (objects) {
-                pairs.put(path + ".count", Integer.toString(items.size()));
+        private static void putList(
+                Map<String, String> valuesByPath, String path, JsonArray items) {
+            boolean containsObjects = !items.isEmpty() && items.get(0).isObject();
+            if (containsObjects) {
+                valuesByPath.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    put(pairs, path + "." + i, items.get(i));
+                    put(valuesByPath, path + "." + i, items.get(i));
                 }
             } else {
-                pairs.put(
+                valuesByPath.put(
                         path,
                         String.join(
-                                ",", items.values().stream().map(SettingsText::plain).toList()));
+                                ",", items.values().stream().map(SettingsText::toText).toList()));
             }
         }
 
-        private static String plain(JsonValue value) {
+        private static String toText(JsonValue value) {
             return value.isString() ? value.asString() : value.toString();
         }
     }
--- a/src/main/java/junipercourse/config/ConfigException.java
+++ b/src/main/java/junipercourse/config/ConfigException.java
@@ -4,7 +4,7 @@
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    public ConfigException(String key, String fault) {
-        super(key + ": " + fault);
+    public ConfigException(String key, String problem) {
+        super(key + ": " + problem);
     }
 }
--- a/src/main/java/junipercourse/config/SettingsReader.java
+++ b/src/main/java/junipercourse/config/SettingsReader.java
@@ -23,39 +23,40 @@
 
 /** Turns the text of the settings into typed settings. Keys that are not known are skipped. */
 public final class SettingsReader {
-    private static final Map<String, Idempotency> IDEMPOTENCY =
+    private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME =
             Map.of(
                     "repeatable", Idempotency.IDEMPOTENT,
                     "by_key", Idempotency.IDEMPOTENT_WITH_KEY,
                     "once", Idempotency.NOT_IDEMPOTENT);
-    private static final Map<String, OutOfMemoryPolicy> OUT_OF_MEMORY =
+    private static final Map<String, OutOfMemoryPolicy> OUT_OF_MEMORY_POLICY_BY_NAME =
             Map.of(
                     "line_up", OutOfMemoryPolicy.QUEUE,
                     "cut", OutOfMemoryPolicy.SHRINK_GRANT,
                     "overcommit", OutOfMemoryPolicy.OVERCOMMIT);
 
-    private final Map<String, String> pairs;
+    private final Map<String, String> valuesByPath;
 
-    private SettingsReader(Map<String, String> pairs) {
-        this.pairs = pairs;
+    private SettingsReader(Map<String, String> valuesByPath) {
+        this.valuesByPath = valuesByPath;
     }
 
     /** Reads lines of {@code path=value}. */
     public static DecisionSettings read(String text) {
-        Map<String, String> pairs = new HashMap<>();
+        Map<String, String> valuesByPath = new HashMap<>();
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                pairs.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                valuesByPath.put(
+                        line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             }
         }
-        return read(pairs);
+        return read(valuesByPath);
     }
 
     /** Reads pairs of path and value. */
-    public static DecisionSettings read(Map<String, String> pairs) {
+    public static DecisionSettings read(Map<String, String> valuesByPath) {
         try {
-            return new SettingsReader(pairs).settings();
+            return new SettingsReader(valuesByPath).readSettings();
         } catch (ConfigException e) {
             throw e;
         } catch (IllegalArgumentException e) { // what the module itself checks
@@ -63,126 +64,130 @@
         }
     }
 
-    private DecisionSettings settings() {
+    private DecisionSettings readSettings() {
         return new DecisionSettings(
-                integer("balancers", 1, 1),
-                integer("ordinal", 0, 0),
-                integer("my_zone", 0, 0),
-                word("registry_mode", "push").equals("ask"),
-                choice("weights", CapacityRating.class, "off"),
-                number("over_share_worth", 1),
-                choice("telemetry.via", LoadReportChannel.class, "off"),
-                loadFields(),
-                classes(),
-                tenants(),
-                kinds(),
-                limits(),
-                guarantees(),
-                engineRules());
+                getInteger("balancers", 1, 1),
+                getInteger("ordinal", 0, 0),
+                getInteger("my_zone", 0, 0),
+                getString("registry_mode", "push").equals("ask"),
+                getChoice("weights", CapacityRating.class, "off"),
+                getNumber("over_share_worth", 1),
+                getChoice("telemetry.via", LoadReportChannel.class, "off"),
+                readLoadMetrics(),
+                readQueryClasses(),
+                readTenants(),
+                readEngineKinds(),
+                readLimits(),
+                readGuarantees(),
+                readEngineCapabilities());
     }
 
-    private List<QueryClass> classes() {
-        int count = (int) need("grades.count");
-        List<String> threads = list("family_info.class_threads");
-        List<String> loads = list("family_info.loads");
-        List<String> waits = list("family_info.class_waits");
-        List<QueryClass> out = new ArrayList<>();
+    private List<QueryClass> readQueryClasses() {
+        int count = (int) requireNumber("grades.count");
+        List<String> threads = getList("family_info.class_threads");
+        List<String> loads = getList("family_info.loads");
+        List<String> classWaits = getList("family_info.class_waits");
+        List<QueryClass> queryClasses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String p = "grades." + i + ".";
-            out.add(
+            String prefix = "grades." + i + ".";
+            queryClasses.add(
                     new QueryClass(
-                            word(p + "name", "class-" + i),
-                            choice(p + "effect", IDEMPOTENCY, null),
-                            choice(p + "key_scope", DeduplicationScope.class, "all"),
-                            number(p + "window_s", 0),
-                            flag(p + "serial_by_key", false),
-                            need(p + "goal_time_s"),
-                            number(p + "aim_stretch", 0),
-                            need(p + "deadline_s"),
-                            number(p + "worth", 1),
-                            number(p + "late_worth", 0),
+                            getString(prefix + "name", "class-" + i),
+                            getChoice(prefix + "effect", IDEMPOTENCY_BY_NAME, null),
+                            getChoice(prefix + "key_scope", DeduplicationScope.class, "all"),
+                            getNumber(prefix + "window_s", 0),
+                            getBoolean(prefix + "serial_by_key", false),
+                            requireNumber(prefix + "goal_time_s"),
+                            getNumber(prefix + "aim_stretch", 0),
+                            requireNumber(prefix + "deadline_s"),
+                            getNumber(prefix + "worth", 1),
+                            getNumber(prefix + "late_worth", 0),
                             i < threads.size()
-                                    ? (int) parse("family_info.class_threads", threads.get(i))
+                                    ? (int) parseNumber("family_info.class_threads", threads.get(i))
                                     : 1,
                             i < loads.size() && Boolean.parseBoolean(loads.get(i)),
-                            i < waits.size() && Boolean.parseBoolean(waits.get(i)),
-                            indexes(p + "dcs_allowed"),
-                            indexes(p + "runs_on")));
+                            i < classWaits.size() && Boolean.parseBoolean(classWaits.get(i)),
+                            getIndexes(prefix + "dcs_allowed"),
+                            getIndexes(prefix + "runs_on")));
         }
-        return out;
+        return queryClasses;
     }
 
-    private List<Tenant> tenants() {
-        List<Tenant> out = new ArrayList<>();
-        for (int i = 0; i < integer("tenants.count", 0, 0); i++) {
-            String p = "tenants." + i + ".";
-            out.add(
+    private List<Tenant> readTenants() {
+        List<Tenant> tenants = new ArrayList<>();
+        for (int i = 0; i < getInteger("tenants.count", 0, 0); i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.add(
                     new Tenant(
-                            word(p + "name", "tenant-" + i),
-                            number(p + "portion", 0),
-                            number(p + "quota_per_s", 0)));
+                            getString(prefix + "name", "tenant-" + i),
+                            getNumber(prefix + "portion", 0),
+                            getNumber(prefix + "quota_per_s", 0)));
         }
-        return out;
+        return tenants;
     }
 
-    private List<EngineKind> kinds() {
-        List<String> names = list("kinds");
-        List<String> cores = list("family_info.size_cores");
-        List<String> memory = list("family_info.size_mb");
-        List<EngineKind> out = new ArrayList<>();
+    private List<EngineKind> readEngineKinds() {
+        List<String> names = getList("kinds");
+        List<String> cores = getList("family_info.size_cores");
+        List<String> memory = getList("family_info.size_mb");
+        List<EngineKind> engineKinds = new ArrayList<>();
         for (int i = 0; i < Math.max(names.size(), cores.size()); i++) {
-            out.add(
+            engineKinds.add(
                     new EngineKind(
                             i < names.size() ? names.get(i) : "kind-" + i,
-                            i < cores.size() ? parse("family_info.size_cores", cores.get(i)) : 0,
-                            i < memory.size() ? parse("family_info.size_mb", memory.get(i)) : 0));
+                            i < cores.size()
+                                    ? parseNumber("family_info.size_cores", cores.get(i))
+                                    : 0,
+                            i < memory.size()
+                                    ? parseNumber("family_info.size_mb", memory.get(i))
+                                    : 0));
         }
-        return out;
+        return engineKinds;
     }
 
-    private PlatformLimits limits() {
+    private PlatformLimits readLimits() {
         return new PlatformLimits(
-                flag("limits.cancel", false),
-                flag("limits.probes", false),
-                flag("limits.peer_messages", false),
-                flag("limits.second_copies", false),
-                flag("limits.retry_after", false),
-                number("limits.max_retry_after_s", 0),
-                integer("limits.try_limit", 0, 0),
-                number("limits.dial_timeout_s", 0));
+                getBoolean("limits.cancel", false),
+                getBoolean("limits.probes", false),
+                getBoolean("limits.peer_messages", false),
+                getBoolean("limits.second_copies", false),
+                getBoolean("limits.retry_after", false),
+                getNumber("limits.max_retry_after_s", 0),
+                getInteger("limits.try_limit", 0, 0),
+                getNumber("limits.dial_timeout_s", 0));
     }
 
-    private ServiceGuarantees guarantees() {
-        String p = "guarantees.";
+    private ServiceGuarantees readGuarantees() {
+        String prefix = "guarantees.";
         return new ServiceGuarantees(
-                number(p + "grace_to_answer_s", 0),
-                number(p + "drain_grace_s", 0),
-                number(p + "cold_from", 1),
-                number(p + "warm_within_s", 0),
-                number(p + "fall_multiple", 0),
-                number(p + "fall_s", 0),
-                number(p + "order_settle_s", 0),
-                number(p + "counted_over_s", 0),
-                number(p + "free_resends", 0),
-                number(p + "budget_share", 0),
-                number(p + "ask_within_s", 0));
+                getNumber(prefix + "grace_to_answer_s", 0),
+                getNumber(prefix + "drain_grace_s", 0),
+                getNumber(prefix + "cold_from", 1),
+                getNumber(prefix + "warm_within_s", 0),
+                getNumber(prefix + "fall_multiple", 0),
+                getNumber(prefix + "fall_s", 0),
+                getNumber(prefix + "order_settle_s", 0),
+                getNumber(prefix + "counted_over_s", 0),
+                getNumber(prefix + "free_resends", 0),
+                getNumber(prefix + "budget_share", 0),
+                getNumber(prefix + "ask_within_s", 0));
     }
 
-    private EngineCapabilities engineRules() {
-        String p = "family_info.";
+    private EngineCapabilities readEngineCapabilities() {
+        String prefix = "family_info.";
         return new EngineCapabilities(
-                flag(p + "grants_count", false),
-                flag(p + "takes_priority", false),
-                number(p + "max_grant_share", 1),
-                choice(p + "out_of_memory", OUT_OF_MEMORY, "line_up"),
-                number(p + "note_period_s", 0),
-                flag(p + "says_cost", false));
+                getBoolean(prefix + "grants_count", false),
+                getBoolean(prefix + "takes_priority", false),
+                getNumber(prefix + "max_grant_share", 1),
+                getChoice(prefix + "out_of_memory", OUT_OF_MEMORY_POLICY_BY_NAME, "line_up"),
+                getNumber(prefix + "note_period_s", 0),
+                getBoolean(prefix + "says_cost", false));
     }
 
-    private List<LoadMetric> loadFields() {
-        List<LoadMetric> out = new ArrayList<>();
-        for (String name : list("telemetry.fields")) {
-            out.add(
+    private List<LoadMetric> readLoadMetrics() {
+        List<LoadMetric> metrics = new ArrayList<>();
+        for (String name : getList("telemetry.fields")) {
+            metrics.add(
                     switch (name) {
                         case "rif" -> LoadMetric.IN_FLIGHT;
                         case "q" -> LoadMetric.QUEUED;
@@ -197,31 +202,31 @@
                                         "settings.telemetry.fields", "unknown " + name);
                     });
         }
-        return out;
+        return metrics;
     }
 
-    private Set<Integer> indexes(String key) {
-        Set<Integer> out = new TreeSet<>();
-        for (String item : list(key)) {
-            out.add((int) parse(key, item));
+    private Set<Integer> getIndexes(String key) {
+        Set<Integer> indexes = new TreeSet<>();
+        for (String item : getList(key)) {
+            indexes.add((int) parseNumber(key, item));
         }
-        if (out.isEmpty() && pairs.containsKey(key)) {
+        if (indexes.isEmpty() && valuesByPath.containsKey(key)) {
             throw new ConfigException("settings." + key, "allows nothing");
         }
-        return out;
+        return indexes;
     }
 
-    private List<String> list(String key) {
-        String value = pairs.get(key);
+    private List<String> getList(String key) {
+        String value = valuesByPath.get(key);
         return value == null || value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    private String word(String key, String fallback) {
-        return pairs.getOrDefault(key, fallback);
+    private String getString(String key, String fallback) {
+        return valuesByPath.getOrDefault(key, fallback);
     }
 
-    private boolean flag(String key, boolean fallback) {
-        String value = pairs.get(key);
+    private boolean getBoolean(String key, boolean fallback) {
+        String value = valuesByPath.get(key);
         if (value == null) {
             return fallback;
         }
@@ -231,30 +236,30 @@
         return value.equals("true");
     }
 
-    private int integer(String key, int least, int fallback) {
-        double value = number(key, fallback);
-        if (value != Math.rint(value) || value < least || value > Integer.MAX_VALUE) {
+    private int getInteger(String key, int minimum, int fallback) {
+        double value = getNumber(key, fallback);
+        if (value != Math.rint(value) || value < minimum || value > Integer.MAX_VALUE) {
             throw new ConfigException(
                     "settings." + key,
-                    "not a whole number of " + least + " or more: " + pairs.get(key));
+                    "not a whole number of " + minimum + " or more: " + valuesByPath.get(key));
         }
         return (int) value;
     }
 
-    private double number(String key, double fallback) {
-        String value = pairs.get(key);
-        return value == null ? fallback : parse(key, value);
+    private double getNumber(String key, double fallback) {
+        String value = valuesByPath.get(key);
+        return value == null ? fallback : parseNumber(key, value);
     }
 
-    private double need(String key) {
-        String value = pairs.get(key);
+    private double requireNumber(String key) {
+        String value = valuesByPath.get(key);
         if (value == null) {
             throw new ConfigException("settings." + key, "missing");
         }
-        return parse(key, value);
+        return parseNumber(key, value);
     }
 
-    private static double parse(String key, String value) {
+    private static double parseNumber(String key, String value) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
@@ -262,16 +267,16 @@
         }
     }
 
-    private <E extends Enum<E>> E choice(String key, Class<E> type, String fallback) {
+    private <E extends Enum<E>> E getChoice(String key, Class<E> type, String fallback) {
         Map<String, E> byName = new HashMap<>();
         for (E constant : type.getEnumConstants()) {
             byName.put(constant.name().toLowerCase(Locale.ROOT), constant);
         }
-        return choice(key, byName, fallback);
+        return getChoice(key, byName, fallback);
     }
 
-    private <E> E choice(String key, Map<String, E> byName, String fallback) {
-        String value = pairs.getOrDefault(key, fallback);
+    private <E> E getChoice(String key, Map<String, E> byName, String fallback) {
+        String value = valuesByPath.getOrDefault(key, fallback);
         if (value == null) {
             throw new ConfigException("settings." + key, "missing");
         }
--- a/src/main/java/junipercourse/discovery/EndpointWatcher.java
+++ b/src/main/java/junipercourse/discovery/EndpointWatcher.java
@@ -24,12 +24,14 @@
  * by then:
  *
  * <ul>
- *   <li>2.5 s ({@link #SILENCE_S}) until the silence is noticed, and nothing more: a pause between
- *       two dials is counted from the first of them, so that after a silence none is left;
- *   <li>1.0 s ({@link #DIAL_TIMEOUT_S}) more for a connection that does not come up;
+ *   <li>2.5 s ({@link #SILENCE_TIMEOUT_SECONDS}) until the silence is noticed, and nothing more: a
+ *       pause between two dials is counted from the first of them, so that after a silence none is
+ *       left;
+ *   <li>1.0 s ({@link #DIAL_TIMEOUT_SECONDS}) more for a connection that does not come up;
  *   <li>2.5 s more for one that comes up and brings no whole frame, be it mute or dribbling, and
  *       twice that for each further one in a row;
- *   <li>0.5 s ({@link #RETRY_MOST_S}) more at most for each that is refused, closed or garbled;
+ *   <li>0.5 s ({@link #MAX_BACKOFF_SECONDS}) more at most for each that is refused, closed or
+ *       garbled;
  * </ul>
  *
  * 6.0 s with one of each of the first three. What comes between is the network's. After a longer
@@ -38,19 +40,19 @@
  * our own adds its length: silence is counted from when the bytes that came during it were read.
  */
 public final class EndpointWatcher {
-    private static final double DIAL_TIMEOUT_S = 1.0;
-    private static final double SILENCE_S = 2.5; // an empty frame comes each second
+    private static final double DIAL_TIMEOUT_SECONDS = 1.0;
+    private static final double SILENCE_TIMEOUT_SECONDS = 2.5; // an empty frame comes each second
 
     /**
      * Guards a bus that is slow to speak, to many at once, against being left each time before it
      * does.
      */
-    private static final double SILENCE_MOST_S = 5.0;
+    private static final double MAX_SILENCE_TIMEOUT_SECONDS = 5.0;
 
     /** Between two dials, from one to the next: at most ten a second, whatever the bus does. */
-    private static final double RETRY_FIRST_S = 0.1;
+    private static final double INITIAL_BACKOFF_SECONDS = 0.1;
 
-    private static final double RETRY_MOST_S = 0.5;
+    private static final double MAX_BACKOFF_SECONDS = 0.5;
 
     /** Takes the news of the list. */
     public interface Listener {
@@ -59,17 +61,17 @@
 
     private final EventLoop loop;
     private final InitialEventsReader reader;
-    private InetSocketAddress bus;
+    private InetSocketAddress busAddress;
     private final Listener listener;
     private final Counters counters;
     private EventLoop.Dial dial;
     private Watch watch;
-    private DeadlineQueue.Entry redial;
-    private double dialledAt = Double.NEGATIVE_INFINITY;
-    private double retry = RETRY_FIRST_S;
-    private double patience = SILENCE_S;
-    private List<InitialEventsReader.Event> known = List.of();
-    private long last;
+    private DeadlineQueue.Entry redialTimer;
+    private double lastDialSeconds = Double.NEGATIVE_INFINITY;
+    private double backoffSeconds = INITIAL_BACKOFF_SECONDS;
+    private double silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+    private List<InitialEventsReader.Event> initialEvents = List.of();
+    private long lastOffset;
 
     /**
      * Reads the events of the start, so that a fault in them is told before anything runs.
@@ -80,20 +82,20 @@
      */
     public EndpointWatcher(
             EventLoop loop,
-            InetSocketAddress bus,
-            JsonObject known,
+            InetSocketAddress busAddress,
+            JsonObject initialEvents,
             List<String> zones,
-            List<String> kinds,
+            List<String> engineKinds,
             Listener listener,
             Counters counters) {
         this.loop = loop;
-        this.bus = bus;
+        this.busAddress = busAddress;
         this.listener = listener;
         this.counters = counters;
-        this.reader = new InitialEventsReader(zones, kinds);
-        if (known != null) {
-            this.known = reader.read(known);
-            last = InitialEventsReader.offset(known);
+        this.reader = new InitialEventsReader(zones, engineKinds);
+        if (initialEvents != null) {
+            this.initialEvents = reader.read(initialEvents);
+            lastOffset = InitialEventsReader.readLastOffset(initialEvents);
         }
     }
 
@@ -102,50 +104,52 @@
      * lost.
      */
     public void start() {
-        for (InitialEventsReader.Event e : known) {
-            tell(e, EndpointUpdateKind.CACHED);
+        for (InitialEventsReader.Event event : initialEvents) {
+            publish(event, EndpointUpdateKind.CACHED);
         }
-        known = List.of();
-        if (bus != null) {
+        initialEvents = List.of();
+        if (busAddress != null) {
             dial();
         }
     }
 
-    private void tell(InitialEventsReader.Event e, EndpointUpdateKind whole) {
-        last = Math.max(last, e.offset());
-        listener.onEndpointUpdate(e.isFullList() ? whole : EndpointUpdateKind.DELTA, e.endpoints());
+    private void publish(InitialEventsReader.Event event, EndpointUpdateKind fullListKind) {
+        lastOffset = Math.max(lastOffset, event.offset());
+        listener.onEndpointUpdate(
+                event.isFullList() ? fullListKind : EndpointUpdateKind.DELTA, event.endpoints());
     }
 
     /**
      * Reads and checks the events that a new configuration holds; null holds none. For any thread.
      */
-    public List<InitialEventsReader.Event> readInitialEvents(JsonObject newlyKnown) {
-        return newlyKnown == null ? List.of() : reader.read(newlyKnown);
+    public List<InitialEventsReader.Event> readInitialEvents(JsonObject json) {
+        return json == null ? List.of() : reader.read(json);
     }
 
     /**
      * Takes on a new configuration: tells those of its events that are new here, and if the event
      * bus has another address, connects there at once, from the last event, and leaves the old one.
      */
-    public void reconfigure(InetSocketAddress newBus, List<InitialEventsReader.Event> newlyKnown) {
-        newlyKnown.stream()
-                .filter(e -> e.offset() > last)
-                .forEach(e -> tell(e, EndpointUpdateKind.FULL));
-        if (Objects.equals(newBus, bus)) {
+    public void reconfigure(
+            InetSocketAddress newBusAddress, List<InitialEventsReader.Event> newEvents) {
+        newEvents.stream()
+                .filter(event -> event.offset() > lastOffset)
+                .forEach(event -> publish(event, EndpointUpdateKind.FULL));
+        if (Objects.equals(newBusAddress, busAddress)) {
             return;
         }
-        bus = newBus;
-        leave();
-        retry = RETRY_FIRST_S;
-        patience = SILENCE_S;
-        if (bus != null) {
+        busAddress = newBusAddress;
+        disconnect();
+        backoffSeconds = INITIAL_BACKOFF_SECONDS;
+        silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+        if (busAddress != null) {
             dial();
         }
     }
 
     /** The one place where the connection, or the wait for one, is given up. */
-    private void leave() {
-        loop.cancel(redial);
+    private void disconnect() {
+        loop.cancel(redialTimer);
         if (dial != null) {
             dial.cancel();
             dial = null;
@@ -157,88 +161,97 @@
     }
 
     private void dial() {
-        dialledAt = loop.now();
-        dial = loop.dial(bus, DIAL_TIMEOUT_S, this::connected, why -> again());
+        lastDialSeconds = loop.now();
+        dial =
+                loop.dial(
+                        busAddress,
+                        DIAL_TIMEOUT_SECONDS,
+                        this::startWatch,
+                        failure -> scheduleRedial());
     }
 
-    private void connected(StreamConnection connection) {
+    private void startWatch(StreamConnection stream) {
         dial = null;
         counters.increment(Count.ROSTER_CONNECTED);
-        watch = new Watch(connection);
+        watch = new Watch(stream);
     }
 
     /**
      * Connects anew, after a pause since the last dial that grows while no connection brings
      * anything.
      */
-    private void again() {
-        leave();
-        redial = loop.scheduleAt(Math.max(loop.now(), dialledAt + retry), this::dial);
-        retry = Math.min(RETRY_MOST_S, retry * 2);
+    private void scheduleRedial() {
+        disconnect();
+        redialTimer =
+                loop.scheduleAt(Math.max(loop.now(), lastDialSeconds + backoffSeconds), this::dial);
+        backoffSeconds = Math.min(MAX_BACKOFF_SECONDS, backoffSeconds * 2);
     }
 
     /** One connection to the event bus; once it is left, nothing that it still brings counts. */
     private final class Watch implements Connection.Handler {
-        private final WatchFrameDecoder frames = new WatchFrameDecoder();
-        private final Connection link;
-        private DeadlineQueue.Entry silence;
-        private boolean spoke;
+        private final WatchFrameDecoder decoder = new WatchFrameDecoder();
+        private final Connection connection;
+        private DeadlineQueue.Entry silenceTimer;
+        private boolean hasReceivedFrame;
 
-        Watch(StreamConnection connection) {
-            link = new Connection(loop, connection, this);
-            link.write(ByteBuffer.allocate(Long.BYTES).putLong(last).array());
-            listen();
+        Watch(StreamConnection stream) {
+            connection = new Connection(loop, stream, this);
+            connection.write(ByteBuffer.allocate(Long.BYTES).putLong(lastOffset).array());
+            restartSilenceTimer();
         }
 
-        private void listen() {
-            loop.cancel(silence);
-            silence =
+        private void restartSilenceTimer() {
+            loop.cancel(silenceTimer);
+            silenceTimer =
                     loop.scheduleAfter(
-                            patience,
+                            silenceTimeoutSeconds,
                             () -> {
                                 Logger.warn("the event bus is silent; connecting again");
-                                if (!spoke) {
-                                    patience = Math.min(SILENCE_MOST_S, patience * 2);
+                                if (!hasReceivedFrame) {
+                                    silenceTimeoutSeconds =
+                                            Math.min(
+                                                    MAX_SILENCE_TIMEOUT_SECONDS,
+                                                    silenceTimeoutSeconds * 2);
                                 }
-                                again();
+                                scheduleRedial();
                             });
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            frames.add(bytes);
+            decoder.add(bytes);
             try {
-                for (WatchFrameDecoder.Frame f = frames.next();
-                        f != null;
-                        f = watch == this ? frames.next() : null) {
-                    take(f);
+                for (WatchFrameDecoder.Frame frame = decoder.decodeNext();
+                        frame != null;
+                        frame = watch == this ? decoder.decodeNext() : null) {
+                    handleFrame(frame);
                 }
             } catch (WatchFrameDecoder.MalformedFrameException e) {
                 counters.increment(Count.ROSTER_GARBLED);
                 Logger.warn("event bus: {}; connecting again", e.getMessage());
-                again();
+                scheduleRedial();
             }
         }
 
         /** A whole frame is the one sign of life: bytes that complete none may come for ever. */
-        private void take(WatchFrameDecoder.Frame f) {
-            spoke = true;
-            retry = RETRY_FIRST_S;
-            patience = SILENCE_S;
-            listen();
-            if (f.kind() != WatchFrameDecoder.Kind.NOTHING && f.number() > last) {
-                last = f.number();
+        private void handleFrame(WatchFrameDecoder.Frame frame) {
+            hasReceivedFrame = true;
+            backoffSeconds = INITIAL_BACKOFF_SECONDS;
+            silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+            restartSilenceTimer();
+            if (frame.kind() != WatchFrameDecoder.Kind.EMPTY && frame.offset() > lastOffset) {
+                lastOffset = frame.offset();
                 listener.onEndpointUpdate(
-                        f.kind() == WatchFrameDecoder.Kind.WHOLE
+                        frame.kind() == WatchFrameDecoder.Kind.FULL
                                 ? EndpointUpdateKind.FULL
                                 : EndpointUpdateKind.DELTA,
-                        f.members());
+                        frame.endpoints());
             }
         }
 
         void close() {
-            loop.cancel(silence);
-            link.close();
+            loop.cancel(silenceTimer);
+            connection.close();
         }
 
         @Override
@@ -250,7 +263,7 @@
         @Override
         public void disconnected() {
             if (watch == this) {
-                again();
+                scheduleRedial();
             }
         }
     }
--- a/src/main/java/junipercourse/discovery/InitialEventsReader.java
+++ b/src/main/java/junipercourse/discovery/InitialEventsReader.java
@@ -18,63 +18,67 @@
     public record Event(long offset, boolean isFullList, List<EngineEndpoint> endpoints) {}
 
     private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> engineKinds;
 
-    InitialEventsReader(List<String> zones, List<String> kinds) {
+    InitialEventsReader(List<String> zones, List<String> engineKinds) {
         this.zones = zones;
-        this.kinds = kinds;
+        this.engineKinds = engineKinds;
     }
 
     List<Event> read(JsonObject known) {
-        List<Event> out = new ArrayList<>();
+        List<Event> events = new ArrayList<>();
         JsonValue batch = known.get("batch");
         if (batch == null || !batch.isArray()) {
             throw new ConfigException("known.batch", "not a list");
         }
         for (JsonValue item : batch.asArray()) {
-            String path = "known.batch." + out.size();
-            out.add(event(path, object(path, item)));
+            String path = "known.batch." + events.size();
+            events.add(readEvent(path, requireObject(path, item)));
         }
-        return out;
+        return events;
     }
 
     /** The number of the last event. */
-    static long offset(JsonObject known) {
-        return (long) number("known", known, "offset");
+    static long readLastOffset(JsonObject known) {
+        return (long) requireNumber("known", known, "offset");
     }
 
-    private Event event(String path, JsonObject event) {
-        JsonObject topology = object(path + ".topology", event.get("topology"));
+    private Event readEvent(String path, JsonObject event) {
+        JsonObject topology = requireObject(path + ".topology", event.get("topology"));
         JsonValue list = topology.get("members");
         if (list == null || !list.isArray()) {
             throw new ConfigException(path + ".topology.members", "not a list");
         }
-        List<EngineEndpoint> members = new ArrayList<>();
+        List<EngineEndpoint> endpoints = new ArrayList<>();
         for (JsonValue item : list.asArray()) {
-            String at = path + ".topology.members." + members.size();
-            members.add(member(at, object(at, item)));
+            String memberPath = path + ".topology.members." + endpoints.size();
+            endpoints.add(readEndpoint(memberPath, requireObject(memberPath, item)));
         }
         JsonValue complete = topology.get("complete");
-        boolean whole = complete != null && complete.isTrue();
-        return new Event((long) number(path, event, "offset"), whole, members);
+        boolean isFullList = complete != null && complete.isTrue();
+        return new Event((long) requireNumber(path, event, "offset"), isFullList, endpoints);
     }
 
-    private EngineEndpoint member(String path, JsonObject m) {
+    private EngineEndpoint readEndpoint(String path, JsonObject member) {
         InetSocketAddress address =
-                Config.parseAddress(path + ".host_port", text(path, m, "host_port"));
+                Config.parseAddress(path + ".host_port", requireString(path, member, "host_port"));
         return new EngineEndpoint(
                 new EngineListing(
-                        id(path, text(path, m, "id")),
-                        position(path + ".locality", zones, text(path, m, "locality")),
-                        position(path + ".flavor", kinds, text(path, m, "flavor")),
-                        (int) number(path, m, "cell"),
-                        stage(path, text(path, m, "phase")),
-                        number(path, m, "size"),
-                        number(path, m, "up_since_ms") / 1000),
+                        parseEngineId(path, requireString(path, member, "id")),
+                        findIndex(
+                                path + ".locality", zones, requireString(path, member, "locality")),
+                        findIndex(
+                                path + ".flavor",
+                                engineKinds,
+                                requireString(path, member, "flavor")),
+                        (int) requireNumber(path, member, "cell"),
+                        parseStage(path, requireString(path, member, "phase")),
+                        requireNumber(path, member, "size"),
+                        requireNumber(path, member, "up_since_ms") / 1000),
                 address);
     }
 
-    private static EngineId id(String path, String text) {
+    private static EngineId parseEngineId(String path, String text) {
         try {
             if (text.startsWith("s-")) {
                 return new EngineId(Long.parseLong(text.substring(2), 16));
@@ -85,7 +89,7 @@
         throw new ConfigException(path + ".id", "not an engine's id: " + text);
     }
 
-    private static EngineStage stage(String path, String text) {
+    private static EngineStage parseStage(String path, String text) {
         return switch (text) {
             case "Ready" -> EngineStage.READY;
             case "Terminating" -> EngineStage.DRAINING;
@@ -94,34 +98,34 @@
         };
     }
 
-    private static int position(String key, List<String> names, String name) {
-        int at = names.indexOf(name);
-        if (at < 0) {
+    private static int findIndex(String key, List<String> names, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
             throw new ConfigException(key, "not in the settings: " + name);
         }
-        return at;
+        return index;
     }
 
-    private static JsonObject object(String path, JsonValue v) {
-        if (v == null || !v.isObject()) {
+    private static JsonObject requireObject(String path, JsonValue value) {
+        if (value == null || !value.isObject()) {
             throw new ConfigException(path, "not an object");
         }
-        return v.asObject();
+        return value.asObject();
     }
 
-    private static String text(String path, JsonObject o, String name) {
-        JsonValue v = o.get(name);
-        if (v == null || !v.isString()) {
+    private static String requireString(String path, JsonObject object, String name) {
+        JsonValue value = object.get(name);
+        if (value == null || !value.isString()) {
             throw new ConfigException(path + "." + name, "not a text");
         }
-        return v.asString();
+        return value.asString();
     }
 
-    private static double number(String path, JsonObject o, String name) {
-        JsonValue v = o.get(name);
-        if (v == null || !v.isNumber()) {
+    private static double requireNumber(String path, JsonObject object, String name) {
+        JsonValue value = object.get(name);
+        if (value == null || !value.isNumber()) {
             throw new ConfigException(path + "." + name, "not a number");
         }
-        return v.asDouble();
+        return value.asDouble();
     }
 }
--- a/src/main/java/junipercourse/log/BoundedConsoleWriter.java
+++ b/src/main/java/junipercourse/log/BoundedConsoleWriter.java
@@ -21,11 +21,11 @@
  * and memory is scarce.
  */
 public final class BoundedConsoleWriter extends AbstractFormatPatternWriter {
-    private static final int MOST_CHARS = 256 * 1024; // 512 KB at most, of a heap of 64 MB
-    private static final double CLOSE_S =
+    private static final int MAX_QUEUED_CHARS = 256 * 1024; // 512 KB at most, of a heap of 64 MB
+    private static final double CLOSE_TIMEOUT_SECONDS =
             0.25; // for the last lines; a reader that is gone is not waited for
 
-    private final LineQueue queue = new LineQueue(MOST_CHARS);
+    private final LineQueue queue = new LineQueue(MAX_QUEUED_CHARS);
     private final Thread thread;
 
     /** Made by tinylog, with the writer's properties; {@code format} is the pattern of a line. */
@@ -33,17 +33,17 @@
         this(properties, new FileOutputStream(FileDescriptor.err));
     }
 
-    BoundedConsoleWriter(Map<String, String> properties, OutputStream out) {
+    BoundedConsoleWriter(Map<String, String> properties, OutputStream output) {
         super(properties);
-        thread = new Thread(() -> write(out), "log");
+        thread = new Thread(() -> write(output), "log");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void write(OutputStream out) {
+    private void write(OutputStream output) {
         try {
             for (String line = queue.take(); line != null; line = queue.take()) {
-                out.write(line.getBytes(StandardCharsets.UTF_8));
+                output.write(line.getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
             queue.close(); // there is nowhere left to say so; what comes later is counted as
@@ -66,31 +66,34 @@
     public void close() {
         queue.close();
         try {
-            thread.join((long) (CLOSE_S * 1e3));
+            thread.join((long) (CLOSE_TIMEOUT_SECONDS * 1e3));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** Lines that were dropped by this writer. */
-    long lost() {
-        return queue.dropped();
+    long droppedLines() {
+        return queue.droppedLines();
     }
 
     /** Lines of the process's log that were dropped since its start. */
     public static long totalDroppedLines() {
-        long dropped = 0;
-        for (Writer w : writers()) {
-            dropped += w instanceof BoundedConsoleWriter ours ? ours.lost() : 0;
+        long total = 0;
+        for (Writer writer : writers()) {
+            total +=
+                    writer instanceof BoundedConsoleWriter consoleWriter
+                            ? consoleWriter.droppedLines()
+                            : 0;
         }
-        return dropped;
+        return total;
     }
 
     /** Lets the last lines out at the end of the process; what is logged later is lost. */
     public static void closeAll() {
-        for (Writer w : writers()) {
-            if (w instanceof BoundedConsoleWriter ours) {
-                ours.close();
+        for (Writer writer : writers()) {
+            if (writer instanceof BoundedConsoleWriter consoleWriter) {
+                consoleWriter.close();
             }
         }
     }
--- a/src/main/java/junipercourse/log/LineQueue.java
+++ b/src/main/java/junipercourse/log/LineQueue.java
@@ -8,59 +8,59 @@
  * what was dropped for it. Whoever adds never waits; the one who takes does.
  */
 final class LineQueue {
-    private final int mostChars;
+    private final int maxChars;
     private final Deque<String> lines = new ArrayDeque<>();
-    private int chars;
-    private long dropped;
-    private long untold;
-    private boolean closed;
+    private int queuedChars;
+    private long droppedLines;
+    private long unreportedDrops;
+    private boolean isClosed;
 
     /** {@code mostChars} bounds all lines that wait. */
-    LineQueue(int mostChars) {
-        this.mostChars = mostChars;
+    LineQueue(int maxChars) {
+        this.maxChars = maxChars;
     }
 
     /** Adds a line, or drops it if too much waits already. */
     synchronized void add(String line) {
-        if (closed || chars + line.length() > mostChars) {
-            dropped++;
-            untold++;
+        if (isClosed || queuedChars + line.length() > maxChars) {
+            droppedLines++;
+            unreportedDrops++;
             return;
         }
         lines.add(line);
-        chars += line.length();
+        queuedChars += line.length();
         notifyAll();
     }
 
     /** The next line, or a word on those dropped once there is room; null once closed and empty. */
     synchronized String take() throws InterruptedException {
-        while (lines.isEmpty() && untold == 0 && !closed) {
+        while (lines.isEmpty() && unreportedDrops == 0 && !isClosed) {
             wait();
         }
         String line = lines.poll();
         if (line != null) {
-            chars -= line.length();
+            queuedChars -= line.length();
             return line;
         }
-        if (untold > 0) {
-            String word =
-                    untold
+        if (unreportedDrops > 0) {
+            String notice =
+                    unreportedDrops
                             + " lines of the log were dropped: nobody read them in time"
                             + System.lineSeparator();
-            untold = 0;
-            return word;
+            unreportedDrops = 0;
+            return notice;
         }
         return null;
     }
 
     /** Nothing more is taken in. */
     synchronized void close() {
-        closed = true;
+        isClosed = true;
         notifyAll();
     }
 
     /** Lines dropped since the start. */
-    synchronized long dropped() {
-        return dropped;
+    synchronized long droppedLines() {
+        return droppedLines;
     }
 }
--- a/src/test/java/junipercourse/admin/AdminServerTest.java
+++ b/src/test/java/junipercourse/admin/AdminServerTest.java
@@ -37,39 +37,42 @@
         return MaintenanceResult.FAILED;
     }
 
-    private static int status(AdminServer server, String call) throws IOException {
-        try (Socket s = new Socket(server.address().getAddress(), server.address().getPort())) {
-            s.setSoTimeout(1000); // each answer is due within a second
+    private static int requestStatus(AdminServer server, String requestLine) throws IOException {
+        try (Socket socket =
+                new Socket(server.address().getAddress(), server.address().getPort())) {
+            socket.setSoTimeout(1000); // each answer is due within a second
             for (byte b :
-                    (call + " HTTP/1.1\r\nHost: a\r\n\r\n").getBytes(StandardCharsets.US_ASCII)) {
-                s.getOutputStream().write(b);
+                    (requestLine + " HTTP/1.1\r\nHost: a\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII)) {
+                socket.getOutputStream().write(b);
             }
-            String answer =
-                    new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            return Integer.parseInt(answer.split(" ")[1]);
+            String response =
+                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            return Integer.parseInt(response.split(" ")[1]);
         }
     }
 
     @Test
-    void answersCallsInPiecesBesideHeldConnections() throws IOException {
-        List<Socket> held = new ArrayList<>();
+    void respondsToFragmentedRequestsWhenIdleConnectionsExceedTheLimit() throws IOException {
+        List<Socket> idleSockets = new ArrayList<>();
         try (AdminServer server = new AdminServer(new InetSocketAddress("127.0.0.1", 0), this)) {
             for (int i = 0; i < 200; i++) {
-                Socket s = new Socket(server.address().getAddress(), server.address().getPort());
-                s.getOutputStream().write('G');
-                held.add(s);
+                Socket socket =
+                        new Socket(server.address().getAddress(), server.address().getPort());
+                socket.getOutputStream().write('G');
+                idleSockets.add(socket);
             }
-            assertEquals(200, status(server, "GET /ops/readiness"));
-            assertEquals(500, status(server, "GET /ops/stats"));
-            assertEquals(404, status(server, "POST /ops/engines/down/e"));
-            assertEquals(503, status(server, "POST /ops/engines/up/e"));
-            assertEquals(404, status(server, "GET /ops"));
-            assertEquals(405, status(server, "GET /ops/engines/up/e"));
-            held.get(0).setSoTimeout(1000);
-            assertTrue(held.get(0).getInputStream().read() < 0, "the oldest has made room");
+            assertEquals(200, requestStatus(server, "GET /ops/readiness"));
+            assertEquals(500, requestStatus(server, "GET /ops/stats"));
+            assertEquals(404, requestStatus(server, "POST /ops/engines/down/e"));
+            assertEquals(503, requestStatus(server, "POST /ops/engines/up/e"));
+            assertEquals(404, requestStatus(server, "GET /ops"));
+            assertEquals(405, requestStatus(server, "GET /ops/engines/up/e"));
+            idleSockets.get(0).setSoTimeout(1000);
+            assertTrue(idleSockets.get(0).getInputStream().read() < 0, "the oldest has made room");
         } finally {
-            for (Socket s : held) {
-                s.close();
+            for (Socket socket : idleSockets) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/junipercourse/admin/StoredFilesTest.java
+++ b/src/test/java/junipercourse/admin/StoredFilesTest.java
@@ -17,26 +17,26 @@
 class StoredFilesTest {
     @TempDir private Path folder;
 
-    private List<String> names() throws IOException {
+    private List<String> listFileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).sorted().toList();
         }
     }
 
     @Test
-    void namesAnEngineInMaintenanceByItsBusId() throws IOException {
+    void markerFileIsNamedByBusIdWhenAnEngineIsInMaintenance() throws IOException {
         MaintenanceMarkers markers = new MaintenanceMarkers(folder);
         markers.add(new EngineId(0xc41f7a));
-        assertEquals(List.of("s-00c41f7a"), names());
+        assertEquals(List.of("s-00c41f7a"), listFileNames());
         assertEquals(0, Files.size(folder.resolve("s-00c41f7a")));
         assertEquals(Set.of(new EngineId(0xc41f7a)), new MaintenanceMarkers(folder).read());
     }
 
     @Test
-    void writesADescriptorClaimAsFourBytes() throws IOException {
+    void claimFileHoldsFourBytesWhenDescriptorsAreClaimed() throws IOException {
         try (SiblingProcesses processes = new SiblingProcesses(folder)) {
             assertEquals(-1, processes.claim(others -> 0x01020304));
-            assertEquals(List.of("process-0", "turn"), names());
+            assertEquals(List.of("process-0", "turn"), listFileNames());
             assertArrayEquals(
                     new byte[] {1, 2, 3, 4}, Files.readAllBytes(folder.resolve("process-0")));
         }
--- a/src/test/java/junipercourse/config/ConfigTest.java
+++ b/src/test/java/junipercourse/config/ConfigTest.java
@@ -13,31 +13,32 @@
 
 class ConfigTest {
     @Test
-    void readsWhatTheEnvironmentAndTheFileSay() {
-        Config c =
+    void readsFileAndEnvironmentWhenBothAreGiven() {
+        Config config =
                 Config.parse(
                         SocketTestSupport.CONFIG,
                         Map.of("RELAY_NAME", "n9", "RELAY_LISTEN", "10.0.0.4:7001"));
-        assertEquals("n9", c.name());
-        assertEquals("/10.0.0.4:7001", c.listenAddress().toString());
-        assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(new Config.Resources(1, 192, 1024), c.resources());
+        assertEquals("n9", config.name());
+        assertEquals("/10.0.0.4:7001", config.listenAddress().toString());
+        assertEquals(0x8c1f30d27a5be964L, config.seed());
+        assertEquals(new Config.Resources(1, 192, 1024), config.resources());
         assertEquals(
-                Idempotency.IDEMPOTENT_WITH_KEY, c.settings().queryClasses().get(1).idempotency());
-        assertEquals(2, c.settings().queryClasses().get(1).threads());
-        assertEquals(12, c.settings().engineKinds().get(0).cores());
-        assertEquals(2, c.settings().loadMetrics().size());
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                config.settings().queryClasses().get(1).idempotency());
+        assertEquals(2, config.settings().queryClasses().get(1).threads());
+        assertEquals(12, config.settings().engineKinds().get(0).cores());
+        assertEquals(2, config.settings().loadMetrics().size());
     }
 
     @Test
-    void leavesDefaultsWhereNothingIsSaid() {
-        Config c =
+    void usesDefaultsWhenKeysAreMissing() {
+        Config config =
                 Config.parse(
                         "{\"listen\":\"[::1]:1\",\"settings\":{\"grades\":[{\"effect\":\"once\","
                                 + "\"goal_time_s\":1,\"deadline_s\":2}]}}",
                         Map.of());
-        assertEquals(new Config.Resources(1, 192, 1024), c.resources());
-        assertEquals(30, c.idleTimeoutSeconds());
+        assertEquals(new Config.Resources(1, 192, 1024), config.resources());
+        assertEquals(30, config.idleTimeoutSeconds());
     }
 
     /** Each case changes one part of a good file; the message begins with the key at fault. */
@@ -67,16 +68,18 @@
                 "settings.limits.conn_idle_s | 30.0 | \"x\"",
                 "settings.telemetry.fields | \"busy\" | \"mood\""
             })
-    void namesTheKeyAtFault(String key, String from, String to) {
-        assertTrue(SocketTestSupport.CONFIG.contains(from));
+    void messageStartsWithTheKeyWhenAValueIsInvalid(
+            String key, String original, String replacement) {
+        assertTrue(SocketTestSupport.CONFIG.contains(original));
         String text =
-                SocketTestSupport.CONFIG.replaceFirst(java.util.regex.Pattern.quote(from), to);
+                SocketTestSupport.CONFIG.replaceFirst(
+                        java.util.regex.Pattern.quote(original), replacement);
         ConfigException e = assertThrows(ConfigException.class, () -> Config.parse(text, Map.of()));
         assertEquals(key, e.getMessage().split(": ")[0], e.getMessage());
     }
 
     @Test
-    void saysThatTheFileIsNotThere() {
+    void messageNamesThePathWhenTheFileIsMissing() {
         assertTrue(
                 assertThrows(
                                 ConfigException.class,
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -29,39 +29,39 @@
  * come.
  */
 class EndpointOrderTest {
-    private static final int FRAME = 40; // bytes of one record's frame, with its length
-    private final List<String> told = new CopyOnWriteArrayList<>();
+    private static final int FRAME_BYTES = 40; // bytes of one record's frame, with its length
+    private final List<String> updates = new CopyOnWriteArrayList<>();
     private EventLoop loop;
     private ScriptedBus bus;
-    private ScriptedBus other;
+    private ScriptedBus otherBus;
 
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(() -> {}, e -> {});
         loop.execute(loop::startStallDetection);
         bus = new ScriptedBus();
-        other = new ScriptedBus();
+        otherBus = new ScriptedBus();
     }
 
     @AfterEach
     void close() throws IOException {
         loop.stop();
         bus.close();
-        other.close();
+        otherBus.close();
     }
 
-    private EndpointWatcher start() {
-        EndpointWatcher client = bus.createWatcher(loop, ScriptedBus.recordingListener(told));
-        loop.execute(client::start);
-        return client;
+    private EndpointWatcher startWatcher() {
+        EndpointWatcher watcher = bus.createWatcher(loop, ScriptedBus.recordingListener(updates));
+        loop.execute(watcher::start);
+        return watcher;
     }
 
-    private static String frame(String word) {
-        String number = word.substring(1);
-        return (word.startsWith("w")
+    private static String formatFrame(String shorthand) {
+        String offset = shorthand.substring(1);
+        return (shorthand.startsWith("w")
                         ? FULL_FRAME
-                        : word.startsWith("c") ? DELTA_FRAME : EMPTY_FRAME)
-                .formatted(Integer.parseInt(number));
+                        : shorthand.startsWith("c") ? DELTA_FRAME : EMPTY_FRAME)
+                .formatted(Integer.parseInt(offset));
     }
 
     /**
@@ -84,25 +84,25 @@
         "n9,c2,DELTA 2,2",
         "c2,n1,DELTA 2,2"
     })
-    void newsAreToldOnceAndTheNewestWins(String a, String b, String expected, long last)
-            throws Exception {
-        for (boolean apart : new boolean[] {false, true}) {
-            told.clear();
+    void publishesEachEventOnceWhenOffsetsRepeatOrGoBack(
+            String first, String second, String expected, long lastOffset) throws Exception {
+        for (boolean separateWrites : new boolean[] {false, true}) {
+            updates.clear();
             bus.requestedOffsets.clear();
-            EndpointWatcher client = start();
-            Socket s = bus.acceptSubscription();
-            if (apart) {
-                sendBytes(s, frame(a));
-                SocketTestSupport.await(() -> a.startsWith("n") || !told.isEmpty());
-                sendBytes(s, frame(b));
+            EndpointWatcher watcher = startWatcher();
+            Socket socket = bus.acceptSubscription();
+            if (separateWrites) {
+                sendBytes(socket, formatFrame(first));
+                SocketTestSupport.await(() -> first.startsWith("n") || !updates.isEmpty());
+                sendBytes(socket, formatFrame(second));
             } else {
-                sendBytes(s, frame(a) + frame(b));
+                sendBytes(socket, formatFrame(first) + formatFrame(second));
             }
-            s.shutdownOutput();
+            socket.shutdownOutput();
             bus.acceptSubscription();
-            assertEquals(List.of(expected.split(";")), told);
-            assertEquals(List.of(0L, last), bus.requestedOffsets);
-            loop.execute(() -> client.reconfigure(null, List.of()));
+            assertEquals(List.of(expected.split(";")), updates);
+            assertEquals(List.of(0L, lastOffset), bus.requestedOffsets);
+            loop.execute(() -> watcher.reconfigure(null, List.of()));
         }
     }
 
@@ -110,21 +110,21 @@
      * Cut anywhere, by a close or a reset, a frame is not told, and comes whole on the next watch.
      */
     @Test
-    void aFrameCutAtAnyByteIsToldOnce() throws Exception {
-        start();
-        for (int cut = 0; cut < FRAME; cut++) {
-            Socket s = bus.acceptSubscription();
-            sendBytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
-            SocketTestSupport.await(() -> !told.isEmpty());
-            if (cut % 2 == 1) {
-                s.setSoLinger(true, 0);
+    void publishesAFrameOnceWhenTheConnectionEndsAtAnyByte() throws Exception {
+        startWatcher();
+        for (int sentBytes = 0; sentBytes < FRAME_BYTES; sentBytes++) {
+            Socket socket = bus.acceptSubscription();
+            sendBytes(socket, formatFrame("w1") + formatFrame("c2").substring(0, 2 * sentBytes));
+            SocketTestSupport.await(() -> !updates.isEmpty());
+            if (sentBytes % 2 == 1) {
+                socket.setSoLinger(true, 0);
             }
-            s.close();
+            socket.close();
         }
-        Socket s = bus.acceptSubscription();
-        sendBytes(s, frame("w1") + frame("c2"));
-        SocketTestSupport.await(() -> told.size() == 2);
-        assertEquals(List.of("FULL 1", "DELTA 2"), told);
+        Socket socket = bus.acceptSubscription();
+        sendBytes(socket, formatFrame("w1") + formatFrame("c2"));
+        SocketTestSupport.await(() -> updates.size() == 2);
+        assertEquals(List.of("FULL 1", "DELTA 2"), updates);
         assertEquals(
                 1,
                 bus.requestedOffsets.stream().skip(1).distinct().count(),
@@ -135,52 +135,54 @@
      * What is told under the same id is told as it stands: another address, a later start, a drain.
      */
     @Test
-    void anEngineThatChangesUnderItsIdIsToldAsItIs() throws Exception {
-        List<EngineEndpoint> members = new CopyOnWriteArrayList<>();
-        loop.execute(bus.createWatcher(loop, (kind, all) -> members.addAll(all))::start);
+    void publishesCurrentPropertiesWhenAnEngineChangesUnderTheSameId() throws Exception {
+        List<EngineEndpoint> endpoints = new CopyOnWriteArrayList<>();
+        loop.execute(
+                bus.createWatcher(loop, (kind, received) -> endpoints.addAll(received))::start);
         String id = "00000002";
-        Socket s = bus.acceptSubscription();
+        Socket socket = bus.acceptSubscription();
         sendBytes(
-                s,
-                frame("w2")
-                        + frame("c3")
+                socket,
+                formatFrame("w2")
+                        + formatFrame("c3")
                                 .replace("00000003" + "0a01", id + "0a01")
                                 .replace("0a0100091b59", "0a01000a1b59")
-                        + frame("c4")
+                        + formatFrame("c4")
                                 .replace("00000004" + "0a01", id + "0a01")
                                 .replace("1388", "2710"));
-        SocketTestSupport.await(() -> members.size() == 3);
-        assertEquals(1, members.stream().map(m -> m.engine().id()).distinct().count());
+        SocketTestSupport.await(() -> endpoints.size() == 3);
+        assertEquals(
+                1, endpoints.stream().map(endpoint -> endpoint.engine().id()).distinct().count());
         assertEquals(
                 List.of("10.1.0.9", "10.1.0.10", "10.1.0.9"),
-                members.stream().map(m -> m.address().getHostString()).toList());
+                endpoints.stream().map(endpoint -> endpoint.address().getHostString()).toList());
         assertEquals(
                 List.of(5.0, 5.0, 10.0),
-                members.stream().map(m -> m.engine().startedAt()).toList());
+                endpoints.stream().map(endpoint -> endpoint.engine().startedAt()).toList());
     }
 
     /** SIGHUP moves the bus between two frames, with half of one read: each event is told once. */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 13, 39})
-    void aBusThatMovesInTheMiddleOfAFrame(int cut) throws Exception {
-        EndpointWatcher client = start();
-        Socket s = bus.acceptSubscription();
-        sendBytes(s, frame("w1") + frame("c2").substring(0, 2 * cut));
-        SocketTestSupport.await(() -> told.size() == 1);
-        loop.execute(() -> client.reconfigure(other.address(), List.of()));
-        Socket next = other.acceptSubscription();
+    void publishesEachEventOnceWhenTheBusMovesWithinAFrame(int sentBytes) throws Exception {
+        EndpointWatcher watcher = startWatcher();
+        Socket socket = bus.acceptSubscription();
+        sendBytes(socket, formatFrame("w1") + formatFrame("c2").substring(0, 2 * sentBytes));
+        SocketTestSupport.await(() -> updates.size() == 1);
+        loop.execute(() -> watcher.reconfigure(otherBus.address(), List.of()));
+        Socket newSocket = otherBus.acceptSubscription();
         try {
-            sendBytes(s, frame("c2").substring(2 * cut) + frame("c3"));
+            sendBytes(socket, formatFrame("c2").substring(2 * sentBytes) + formatFrame("c3"));
         } catch (IOException e) {
-            assertTrue(s.isConnected(), "it has been left by now");
+            assertTrue(socket.isConnected(), "it has been left by now");
         }
-        sendBytes(next, frame("c2"));
-        SocketTestSupport.await(() -> told.size() == 2);
-        ScriptedBus.awaitDisconnect(s);
-        assertEquals(List.of(1L), other.requestedOffsets);
-        sendBytes(next, frame("c3"));
-        SocketTestSupport.await(() -> told.size() == 3);
-        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
+        sendBytes(newSocket, formatFrame("c2"));
+        SocketTestSupport.await(() -> updates.size() == 2);
+        ScriptedBus.awaitDisconnect(socket);
+        assertEquals(List.of(1L), otherBus.requestedOffsets);
+        sendBytes(newSocket, formatFrame("c3"));
+        SocketTestSupport.await(() -> updates.size() == 3);
+        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), updates);
     }
 
     /**
@@ -189,63 +191,65 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aBusThatMovesInTheTurnInWhichAFrameComes(boolean moveFirst) throws Exception {
-        EndpointWatcher client = start();
-        Socket s = bus.acceptSubscription();
-        sendBytes(s, frame("w1"));
-        SocketTestSupport.await(() -> told.size() == 1);
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    void publishesEachEventOnceWhenMoveAndFrameShareALoopIteration(boolean moveFirst)
+            throws Exception {
+        EndpointWatcher watcher = startWatcher();
+        Socket socket = bus.acceptSubscription();
+        sendBytes(socket, formatFrame("w1"));
+        SocketTestSupport.await(() -> updates.size() == 1);
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch resumeLoop = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    loopBlocked.countDown();
                     try {
-                        go.await();
+                        resumeLoop.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
-        Runnable move = () -> client.reconfigure(other.address(), List.of());
+        loopBlocked.await();
+        Runnable move = () -> watcher.reconfigure(otherBus.address(), List.of());
         if (moveFirst) {
             loop.execute(move);
         }
-        sendBytes(s, frame("c2"));
+        sendBytes(socket, formatFrame("c2"));
         if (!moveFirst) {
             loop.execute(move);
         }
-        go.countDown();
-        Socket next = other.acceptSubscription();
-        long from = other.requestedOffsets.get(0);
-        sendBytes(next, (from < 2 ? frame("c2") : "") + frame("c3"));
-        SocketTestSupport.await(() -> told.contains("DELTA 3"));
-        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
+        resumeLoop.countDown();
+        Socket newSocket = otherBus.acceptSubscription();
+        long requestedOffset = otherBus.requestedOffsets.get(0);
+        sendBytes(newSocket, (requestedOffset < 2 ? formatFrame("c2") : "") + formatFrame("c3"));
+        SocketTestSupport.await(() -> updates.contains("DELTA 3"));
+        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), updates);
     }
 
     /** News that lead to a move at once: nothing more of the old watch counts, garbled or not. */
     @ParameterizedTest
     @ValueSource(strings = {"", "ffffffff"})
-    void aBusThatIsLeftWhileItsNewsAreTaken(String rest) throws Exception {
-        EndpointWatcher[] client = new EndpointWatcher[1];
-        client[0] =
+    void ignoresRemainingBytesWhenTheListenerMovesTheBus(String trailingBytes) throws Exception {
+        EndpointWatcher[] watcher = new EndpointWatcher[1];
+        watcher[0] =
                 bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.recordingListener(told).onEndpointUpdate(kind, members);
-                            client[0].reconfigure(other.address(), List.of());
+                            ScriptedBus.recordingListener(updates).onEndpointUpdate(kind, members);
+                            watcher[0].reconfigure(otherBus.address(), List.of());
                         });
-        loop.execute(client[0]::start);
-        Socket s = bus.acceptSubscription();
-        sendBytes(s, frame("w1") + frame("c2") + rest);
-        Socket next = other.acceptSubscription();
-        assertEquals(List.of(1L), other.requestedOffsets);
-        sendBytes(next, frame("c2"));
-        SocketTestSupport.await(() -> told.size() == 2);
-        ScriptedBus.awaitDisconnect(s);
-        sendBytes(next, frame("c3"));
-        SocketTestSupport.await(() -> told.size() == 3);
-        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), told);
-        assertEquals(List.of(1L), other.requestedOffsets, "the watch on the new bus was left, too");
+        loop.execute(watcher[0]::start);
+        Socket socket = bus.acceptSubscription();
+        sendBytes(socket, formatFrame("w1") + formatFrame("c2") + trailingBytes);
+        Socket newSocket = otherBus.acceptSubscription();
+        assertEquals(List.of(1L), otherBus.requestedOffsets);
+        sendBytes(newSocket, formatFrame("c2"));
+        SocketTestSupport.await(() -> updates.size() == 2);
+        ScriptedBus.awaitDisconnect(socket);
+        sendBytes(newSocket, formatFrame("c3"));
+        SocketTestSupport.await(() -> updates.size() == 3);
+        assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), updates);
+        assertEquals(
+                List.of(1L), otherBus.requestedOffsets, "the watch on the new bus was left, too");
     }
 
     /**
@@ -253,19 +257,19 @@
      * heard.
      */
     @Test
-    void aBusThatMovesWhileItIsDialled() throws Exception {
-        EndpointWatcher client = bus.createWatcher(loop, ScriptedBus.recordingListener(told));
+    void closesTheOldConnectionWithoutARequestWhenTheBusMovesDuringADial() throws Exception {
+        EndpointWatcher watcher = bus.createWatcher(loop, ScriptedBus.recordingListener(updates));
         loop.execute(
                 () -> {
-                    client.start();
+                    watcher.start();
                     SocketTestSupport.sleepMillis(
                             50); // it is up in the system by now, and not handed over
-                    client.reconfigure(other.address(), List.of());
+                    watcher.reconfigure(otherBus.address(), List.of());
                 });
-        sendBytes(other.acceptSubscription(), frame("w1"));
-        SocketTestSupport.await(() -> told.size() == 1);
+        sendBytes(otherBus.acceptSubscription(), formatFrame("w1"));
+        SocketTestSupport.await(() -> updates.size() == 1);
         bus.awaitConnectionWithoutRequest();
-        assertEquals(List.of("FULL 1"), told);
+        assertEquals(List.of("FULL 1"), updates);
     }
 
     /**
@@ -273,11 +277,11 @@
      * are.
      */
     @Test
-    void knownEventsOfANewConfigurationAreToldIfTheyAreNew() throws Exception {
-        EndpointWatcher client = start();
-        Socket s = bus.acceptSubscription();
-        sendBytes(s, frame("w5"));
-        SocketTestSupport.await(() -> told.size() == 1);
+    void publishesOnlyNewEventsWhenTheConfigurationIsReloaded() throws Exception {
+        EndpointWatcher watcher = startWatcher();
+        Socket socket = bus.acceptSubscription();
+        sendBytes(socket, formatFrame("w5"));
+        SocketTestSupport.await(() -> updates.size() == 1);
         String event =
                 """
                 {"offset":%d,"topology":{"complete":%s,"members":[{"id":"s-%08x","host_port":"10.1.0.9:7001",
@@ -291,12 +295,12 @@
                         + event.formatted(6, false, 6)
                         + ","
                         + event.formatted(7, true, 7);
-        List<InitialEventsReader.Event> known =
-                client.readInitialEvents(
+        List<InitialEventsReader.Event> events =
+                watcher.readInitialEvents(
                         Json.parse("{\"offset\":7,\"batch\":[" + batch + "]}").asObject());
-        loop.execute(() -> client.reconfigure(other.address(), known));
-        other.acceptSubscription();
-        assertEquals(List.of("FULL 5", "DELTA 6", "FULL 7"), told);
-        assertEquals(List.of(7L), other.requestedOffsets);
+        loop.execute(() -> watcher.reconfigure(otherBus.address(), events));
+        otherBus.acceptSubscription();
+        assertEquals(List.of("FULL 5", "DELTA 6", "FULL 7"), updates);
+        assertEquals(List.of(7L), otherBus.requestedOffsets);
     }
 }
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -26,69 +26,76 @@
  * stated.
  */
 class SilentBusTest {
-    private static final double SILENCE_S = 2.5;
-    private static final double DIAL_S = 1.0;
-    private static final double PAUSE_S = 0.5;
+    private static final double SILENCE_TIMEOUT_SECONDS = 2.5;
+    private static final double DIAL_TIMEOUT_SECONDS = 1.0;
+    private static final double MAX_BACKOFF_SECONDS = 0.5;
 
     /** For the sockets and the threads of the script; stalls of this process come on top. */
-    private static final double SLACK_S = 0.6;
+    private static final double SLACK_SECONDS = 0.6;
 
-    private static final int PATIENCE_MS = 20_000;
-    private static final int FIRST = 40; // bytes of a change, with its length
-    private static final int LONG = 0x7000; // a length that no frame here fills
+    private static final int TIMEOUT_MILLIS = 20_000;
+    private static final int FRAME_BYTES = 40; // bytes of a change, with its length
+    private static final int UNFILLED_FRAME_BYTES = 0x7000; // a length that no frame here fills
 
     /** What one connection does after it was asked. */
     private interface Fault {
-        void on(ScriptedBus bus, Socket s) throws IOException;
+        void run(ScriptedBus bus, Socket socket) throws IOException;
     }
 
     private static final class Scenario {
         final ScriptedBus bus;
-        final List<String> told = new CopyOnWriteArrayList<>();
-        final List<Throwable> faults = new CopyOnWriteArrayList<>();
-        volatile double newsAt;
+        final List<String> updates = new CopyOnWriteArrayList<>();
+        final List<Throwable> failures = new CopyOnWriteArrayList<>();
+        volatile double lastUpdateSeconds;
 
         Scenario() throws IOException {
             bus = new ScriptedBus();
         }
     }
 
-    private final Map<String, Fault> faults = new LinkedHashMap<>();
-    private final Map<String, Double> cost = new LinkedHashMap<>();
+    private final Map<String, Fault> faultsByName = new LinkedHashMap<>();
+    private final Map<String, Double> recoverySecondsByFault = new LinkedHashMap<>();
     private EventLoop loop;
 
     @BeforeEach
     void open() throws IOException {
         loop = new EventLoop(() -> {}, e -> {});
         loop.execute(loop::startStallDetection);
-        add("mute", SILENCE_S, (bus, s) -> ScriptedBus.awaitDisconnect(s));
-        add("dribbles", SILENCE_S, (bus, s) -> dribble(s, "%08x%016x02".formatted(LONG, 2)));
-        add(
+        addFault(
+                "mute",
+                SILENCE_TIMEOUT_SECONDS,
+                (bus, socket) -> ScriptedBus.awaitDisconnect(socket));
+        addFault(
+                "dribbles",
+                SILENCE_TIMEOUT_SECONDS,
+                (bus, socket) ->
+                        sendSlowly(socket, "%08x%016x02".formatted(UNFILLED_FRAME_BYTES, 2)));
+        addFault(
                 "half a length and mute",
-                SILENCE_S,
-                (bus, s) -> {
-                    sendBytes(s, "0000");
-                    ScriptedBus.awaitDisconnect(s);
+                SILENCE_TIMEOUT_SECONDS,
+                (bus, socket) -> {
+                    sendBytes(socket, "0000");
+                    ScriptedBus.awaitDisconnect(socket);
                 });
-        add(
+        addFault(
                 "a cut frame and mute",
-                SILENCE_S,
-                (bus, s) -> {
-                    sendBytes(s, DELTA_FRAME.formatted(2).substring(0, 2 * FIRST - 2));
-                    ScriptedBus.awaitDisconnect(s);
+                SILENCE_TIMEOUT_SECONDS,
+                (bus, socket) -> {
+                    sendBytes(socket, DELTA_FRAME.formatted(2).substring(0, 2 * FRAME_BYTES - 2));
+                    ScriptedBus.awaitDisconnect(socket);
                 });
-        add(
+        addFault(
                 "never comes up",
-                DIAL_S,
-                (bus, s) -> {
+                DIAL_TIMEOUT_SECONDS,
+                (bus, socket) -> {
                     bus.stopAccepting();
-                    bus.sendFrames(s, EMPTY_FRAME.formatted(1));
-                    s.close();
+                    bus.sendFrames(socket, EMPTY_FRAME.formatted(1));
+                    socket.close();
                     SocketTestSupport.sleepMillis(700); // in the middle of the first dial
                     bus.resumeAccepting();
                 });
-        add("garbled", PAUSE_S, (bus, s) -> sendBytes(s, "ffffffff"));
-        add("closes", PAUSE_S, (bus, s) -> s.close());
+        addFault("garbled", MAX_BACKOFF_SECONDS, (bus, socket) -> sendBytes(socket, "ffffffff"));
+        addFault("closes", MAX_BACKOFF_SECONDS, (bus, socket) -> socket.close());
     }
 
     @AfterEach
@@ -96,21 +103,21 @@
         loop.stop();
     }
 
-    private double slack() {
-        return SLACK_S + loop.stallStatistics().totalStallSeconds();
+    private double slackSeconds() {
+        return SLACK_SECONDS + loop.stallStatistics().totalStallSeconds();
     }
 
-    private void add(String name, double seconds, Fault fault) {
-        faults.put(name, fault);
-        cost.put(name, seconds);
+    private void addFault(String name, double recoverySeconds, Fault fault) {
+        faultsByName.put(name, fault);
+        recoverySecondsByFault.put(name, recoverySeconds);
     }
 
-    private static void dribble(Socket s, String start) throws IOException {
-        sendBytes(s, start);
+    private static void sendSlowly(Socket socket, String firstBytes) throws IOException {
+        sendBytes(socket, firstBytes);
         try {
-            for (int i = 0; i < PATIENCE_MS / 100; i++) {
+            for (int i = 0; i < TIMEOUT_MILLIS / 100; i++) {
                 SocketTestSupport.sleepMillis(100);
-                sendBytes(s, "00");
+                sendBytes(socket, "00");
             }
         } catch (IOException e) {
             return; // it has been left
@@ -118,74 +125,85 @@
         throw new AssertionError("a bus that only dribbles is never left");
     }
 
-    private void play(Scenario p, String first, String second) throws IOException {
-        p.bus.runScript(
+    private void runScenario(Scenario scenario, String firstFault, String secondFault)
+            throws IOException {
+        scenario.bus.runScript(
                 () -> {
-                    Socket s = p.bus.acceptSubscription();
-                    p.bus.sendFrames(s, FULL_FRAME.formatted(1) + EMPTY_FRAME.formatted(1));
-                    faults.get(first).on(p.bus, s);
-                    if (second != null) {
-                        faults.get(second).on(p.bus, p.bus.acceptSubscription());
+                    Socket socket = scenario.bus.acceptSubscription();
+                    scenario.bus.sendFrames(
+                            socket, FULL_FRAME.formatted(1) + EMPTY_FRAME.formatted(1));
+                    faultsByName.get(firstFault).run(scenario.bus, socket);
+                    if (secondFault != null) {
+                        faultsByName
+                                .get(secondFault)
+                                .run(scenario.bus, scenario.bus.acceptSubscription());
                     }
-                    Socket last = p.bus.acceptSubscription();
-                    sendBytes(last, DELTA_FRAME.formatted(2));
+                    Socket lastSocket = scenario.bus.acceptSubscription();
+                    sendBytes(lastSocket, DELTA_FRAME.formatted(2));
                 },
-                p.faults);
-        EndpointWatcher client =
-                p.bus.createWatcher(
+                scenario.failures);
+        EndpointWatcher watcher =
+                scenario.bus.createWatcher(
                         loop,
                         (kind, members) -> {
-                            ScriptedBus.recordingListener(p.told).onEndpointUpdate(kind, members);
-                            p.newsAt = ScriptedBus.nowSeconds();
+                            ScriptedBus.recordingListener(scenario.updates)
+                                    .onEndpointUpdate(kind, members);
+                            scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                         });
-        loop.execute(client::start);
+        loop.execute(watcher::start);
     }
 
     /** Each fault alone and after each other; all plays at once, each with a bus of its own. */
     @Test
-    void whateverEndsAWatchTheNextOneTellsInTime() throws Exception {
-        Map<String, Scenario> plays = new LinkedHashMap<>();
-        Map<String, Double> bounds = new LinkedHashMap<>();
+    void receivesMissedEventsInTimeWhenOneOrTwoFaultsEndTheWatch() throws Exception {
+        Map<String, Scenario> scenarios = new LinkedHashMap<>();
+        Map<String, Double> maxSecondsByScenario = new LinkedHashMap<>();
         try {
-            for (String first : faults.keySet()) {
-                plays.put(first, new Scenario());
-                bounds.put(first, cost.get(first));
-                play(plays.get(first), first, null);
-                for (String second : faults.keySet()) {
-                    String both = first + ", then " + second;
-                    plays.put(both, new Scenario());
-                    bounds.put(both, cost.get(first) + cost.get(second));
-                    play(plays.get(both), first, second);
+            for (String first : faultsByName.keySet()) {
+                scenarios.put(first, new Scenario());
+                maxSecondsByScenario.put(first, recoverySecondsByFault.get(first));
+                runScenario(scenarios.get(first), first, null);
+                for (String second : faultsByName.keySet()) {
+                    String pairName = first + ", then " + second;
+                    scenarios.put(pairName, new Scenario());
+                    maxSecondsByScenario.put(
+                            pairName,
+                            recoverySecondsByFault.get(first) + recoverySecondsByFault.get(second));
+                    runScenario(scenarios.get(pairName), first, second);
                 }
             }
-            List<String> wrong = new ArrayList<>();
-            plays.forEach(
-                    (name, p) -> {
+            List<String> failures = new ArrayList<>();
+            scenarios.forEach(
+                    (name, scenario) -> {
                         try {
                             SocketTestSupport.await(
-                                    () -> p.told.size() == 2 || !p.faults.isEmpty(), PATIENCE_MS);
+                                    () ->
+                                            scenario.updates.size() == 2
+                                                    || !scenario.failures.isEmpty(),
+                                    TIMEOUT_MILLIS);
                         } catch (AssertionError e) {
-                            p.faults.add(e);
+                            scenario.failures.add(e);
                         }
-                        double took = p.newsAt - p.bus.lastFrameAt;
-                        if (!p.faults.isEmpty()
-                                || took > bounds.get(name) + slack()
-                                || !p.told.equals(List.of("FULL 1", "DELTA 2"))) {
-                            wrong.add(
+                        double elapsedSeconds =
+                                scenario.lastUpdateSeconds - scenario.bus.lastFrameAt;
+                        if (!scenario.failures.isEmpty()
+                                || elapsedSeconds > maxSecondsByScenario.get(name) + slackSeconds()
+                                || !scenario.updates.equals(List.of("FULL 1", "DELTA 2"))) {
+                            failures.add(
                                     name
                                             + ": "
-                                            + took
+                                            + elapsedSeconds
                                             + " s of "
-                                            + bounds.get(name)
+                                            + maxSecondsByScenario.get(name)
                                             + ", "
-                                            + p.told
-                                            + p.faults);
+                                            + scenario.updates
+                                            + scenario.failures);
                         }
                     });
-            assertEquals(List.of(), wrong);
+            assertEquals(List.of(), failures);
         } finally {
-            for (Scenario p : plays.values()) {
-                p.bus.close();
+            for (Scenario scenario : scenarios.values()) {
+                scenario.bus.close();
             }
         }
     }
@@ -195,34 +213,42 @@
      * mute.
      */
     @Test
-    void silenceThenADialThatHangsThenAMuteWatch() throws Exception {
-        Scenario p = new Scenario();
-        try (ScriptedBus bus = p.bus) {
+    void reconnectsInTimeWhenSilenceThenAHungDialThenAMuteWatchOccur() throws Exception {
+        Scenario scenario = new Scenario();
+        try (ScriptedBus bus = scenario.bus) {
             bus.runScript(
                     () -> {
-                        Socket s = bus.acceptSubscription();
-                        bus.sendFrames(s, FULL_FRAME.formatted(1));
+                        Socket socket = bus.acceptSubscription();
+                        bus.sendFrames(socket, FULL_FRAME.formatted(1));
                         bus.stopAccepting();
-                        ScriptedBus.awaitDisconnect(s);
+                        ScriptedBus.awaitDisconnect(socket);
                         SocketTestSupport.sleepMillis(700); // in the middle of the first dial
                         bus.resumeAccepting();
                         ScriptedBus.awaitDisconnect(bus.acceptSubscription());
                         sendBytes(bus.acceptSubscription(), DELTA_FRAME.formatted(2));
                     },
-                    p.faults);
-            EndpointWatcher client =
+                    scenario.failures);
+            EndpointWatcher watcher =
                     bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.recordingListener(p.told)
+                                ScriptedBus.recordingListener(scenario.updates)
                                         .onEndpointUpdate(kind, members);
-                                p.newsAt = ScriptedBus.nowSeconds();
+                                scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                             });
-            loop.execute(client::start);
-            SocketTestSupport.await(() -> p.told.size() == 2 || !p.faults.isEmpty(), PATIENCE_MS);
-            assertEquals(List.of(), p.faults);
-            double took = p.newsAt - bus.lastFrameAt;
-            assertTrue(took < SILENCE_S + DIAL_S + SILENCE_S + slack(), took + " s");
+            loop.execute(watcher::start);
+            SocketTestSupport.await(
+                    () -> scenario.updates.size() == 2 || !scenario.failures.isEmpty(),
+                    TIMEOUT_MILLIS);
+            assertEquals(List.of(), scenario.failures);
+            double elapsedSeconds = scenario.lastUpdateSeconds - bus.lastFrameAt;
+            assertTrue(
+                    elapsedSeconds
+                            < SILENCE_TIMEOUT_SECONDS
+                                    + DIAL_TIMEOUT_SECONDS
+                                    + SILENCE_TIMEOUT_SECONDS
+                                    + slackSeconds(),
+                    elapsedSeconds + " s");
         }
     }
 
@@ -231,20 +257,22 @@
      * does.
      */
     @Test
-    void aBusThatIsSlowToSpeakIsHeard() throws Exception {
-        Scenario p = new Scenario();
-        try (ScriptedBus bus = p.bus) {
+    void receivesTheListWhenTheBusIsSlowToSend() throws Exception {
+        Scenario scenario = new Scenario();
+        try (ScriptedBus bus = scenario.bus) {
             bus.runScript(
                     () -> {
-                        while (p.told.isEmpty()) {
-                            Socket s = bus.acceptSubscription();
+                        while (scenario.updates.isEmpty()) {
+                            Socket socket = bus.acceptSubscription();
                             SocketTestSupport.sleepMillis(3000);
-                            sendBytes(s, FULL_FRAME.formatted(1));
+                            sendBytes(socket, FULL_FRAME.formatted(1));
                         }
                     },
-                    p.faults);
-            loop.execute(bus.createWatcher(loop, ScriptedBus.recordingListener(p.told))::start);
-            SocketTestSupport.await(() -> !p.told.isEmpty(), PATIENCE_MS);
+                    scenario.failures);
+            loop.execute(
+                    bus.createWatcher(loop, ScriptedBus.recordingListener(scenario.updates))
+                            ::start);
+            SocketTestSupport.await(() -> !scenario.updates.isEmpty(), TIMEOUT_MILLIS);
         }
     }
 
@@ -253,24 +281,24 @@
      * lasts.
      */
     @Test
-    void aStallIsNoSilenceAndHidesNone() throws Exception {
-        Scenario p = new Scenario();
-        try (ScriptedBus bus = p.bus) {
+    void detectsSilenceInTimeWhenTheLoopStalls() throws Exception {
+        Scenario scenario = new Scenario();
+        try (ScriptedBus bus = scenario.bus) {
             bus.runScript(
                     () -> {
-                        Socket s = bus.acceptSubscription();
-                        bus.sendFrames(s, FULL_FRAME.formatted(1));
-                        while (p.told.isEmpty()) {
+                        Socket socket = bus.acceptSubscription();
+                        bus.sendFrames(socket, FULL_FRAME.formatted(1));
+                        while (scenario.updates.isEmpty()) {
                             SocketTestSupport.sleepMillis(2);
                         }
                         loop.execute(() -> SocketTestSupport.sleepMillis(3000));
                         for (int i = 0; i < 3; i++) {
                             SocketTestSupport.sleepMillis(900);
-                            bus.sendFrames(s, EMPTY_FRAME.formatted(1));
+                            bus.sendFrames(socket, EMPTY_FRAME.formatted(1));
                         }
                         SocketTestSupport.sleepMillis(800);
                         bus.sendFrames(
-                                s,
+                                socket,
                                 DELTA_FRAME.formatted(
                                         2)); // on the watch that was open all the time
                         loop.execute(
@@ -279,23 +307,27 @@
                                                 1500)); // and is silent from now on
                         sendBytes(bus.acceptSubscription(), DELTA_FRAME.formatted(3));
                     },
-                    p.faults);
-            EndpointWatcher client =
+                    scenario.failures);
+            EndpointWatcher watcher =
                     bus.createWatcher(
                             loop,
                             (kind, members) -> {
-                                ScriptedBus.recordingListener(p.told)
+                                ScriptedBus.recordingListener(scenario.updates)
                                         .onEndpointUpdate(kind, members);
-                                p.newsAt = ScriptedBus.nowSeconds();
+                                scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                             });
-            loop.execute(client::start);
-            SocketTestSupport.await(() -> p.told.size() == 3 || !p.faults.isEmpty(), PATIENCE_MS);
-            assertEquals(List.of(), p.faults);
-            assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), p.told);
+            loop.execute(watcher::start);
+            SocketTestSupport.await(
+                    () -> scenario.updates.size() == 3 || !scenario.failures.isEmpty(),
+                    TIMEOUT_MILLIS);
+            assertEquals(List.of(), scenario.failures);
+            assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), scenario.updates);
             assertEquals(List.of(0L, 2L), bus.requestedOffsets);
             assertTrue(loop.stallStatistics().totalStallSeconds() >= 4, "no stalls were seen");
-            double took = p.newsAt - bus.lastFrameAt;
-            assertTrue(took < SILENCE_S + slack() - 3, took + " s");
+            double elapsedSeconds = scenario.lastUpdateSeconds - bus.lastFrameAt;
+            assertTrue(
+                    elapsedSeconds < SILENCE_TIMEOUT_SECONDS + slackSeconds() - 3,
+                    elapsedSeconds + " s");
         }
     }
 }
--- a/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
+++ b/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class WatchFrameDecoderTest {
-    private static final String EMPTY = "00000009" + "0000000000000029" + "00";
-    private static final String CHANGE =
+    private static final String EMPTY_FRAME = "00000009" + "0000000000000029" + "00";
+    private static final String DELTA_FRAME =
             "00000024"
                     + "000000000000002a"
                     + "02"
@@ -38,30 +38,34 @@
                     + "0002"
                     + "00000fa0"
                     + "0000000000001388";
-    private static final EngineEndpoint MEMBER =
+    private static final EngineEndpoint ENDPOINT =
             new EngineEndpoint(
                     new EngineListing(new EngineId(0xc41f7aL), 0, 0, 2, EngineStage.DRAINING, 4, 5),
                     Config.parseAddress("x", "10.1.0.9:7001"));
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 13, 14, 100})
-    void readsFramesInAnyPieces(int piece) throws WatchFrameDecoder.MalformedFrameException {
-        byte[] bytes = HexFormat.of().parseHex(EMPTY + CHANGE);
-        WatchFrameDecoder frames = new WatchFrameDecoder();
-        List<WatchFrameDecoder.Frame> got = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += piece) {
-            frames.add(ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at)));
-            for (WatchFrameDecoder.Frame f = frames.next(); f != null; f = frames.next()) {
-                got.add(f);
+    void decodesFramesWhenBytesArriveInPieces(int pieceBytes)
+            throws WatchFrameDecoder.MalformedFrameException {
+        byte[] bytes = HexFormat.of().parseHex(EMPTY_FRAME + DELTA_FRAME);
+        WatchFrameDecoder decoder = new WatchFrameDecoder();
+        List<WatchFrameDecoder.Frame> decoded = new ArrayList<>();
+        for (int offset = 0; offset < bytes.length; offset += pieceBytes) {
+            decoder.add(
+                    ByteBuffer.wrap(bytes, offset, Math.min(pieceBytes, bytes.length - offset)));
+            for (WatchFrameDecoder.Frame frame = decoder.decodeNext();
+                    frame != null;
+                    frame = decoder.decodeNext()) {
+                decoded.add(frame);
             }
         }
         assertEquals(
                 List.of(
-                        new WatchFrameDecoder.Frame(WatchFrameDecoder.Kind.NOTHING, 41, List.of()),
+                        new WatchFrameDecoder.Frame(WatchFrameDecoder.Kind.EMPTY, 41, List.of()),
                         new WatchFrameDecoder.Frame(
-                                WatchFrameDecoder.Kind.CHANGES, 42, List.of(MEMBER))),
-                got);
-        assertNull(frames.next());
+                                WatchFrameDecoder.Kind.DELTA, 42, List.of(ENDPOINT))),
+                decoded);
+        assertNull(decoder.decodeNext());
     }
 
     @ParameterizedTest
@@ -72,39 +76,39 @@
         "0000000a00000000000000000000",
         "0000000a00000000000000000100"
     })
-    void garbledFramesAreTold(String hex) {
-        WatchFrameDecoder frames = new WatchFrameDecoder();
-        frames.add(ByteBuffer.wrap(HexFormat.of().parseHex(hex)));
-        assertThrows(WatchFrameDecoder.MalformedFrameException.class, frames::next);
+    void throwsWhenAFrameIsMalformed(String hex) {
+        WatchFrameDecoder decoder = new WatchFrameDecoder();
+        decoder.add(ByteBuffer.wrap(HexFormat.of().parseHex(hex)));
+        assertThrows(WatchFrameDecoder.MalformedFrameException.class, decoder::decodeNext);
     }
 
     /** A frame's length is known at its start: one that is too long holds no memory. */
     @Test
-    void aLongFrameInSmallPiecesTakesBoundedMemory()
+    void memoryStaysBoundedWhenALongFrameArrivesInSmallPieces()
             throws WatchFrameDecoder.MalformedFrameException {
         byte[] frame =
-                ByteBuffer.allocate(Integer.BYTES + WatchFrameDecoder.MAX_FRAME)
-                        .putInt(WatchFrameDecoder.MAX_FRAME)
+                ByteBuffer.allocate(Integer.BYTES + WatchFrameDecoder.MAX_FRAME_BYTES)
+                        .putInt(WatchFrameDecoder.MAX_FRAME_BYTES)
                         .putLong(7)
                         .put((byte) 1)
                         .array();
-        WatchFrameDecoder frames = new WatchFrameDecoder();
-        Set<Integer> rooms = new HashSet<>();
+        WatchFrameDecoder decoder = new WatchFrameDecoder();
+        Set<Integer> capacities = new HashSet<>();
         for (int round = 0; round < 3; round++) {
-            for (int at = 0; at < frame.length; at++) {
-                assertNull(frames.next());
-                frames.add(ByteBuffer.wrap(frame, at, 1));
-                rooms.add(frames.room());
+            for (int offset = 0; offset < frame.length; offset++) {
+                assertNull(decoder.decodeNext());
+                decoder.add(ByteBuffer.wrap(frame, offset, 1));
+                capacities.add(decoder.bufferCapacity());
             }
-            assertEquals(4096, frames.next().members().size());
+            assertEquals(4096, decoder.decodeNext().endpoints().size());
         }
-        assertTrue(rooms.size() <= 8, "the room changed for each piece: " + rooms.size());
+        assertTrue(capacities.size() <= 8, "the room changed for each piece: " + capacities.size());
         assertTrue(
-                frames.room() <= 2 * (WatchFrameDecoder.MAX_FRAME + Integer.BYTES),
-                "room " + frames.room());
+                decoder.bufferCapacity() <= 2 * (WatchFrameDecoder.MAX_FRAME_BYTES + Integer.BYTES),
+                "room " + decoder.bufferCapacity());
     }
 
-    private static List<InitialEventsReader.Event> known(String phase, String id) {
+    private static List<InitialEventsReader.Event> readInitialEvents(String phase, String id) {
         return new InitialEventsReader(List.of("east"), List.of("std"))
                 .read(
                         Json.parse(
@@ -120,16 +124,16 @@
     }
 
     @Test
-    void knownEventsSayTheSameAsFrames() {
+    void initialEventsMatchFramesWhenTheyDescribeTheSameEngine() {
         assertEquals(
-                List.of(new InitialEventsReader.Event(41, true, List.of(MEMBER))),
-                known("Terminating", "s-00c41f7a"));
+                List.of(new InitialEventsReader.Event(41, true, List.of(ENDPOINT))),
+                readInitialEvents("Terminating", "s-00c41f7a"));
     }
 
     @ParameterizedTest
     @CsvSource({"Running,s-00c41f7a,phase", "Ready,00c41f7a,id", "Ready,s-x,id"})
-    void knownEventsNameTheKeyAtFault(String phase, String id, String key) {
-        ConfigException e = assertThrows(ConfigException.class, () -> known(phase, id));
+    void messageStartsWithTheKeyWhenAnInitialEventIsInvalid(String phase, String id, String key) {
+        ConfigException e = assertThrows(ConfigException.class, () -> readInitialEvents(phase, id));
         assertEquals("known.batch.0.topology.members.0." + key, e.getMessage().split(": ")[0]);
     }
 }
--- a/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
+++ b/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
@@ -17,26 +17,26 @@
 import org.tinylog.core.LogEntry;
 
 class BoundedConsoleWriterTest {
-    private static LogEntry entry(String message) {
+    private static LogEntry createEntry(String message) {
         return new LogEntry(
                 null, null, null, null, null, null, -1, null, Level.INFO, message, null);
     }
 
-    private static BoundedConsoleWriter writer(OutputStream out) {
-        return new BoundedConsoleWriter(Map.of("format", "{level} {message}"), out);
+    private static BoundedConsoleWriter createWriter(OutputStream output) {
+        return new BoundedConsoleWriter(Map.of("format", "{level} {message}"), output);
     }
 
     @Test
-    void writesAllInOrderAndLetsTheLastLinesOut() {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        BoundedConsoleWriter w = writer(out);
+    void writesAllLinesInOrderWhenClosed() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        BoundedConsoleWriter writer = createWriter(output);
         StringBuilder expected = new StringBuilder();
         for (int i = 0; i < 1000; i++) {
-            w.write(entry("line " + i));
+            writer.write(createEntry("line " + i));
             expected.append("INFO line ").append(i).append(System.lineSeparator());
         }
-        w.close();
-        assertEquals(expected.toString(), out.toString(StandardCharsets.UTF_8));
+        writer.close();
+        assertEquals(expected.toString(), output.toString(StandardCharsets.UTF_8));
     }
 
     /**
@@ -44,34 +44,35 @@
      * counted.
      */
     @Test
-    void nobodyReadingCostsLinesAndNothingElse() throws IOException {
-        PipedOutputStream out = new PipedOutputStream();
-        PipedInputStream in = new PipedInputStream(out, 1024);
-        BoundedConsoleWriter w = writer(out);
+    void dropsAndCountsLinesWhenNobodyReads() throws IOException {
+        PipedOutputStream output = new PipedOutputStream();
+        PipedInputStream input = new PipedInputStream(output, 1024);
+        BoundedConsoleWriter writer = createWriter(output);
         String text = "x".repeat(1000);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 5000; i++) {
-            w.write(entry(text));
+            writer.write(createEntry(text));
         }
         assertTrue(
-                System.nanoTime() - from < 2_000_000_000L, "writing 5 MB to a full pipe took long");
-        long dropped = w.lost();
+                System.nanoTime() - startNanos < 2_000_000_000L,
+                "writing 5 MB to a full pipe took long");
+        long dropped = writer.droppedLines();
         assertEquals(0, BoundedConsoleWriter.totalDroppedLines(), "of the process's own log");
         assertTrue(dropped > 4500 && dropped < 5000, "dropped " + dropped);
-        StringBuilder got = new StringBuilder();
-        while (got.indexOf("lines of the log were dropped") < 0) {
-            got.append((char) in.read());
+        StringBuilder received = new StringBuilder();
+        while (received.indexOf("lines of the log were dropped") < 0) {
+            received.append((char) input.read());
         }
-        assertTrue(got.toString().endsWith(dropped + " lines of the log were dropped"));
-        w.close();
+        assertTrue(received.toString().endsWith(dropped + " lines of the log were dropped"));
+        writer.close();
     }
 
     /** A reader that has gone altogether: as before, and the end is not held up either. */
     @Test
-    void aBrokenPipeEndsTheWritingOnly() {
+    void callerIsNotBlockedWhenThePipeIsBroken() {
         CountDownLatch failed = new CountDownLatch(1);
-        BoundedConsoleWriter w =
-                writer(
+        BoundedConsoleWriter writer =
+                createWriter(
                         new OutputStream() {
                             @Override
                             public void write(int b) throws IOException {
@@ -79,11 +80,11 @@
                                 throw new IOException("broken pipe");
                             }
                         });
-        w.write(entry("first"));
+        writer.write(createEntry("first"));
         SocketTestSupport.await(() -> failed.getCount() == 0);
-        long from = System.nanoTime();
-        w.write(entry("second"));
-        w.close();
-        assertTrue(System.nanoTime() - from < 1_000_000_000L);
+        long startNanos = System.nanoTime();
+        writer.write(createEntry("second"));
+        writer.close();
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
     }
 }
