--- a/src/main/java/junipercourse/admin/AdminOperations.java
+++ b/src/main/java/junipercourse/admin/AdminOperations.java
@@ -1,29 +1,29 @@
 package junipercourse.admin;
 
 /**
- * What operators' staff may ask and do; called on the second address's own threads, never on the
- * loop's.
+ * Operations that operators can request. They are called on the threads of the admin server, never
+ * on the event loop.
  */
 public interface AdminOperations {
-    /** What became of a change. */
+    /** Outcome of a change of maintenance mode. */
     enum MaintenanceResult {
         DONE,
         UNKNOWN_ENGINE,
         FAILED
     }
 
-    /** Whether queries can be taken. */
+    /** Returns true if queries can be accepted. */
     boolean isReady();
 
-    /** Why not, in one short reason. */
+    /** Returns the current reason for the readiness state, in a few words. */
     String describeReadiness();
 
-    /** Figures as JSON. */
+    /** Returns statistics as JSON. */
     String getStatisticsJson();
 
-    /** Takes an engine out. */
+    /** Puts an engine into maintenance mode. */
     MaintenanceResult startMaintenance(String id);
 
-    /** Takes an engine in again. */
+    /** Returns an engine from maintenance mode to service. */
     MaintenanceResult endMaintenance(String id);
 }
--- a/src/main/java/junipercourse/admin/AdminServer.java
+++ b/src/main/java/junipercourse/admin/AdminServer.java
@@ -22,8 +22,8 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The second address: HTTP/1.1 for operators' staff, one call a connection, on an I/O thread of its
- * own.
+ * HTTP/1.1 server for operators, on its own address and I/O thread. Each connection serves one
+ * request.
  */
 public final class AdminServer implements Closeable {
     private static final int DEFAULT_MAX_CONNECTIONS = 64;
@@ -40,20 +40,24 @@
     private final HttpOpenListener httpListener;
     private final AcceptingChannel<StreamConnection> server;
 
-    /** Those open, oldest first, each with the end of its time; on the I/O thread only. */
+    /** Open connections, oldest first, with the timers that close them; I/O thread only. */
     private final LinkedHashMap<StreamConnection, XnioIoThread.Key> closeTimers =
             new LinkedHashMap<>();
 
     private int openConnections;
 
     /**
-     * @throws IOException if the address cannot be listened on, which it names
+     * @throws IOException if the server cannot listen on the address; the message names the address
      */
     public AdminServer(InetSocketAddress address, AdminOperations operations) throws IOException {
         this(address, operations, DEFAULT_MAX_CONNECTIONS);
     }
 
-    /** With a bound on connections. */
+    /**
+     * Starts a server that closes its oldest connection when a further one exceeds the limit.
+     *
+     * @throws IOException if the server cannot listen on the address; the message names the address
+     */
     public AdminServer(InetSocketAddress address, AdminOperations operations, int maxConnections)
             throws IOException {
         this.operations = operations;
@@ -96,7 +100,7 @@
                 connection.getIoThread().execute(() -> registerConnection(connection));
             }
         } catch (IOException e) {
-            Logger.warn("ops: a connection could not be accepted: {}", e.getMessage());
+            Logger.warn("cannot accept an admin connection: {}", e.getMessage());
         }
     }
 
@@ -185,7 +189,7 @@
         exchange.getResponseSender().send(body);
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
--- a/src/main/java/junipercourse/admin/MaintenanceMarkers.java
+++ b/src/main/java/junipercourse/admin/MaintenanceMarkers.java
@@ -13,13 +13,13 @@
 import org.tinylog.Logger;
 
 /**
- * The engines that the staff have taken out, one empty file each in a folder of {@code $TMPDIR}: a
- * file that is there says that its engine is out, whatever it holds. So no file can be half written
- * or damaged, an order given twice is one, two processes beside each other never overwrite each
- * other's orders, and all of it outlives a process, also one that is killed.
+ * Stores which engines are in maintenance mode, as one empty marker file per engine in a folder of
+ * {@code $TMPDIR}. A file marks its engine by its existence, whatever its content. Therefore a
+ * marker cannot be half written or damaged, repeating a change has no effect, two sibling processes
+ * never overwrite each other's changes, and markers survive the process, even if it is killed.
  */
 public final class MaintenanceMarkers {
-    /** More than a list of engines holds, so that the folder cannot grow for good. */
+    /** More than an endpoint list holds; it keeps the folder from growing without bound. */
     private static final int MAX_MARKERS = 4096;
 
     private static final Pattern ENGINE_ID_PATTERN = Pattern.compile("s-[0-9a-f]{8}");
@@ -29,7 +29,7 @@
     private String lastError = "";
 
     /**
-     * @throws IOException if the folder is not there and cannot be made
+     * @throws IOException if the folder does not exist and cannot be created
      */
     public MaintenanceMarkers(Path folder) throws IOException {
         this.folder = folder;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The engine of an id as the event bus writes it, such as {@code s-00c41f7a}; empty if it is
-     * none.
+     * Parses an engine ID in the notation of the event bus, such as {@code s-00c41f7a}; empty if
+     * the text is not an engine ID.
      */
     public static Optional<EngineId> parseEngineId(String id) {
         return ENGINE_ID_PATTERN.matcher(id).matches()
@@ -51,32 +51,37 @@
     }
 
     /**
-     * @throws IOException if that cannot be kept: then nothing has changed
+     * Marks an engine as in maintenance mode.
+     *
+     * @throws IOException if the marker cannot be created; nothing has changed then
      */
     public synchronized void add(EngineId id) throws IOException {
         if (read().size() >= MAX_MARKERS) {
-            throw new IOException("already " + MAX_MARKERS + " engines are out");
+            throw new IOException(
+                    MAX_MARKERS + " engines are already in maintenance mode, the maximum");
         }
         try {
             Files.createFile(markerPath(id));
         } catch (FileAlreadyExistsException e) {
-            Logger.debug("engine {} is out already", id.value());
+            Logger.debug("engine {} is already in maintenance mode", id.value());
         }
     }
 
     /**
-     * @throws IOException if that cannot be kept: then nothing has changed
+     * Removes the marker of an engine.
+     *
+     * @throws IOException if the marker cannot be deleted; nothing has changed then
      */
     public synchronized void remove(EngineId id) throws IOException {
-        if (!Files.isDirectory(folder)) { // no file is there, and yet what was out stays out
-            throw new IOException(folder + " is not there");
+        if (!Files.isDirectory(folder)) { // no marker exists, but engines stay in maintenance mode
+            throw new IOException(folder + " does not exist");
         }
         Files.deleteIfExists(markerPath(id));
     }
 
     /**
-     * The engines that are out. If the folder cannot be read, those that were: what is out stays
-     * out.
+     * Returns the engines in maintenance mode. If the folder cannot be read, returns the result of
+     * the last successful read, so that engines stay in maintenance mode.
      */
     public synchronized Set<EngineId> read() {
         Set<EngineId> engines = new HashSet<>();
@@ -92,11 +97,12 @@
             }
             lastRead = Set.copyOf(engines);
             lastError = "";
-        } catch (IOException | RuntimeException e) { // the stream's own failures come unchecked
-            if (!lastError.equals(e.toString())) { // it is read several times a second
+        } catch (IOException | RuntimeException e) { // the stream throws unchecked exceptions
+            if (!lastError.equals(
+                    e.toString())) { // log once: the folder is read several times a second
                 lastError = e.toString();
                 Logger.error(
-                        "the engines taken out cannot be read, and stay as they were: {}",
+                        "cannot read the maintenance markers, engines keep their mode: {}",
                         lastError);
             }
         }
--- a/src/main/java/junipercourse/admin/SiblingProcesses.java
+++ b/src/main/java/junipercourse/admin/SiblingProcesses.java
@@ -13,15 +13,13 @@
 import org.tinylog.Logger;
 
 /**
- * The processes of one dispatcher that run at a time, while one replaces the other: each holds the
- * lock of a numbered file in the folder that they share, and writes there how many descriptors it
- * claims. The system gives a lock back however its process ends: nobody is counted who is gone, and
- * no pid is ever trusted.
+ * Shares the descriptor limit among the processes of one dispatcher that run at the same time
+ * during a handover. Each process locks a numbered claim file in a shared folder and writes there
+ * how many descriptors it claims. The operating system releases a lock however its process ends, so
+ * an ended process is never counted, and no process ID has to be trusted.
  */
 public final class SiblingProcesses implements Closeable {
-    /**
-     * More processes of one dispatcher are never started: the next one finds no number and ends.
-     */
+    /** Limit of processes of one dispatcher: a further one finds no free number and exits. */
     private static final int MAX_PROCESSES = 8;
 
     private static final int LOCK_ATTEMPTS = 20;
@@ -32,7 +30,7 @@
     private final int processNumber;
 
     /**
-     * @throws IOException if the folder cannot be used, or all numbers are taken
+     * @throws IOException if the folder cannot be used or all numbers are in use
      */
     public SiblingProcesses(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
@@ -47,7 +45,8 @@
             }
             file.close();
         }
-        throw new IOException(folder + ": " + MAX_PROCESSES + " processes run already");
+        throw new IOException(
+                folder + ": " + MAX_PROCESSES + " processes are already running, the maximum");
     }
 
     private static String fileName(int processNumber) {
@@ -63,11 +62,12 @@
     }
 
     /**
-     * Makes a claim beside those of the others, one process at a time.
+     * Sets this process's claim. A lock admits one process at a time.
      *
-     * @param claim what to claim, given what all others claim together, or -1 if there is no other
-     * @return what all others claim together; -1 if there is no other
-     * @throws IOException if the files cannot be used: then nothing is claimed anew
+     * @param computeClaim computes the claim from the sum of the other processes' claims, or from
+     *     -1 if there is no other process
+     * @return the sum of the other processes' claims; -1 if there is no other process
+     * @throws IOException if the files cannot be used; the claim has not changed then
      */
     public int claim(IntUnaryOperator computeClaim) throws IOException {
         try (FileChannel lockFile = open("turn");
@@ -84,9 +84,7 @@
         }
     }
 
-    /**
-     * Guards against one that was stopped in the middle of its turn: nobody waits for it for long.
-     */
+    /** Waits a limited time for the lock: its holder may have been suspended while holding it. */
     private static FileLock acquireLock(FileChannel file) throws IOException {
         for (int i = 0; i < LOCK_ATTEMPTS; i++) {
             FileLock acquired = file.tryLock();
@@ -95,13 +93,13 @@
             }
             LockSupport.parkNanos(LOCK_RETRY_NANOS);
         }
-        throw new IOException("another process has had its turn for too long");
+        throw new IOException("another process has held the lock for claims for too long");
     }
 
     private int addClaim(int sum, int processNumber) throws IOException {
         try (FileChannel file = open(fileName(processNumber));
                 FileLock acquiredLock = file.tryLock()) {
-            if (acquiredLock != null) { // nobody holds it: its process has ended
+            if (acquiredLock != null) { // no process holds the lock: the owner has ended
                 return sum;
             }
             ByteBuffer claim = ByteBuffer.allocate(Integer.BYTES);
@@ -117,7 +115,7 @@
             processLock.release();
             processFile.close();
         } catch (IOException e) {
-            Logger.debug("the lock of this process: {}", e.getMessage());
+            Logger.debug("cannot release the lock of this process: {}", e.getMessage());
         }
     }
 }
--- a/src/main/java/junipercourse/config/Config.java
+++ b/src/main/java/junipercourse/config/Config.java
@@ -19,16 +19,15 @@
 import junipercourse.decision.api.DecisionSettings;
 
 /**
- * All that a dispatcher is told at its start, read and checked in one place: the environment's
- * {@code RELAY_*} first, then the configuration file, then the defaults given here.
+ * Validated startup configuration. The {@code RELAY_*} environment variables take precedence over
+ * the configuration file, and the file over the defaults defined here.
  *
- * @param listenOn the descriptor that listens at {@code listen} already, or null where it is to be
- *     opened
- * @param admin the second address, for operators' staff, or null without one
- * @param bus where the event bus listens, or null without one
- * @param known the events of the bus up to the start, or null
- * @param zones the names of the zones, in the settings' order
- * @param idleSeconds after which engines close an idle connection
+ * @param listenFd descriptor that already listens at {@code listenAddress}; null to open a socket
+ * @param adminAddress address of the admin server for operators; null for none
+ * @param busAddress address of the event bus; null for none
+ * @param initialEvents events of the bus up to the start; may be null
+ * @param zones zone names in the order of the settings
+ * @param idleTimeoutSeconds time after which engines close an idle connection
  */
 public record Config(
         String name,
@@ -45,16 +44,17 @@
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int MIN_SOCKETS = 64;
-    private static final double DEFAULT_IDLE_TIMEOUT_SECONDS = 30;
+    private static final double DEFAULT_IDLE_SECONDS = 30;
 
-    /** What the process may use. */
+    /** Resource limits of the process. */
     public record Resources(double cores, int memoryMb, int sockets) {}
 
-    /** Reads the configuration that the environment names. */
+    /** Reads the configuration file that {@code RELAY_CONFIG} names. */
     public static Config read(Map<String, String> environment) {
         String path = environment.get("RELAY_CONFIG");
         if (path == null || path.isBlank()) {
-            throw new ConfigException("RELAY_CONFIG", "not set; it names the configuration file");
+            throw new ConfigException(
+                    "RELAY_CONFIG", "not set; it must name the configuration file");
         }
         String text;
         try {
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Reads the text of a configuration file; the environment's name and address go before its own.
+     * Parses the text of a configuration file; name and addresses in the environment override it.
      */
     public static Config parse(String text, Map<String, String> environment) {
         Section root;
@@ -76,11 +76,8 @@
             throw new ConfigException("RELAY_CONFIG", "not a JSON object: " + e.getMessage());
         }
         String name = environment.getOrDefault("RELAY_NAME", root.text("name", "junipercourse"));
-        boolean isListenSetInEnvironment = environment.containsKey("RELAY_LISTEN");
-        String listen =
-                isListenSetInEnvironment
-                        ? environment.get("RELAY_LISTEN")
-                        : root.text("listen", null);
+        boolean hasEnvListen = environment.containsKey("RELAY_LISTEN");
+        String listen = hasEnvListen ? environment.get("RELAY_LISTEN") : root.text("listen", null);
         if (listen == null) {
             throw new ConfigException("listen", "missing; RELAY_LISTEN is not set either");
         }
@@ -93,7 +90,7 @@
         Map<String, String> settingsByPath = SettingsText.flatten(settings.json());
         return new Config(
                 name,
-                parseAddress(isListenSetInEnvironment ? "RELAY_LISTEN" : "listen", listen),
+                parseAddress(hasEnvListen ? "RELAY_LISTEN" : "listen", listen),
                 environment.get("RELAY_FD"),
                 adminAddress(root, environment),
                 seed(root),
@@ -105,12 +102,11 @@
                 root.section("known").json(),
                 SettingsReader.read(settingsByPath),
                 List.of(settingsByPath.getOrDefault("dcs", "").split(",")),
-                settings.section("limits")
-                        .number("conn_idle_s", DEFAULT_IDLE_TIMEOUT_SECONDS, 0.1));
+                settings.section("limits").number("conn_idle_s", DEFAULT_IDLE_SECONDS, 0.1));
     }
 
     /**
-     * The keys, among those that a running dispatcher cannot take on, in which another one differs.
+     * Returns the keys that differ from the running configuration and take effect only on restart.
      */
     public List<String> findRestartOnlyChanges(Config running) {
         List<String> changedKeys = new ArrayList<>();
@@ -135,12 +131,9 @@
     }
 
     private static InetSocketAddress adminAddress(Section root, Map<String, String> environment) {
-        boolean isSetInEnvironment = environment.containsKey("RELAY_ADMIN");
-        String text =
-                isSetInEnvironment ? environment.get("RELAY_ADMIN") : root.text("admin", null);
-        return text == null
-                ? null
-                : parseAddress(isSetInEnvironment ? "RELAY_ADMIN" : "admin", text);
+        boolean hasEnvAdmin = environment.containsKey("RELAY_ADMIN");
+        String text = hasEnvAdmin ? environment.get("RELAY_ADMIN") : root.text("admin", null);
+        return text == null ? null : parseAddress(hasEnvAdmin ? "RELAY_ADMIN" : "admin", text);
     }
 
     private static long seed(Section root) {
@@ -151,12 +144,12 @@
         try {
             return Long.parseUnsignedLong(seedText, 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException("seed", "not a hexadecimal number of 64 bits: " + seedText);
+            throw new ConfigException("seed", "not a 64-bit hexadecimal number: " + seedText);
         }
     }
 
     /**
-     * Reads {@code host:port}; only numeric addresses are taken, since nothing here resolves names.
+     * Parses {@code host:port}. Only numeric addresses are accepted, since names are not resolved.
      */
     public static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
@@ -169,14 +162,14 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (IllegalArgumentException e) {
-            // falls through to the message below, which says what was expected
+            // reported below
         }
         throw new ConfigException(key, "not a numeric address and port: " + text);
     }
 
-    /** One object of the configuration file, with the path to it for messages. */
+    /** An object of the configuration file with its path, which error messages name. */
     private record Section(String path, JsonObject json) {
-        private String keyPath(String name) {
+        private String key(String name) {
             return path.isEmpty() ? name : path + "." + name;
         }
 
@@ -185,79 +178,71 @@
         }
 
         Section section(String name) {
-            JsonValue value = json == null ? null : json.get(name);
-            if (value != null && !value.isNull() && !value.isObject()) {
-                throw new ConfigException(keyPath(name), "not an object");
+            JsonValue node = json == null ? null : json.get(name);
+            if (node != null && !node.isNull() && !node.isObject()) {
+                throw new ConfigException(key(name), "not an object");
             }
-            return new Section(
-                    keyPath(name), value == null || value.isNull() ? null : value.asObject());
+            return new Section(key(name), node == null || node.isNull() ? null : node.asObject());
         }
 
         String text(String name, String fallback) {
-            JsonValue value = json == null ? null : json.get(name);
-            if (value == null || value.isNull()) {
+            JsonValue node = json == null ? null : json.get(name);
+            if (node == null || node.isNull()) {
                 return fallback;
             }
-            if (!value.isString()) {
-                throw new ConfigException(keyPath(name), "not a text");
+            if (!node.isString()) {
+                throw new ConfigException(key(name), "not a string");
             }
-            return value.asString();
+            return node.asString();
         }
 
         double number(String name, double fallback, double minimum) {
-            JsonValue value = json == null ? null : json.get(name);
-            if (value == null || value.isNull()) {
+            JsonValue node = json == null ? null : json.get(name);
+            if (node == null || node.isNull()) {
                 return fallback;
             }
-            if (!value.isNumber()) {
-                throw new ConfigException(keyPath(name), "not a number");
+            if (!node.isNumber()) {
+                throw new ConfigException(key(name), "not a number");
             }
-            if (!(value.asDouble() >= minimum)) {
-                throw new ConfigException(keyPath(name), "under " + minimum + ": " + value);
+            if (!(node.asDouble() >= minimum)) {
+                throw new ConfigException(key(name), "less than " + minimum + ": " + node);
             }
-            return value.asDouble();
+            return node.asDouble();
         }
     }
 
     /**
-     * Turns settings given as nested JSON into the pairs of path and value that the simulator
-     * gives.
+     * Flattens settings in nested JSON into values by path, the form in which the simulator passes
+     * them.
      */
     static final class SettingsText {
         private SettingsText() {}
 
         static Map<String, String> flatten(JsonObject settings) {
-            Map<String, String> valuesByPath = new HashMap<>();
-            settings.forEach(member -> put(valuesByPath, member.getName(), member.getValue()));
-            return valuesByPath;
+            Map<String, String> values = new HashMap<>();
+            settings.forEach(m -> put(values, m.getName(), m.getValue()));
+            return values;
         }
 
-        private static void put(Map<String, String> valuesByPath, String path, JsonValue value) {
+        private static void put(Map<String, String> values, String path, JsonValue value) {
             if (value.isObject()) {
-                value.asObject()
-                        .forEach(
-                                member ->
-                                        put(
-                                                valuesByPath,
-                                                path + "." + member.getName(),
-                                                member.getValue()));
+                value.asObject().forEach(m -> put(values, path + "." + m.getName(), m.getValue()));
             } else if (value.isArray()) {
-                putList(valuesByPath, path, value.asArray());
+                putList(values, path, value.asArray());
             } else if (!value.isNull()) {
-                valuesByPath.put(path, toText(value));
+                values.put(path, toText(value));
             }
         }
 
-        private static void putList(
-                Map<String, String> valuesByPath, String path, JsonArray items) {
+        private static void putList(Map<String, String> values, String path, JsonArray items) {
             boolean containsObjects = !items.isEmpty() && items.get(0).isObject();
             if (containsObjects) {
-                valuesByPath.put(path + ".count", Integer.toString(items.size()));
+                values.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    put(valuesByPath, path + "." + i, items.get(i));
+                    put(values, path + "." + i, items.get(i));
                 }
             } else {
-                valuesByPath.put(
+                values.put(
                         path,
                         String.join(
                                 ",", items.values().stream().map(SettingsText::toText).toList()));
--- a/src/main/java/junipercourse/config/ConfigException.java
+++ b/src/main/java/junipercourse/config/ConfigException.java
@@ -1,6 +1,6 @@
 package junipercourse.config;
 
-/** Configuration that cannot be used; the message begins with the key at fault. */
+/** Reports an invalid configuration; the message starts with the key concerned. */
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/junipercourse/config/SettingsReader.java
+++ b/src/main/java/junipercourse/config/SettingsReader.java
@@ -21,7 +21,7 @@
 import junipercourse.decision.api.ServiceGuarantees;
 import junipercourse.decision.api.Tenant;
 
-/** Turns the text of the settings into typed settings. Keys that are not known are skipped. */
+/** Converts settings from text to typed settings. Unknown keys are ignored. */
 public final class SettingsReader {
     private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME =
             Map.of(
@@ -40,26 +40,25 @@
         this.valuesByPath = valuesByPath;
     }
 
-    /** Reads lines of {@code path=value}. */
+    /** Reads settings from lines of {@code path=value}. */
     public static DecisionSettings read(String text) {
         Map<String, String> valuesByPath = new HashMap<>();
         for (String line : text.split("\n")) {
-            int separator = line.indexOf('=');
-            if (separator > 0) {
-                valuesByPath.put(
-                        line.substring(0, separator).trim(), line.substring(separator + 1).trim());
+            int index = line.indexOf('=');
+            if (index > 0) {
+                valuesByPath.put(line.substring(0, index).trim(), line.substring(index + 1).trim());
             }
         }
         return read(valuesByPath);
     }
 
-    /** Reads pairs of path and value. */
+    /** Reads settings from values by path. */
     public static DecisionSettings read(Map<String, String> valuesByPath) {
         try {
             return new SettingsReader(valuesByPath).readSettings();
         } catch (ConfigException e) {
             throw e;
-        } catch (IllegalArgumentException e) { // what the module itself checks
+        } catch (IllegalArgumentException e) { // thrown by the validation of the decision module
             throw new ConfigException("settings", e.getMessage());
         }
     }
@@ -103,7 +102,7 @@
                             getNumber(prefix + "worth", 1),
                             getNumber(prefix + "late_worth", 0),
                             i < threads.size()
-                                    ? (int) parseNumber("family_info.class_threads", threads.get(i))
+                                    ? (int) parse("family_info.class_threads", threads.get(i))
                                     : 1,
                             i < loads.size() && Boolean.parseBoolean(loads.get(i)),
                             i < classWaits.size() && Boolean.parseBoolean(classWaits.get(i)),
@@ -135,12 +134,8 @@
             engineKinds.add(
                     new EngineKind(
                             i < names.size() ? names.get(i) : "kind-" + i,
-                            i < cores.size()
-                                    ? parseNumber("family_info.size_cores", cores.get(i))
-                                    : 0,
-                            i < memory.size()
-                                    ? parseNumber("family_info.size_mb", memory.get(i))
-                                    : 0));
+                            i < cores.size() ? parse("family_info.size_cores", cores.get(i)) : 0,
+                            i < memory.size() ? parse("family_info.size_mb", memory.get(i)) : 0));
         }
         return engineKinds;
     }
@@ -208,10 +203,10 @@
     private Set<Integer> getIndexes(String key) {
         Set<Integer> indexes = new TreeSet<>();
         for (String item : getList(key)) {
-            indexes.add((int) parseNumber(key, item));
+            indexes.add((int) parse(key, item));
         }
         if (indexes.isEmpty() && valuesByPath.containsKey(key)) {
-            throw new ConfigException("settings." + key, "allows nothing");
+            throw new ConfigException("settings." + key, "empty; at least one index is required");
         }
         return indexes;
     }
@@ -241,14 +236,14 @@
         if (value != Math.rint(value) || value < minimum || value > Integer.MAX_VALUE) {
             throw new ConfigException(
                     "settings." + key,
-                    "not a whole number of " + minimum + " or more: " + valuesByPath.get(key));
+                    "not an integer of at least " + minimum + ": " + valuesByPath.get(key));
         }
         return (int) value;
     }
 
     private double getNumber(String key, double fallback) {
         String value = valuesByPath.get(key);
-        return value == null ? fallback : parseNumber(key, value);
+        return value == null ? fallback : parse(key, value);
     }
 
     private double requireNumber(String key) {
@@ -256,10 +251,10 @@
         if (value == null) {
             throw new ConfigException("settings." + key, "missing");
         }
-        return parseNumber(key, value);
+        return parse(key, value);
     }
 
-    private static double parseNumber(String key, String value) {
+    private static double parse(String key, String value) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
--- a/src/main/java/junipercourse/discovery/EndpointWatcher.java
+++ b/src/main/java/junipercourse/discovery/EndpointWatcher.java
@@ -16,45 +16,39 @@
 import org.xnio.StreamConnection;
 
 /**
- * Follows the event bus from the last event it has, over as many connections as that takes, one at
- * a time.
+ * Follows the event bus over one connection at a time, starting after the last event received.
  *
- * <p>An event counts as told 7 s after it is in the event bus, whether it arrived or not
- * (PROTOCOL). So from the last whole frame of a watch to a new watch takes, where the bus takes one
- * by then:
+ * <p>The protocol counts an event as delivered 7 s after the event bus has it, whether it arrived
+ * or not. The time from the last complete frame of a watch to the next watch is therefore bounded,
+ * if the bus accepts connections by then:
  *
  * <ul>
- *   <li>2.5 s ({@link #SILENCE_TIMEOUT_SECONDS}) until the silence is noticed, and nothing more: a
- *       pause between two dials is counted from the first of them, so that after a silence none is
- *       left;
- *   <li>1.0 s ({@link #DIAL_TIMEOUT_SECONDS}) more for a connection that does not come up;
- *   <li>2.5 s more for one that comes up and brings no whole frame, be it mute or dribbling, and
- *       twice that for each further one in a row;
- *   <li>0.5 s ({@link #MAX_BACKOFF_SECONDS}) more at most for each that is refused, closed or
- *       garbled;
+ *   <li>2.5 s ({@link #SILENCE_SECONDS}) until silence is detected; no backoff follows, since it is
+ *       counted from the start of the previous dial;
+ *   <li>1.0 s ({@link #DIAL_TIMEOUT_SECONDS}) for a connection that is not established;
+ *   <li>2.5 s for a connection that delivers no complete frame, whether it sends nothing or single
+ *       bytes, and twice that for each further one in a row;
+ *   <li>up to 0.5 s ({@link #MAX_BACKOFF_SECONDS}) for each that is refused, closed or malformed.
  * </ul>
  *
- * 6.0 s with one of each of the first three. What comes between is the network's. After a longer
- * outage, the next dial is due at most 1.0 s after the bus has returned, or 5.0 s ({@link
- * #SILENCE_MOST_S}) if it had taken connections all the time and said nothing on them. A stall of
- * our own adds its length: silence is counted from when the bytes that came during it were read.
+ * One each of the first three takes 6.0 s; network delay is extra. After a longer outage the next
+ * dial starts within 1.0 s of the bus's return, or within 5.0 s ({@link #MAX_SILENCE_SECONDS}) if
+ * the bus accepted connections but sent nothing. A stall of the event loop adds its length: silence
+ * is counted from the time when the bytes that arrived during the stall are read.
  */
 public final class EndpointWatcher {
     private static final double DIAL_TIMEOUT_SECONDS = 1.0;
-    private static final double SILENCE_TIMEOUT_SECONDS = 2.5; // an empty frame comes each second
+    private static final double SILENCE_SECONDS = 2.5; // an empty frame arrives each second
 
-    /**
-     * Guards a bus that is slow to speak, to many at once, against being left each time before it
-     * does.
-     */
-    private static final double MAX_SILENCE_TIMEOUT_SECONDS = 5.0;
+    /** Gives a bus that serves many clients slowly enough time to send its first frame. */
+    private static final double MAX_SILENCE_SECONDS = 5.0;
 
-    /** Between two dials, from one to the next: at most ten a second, whatever the bus does. */
+    /** Minimum time between the starts of two dials: at most ten dials per second. */
     private static final double INITIAL_BACKOFF_SECONDS = 0.1;
 
     private static final double MAX_BACKOFF_SECONDS = 0.5;
 
-    /** Takes the news of the list. */
+    /** Receives updates of the endpoint list. */
     public interface Listener {
         void onEndpointUpdate(EndpointUpdateKind updateKind, List<EngineEndpoint> endpoints);
     }
@@ -69,16 +63,17 @@
     private DeadlineQueue.Entry redialTimer;
     private double lastDialSeconds = Double.NEGATIVE_INFINITY;
     private double backoffSeconds = INITIAL_BACKOFF_SECONDS;
-    private double silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+    private double silenceSeconds = SILENCE_SECONDS;
     private List<InitialEventsReader.Event> initialEvents = List.of();
     private long lastOffset;
 
     /**
-     * Reads the events of the start, so that a fault in them is told before anything runs.
+     * Reads the initial events at once, so that an error in them is reported before startup.
      *
-     * @param bus the event bus, or null: then the list stays as it is known
-     * @param known the events of the start, or null
-     * @param zones the settings' list, as is {@code kinds}
+     * @param busAddress the event bus; null if the endpoint list never changes
+     * @param initialEvents the events from the configuration; may be null
+     * @param zones zone names from the settings
+     * @param engineKinds engine kind names from the settings
      */
     public EndpointWatcher(
             EventLoop loop,
@@ -99,10 +94,7 @@
         }
     }
 
-    /**
-     * Tells the events of the start, then connects, and does so again whenever the connection is
-     * lost.
-     */
+    /** Publishes the initial events, then connects and reconnects after each lost connection. */
     public void start() {
         for (InitialEventsReader.Event event : initialEvents) {
             publish(event, EndpointUpdateKind.CACHED);
@@ -119,35 +111,32 @@
                 event.isFullList() ? fullListKind : EndpointUpdateKind.DELTA, event.endpoints());
     }
 
-    /**
-     * Reads and checks the events that a new configuration holds; null holds none. For any thread.
-     */
+    /** Reads and validates the events of a new configuration, null for none. Thread-safe. */
     public List<InitialEventsReader.Event> readInitialEvents(JsonObject json) {
         return json == null ? List.of() : reader.read(json);
     }
 
     /**
-     * Takes on a new configuration: tells those of its events that are new here, and if the event
-     * bus has another address, connects there at once, from the last event, and leaves the old one.
+     * Applies a new configuration: publishes events newer than the last one, and if the bus address
+     * has changed, disconnects and connects to the new address, continuing after the last event.
      */
-    public void reconfigure(
-            InetSocketAddress newBusAddress, List<InitialEventsReader.Event> newEvents) {
+    public void reconfigure(InetSocketAddress newBus, List<InitialEventsReader.Event> newEvents) {
         newEvents.stream()
                 .filter(event -> event.offset() > lastOffset)
                 .forEach(event -> publish(event, EndpointUpdateKind.FULL));
-        if (Objects.equals(newBusAddress, busAddress)) {
+        if (Objects.equals(newBus, busAddress)) {
             return;
         }
-        busAddress = newBusAddress;
+        busAddress = newBus;
         disconnect();
         backoffSeconds = INITIAL_BACKOFF_SECONDS;
-        silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+        silenceSeconds = SILENCE_SECONDS;
         if (busAddress != null) {
             dial();
         }
     }
 
-    /** The one place where the connection, or the wait for one, is given up. */
+    /** Closes the connection, or cancels the dial or the wait for the next dial. */
     private void disconnect() {
         loop.cancel(redialTimer);
         if (dial != null) {
@@ -162,12 +151,7 @@
 
     private void dial() {
         lastDialSeconds = loop.now();
-        dial =
-                loop.dial(
-                        busAddress,
-                        DIAL_TIMEOUT_SECONDS,
-                        this::startWatch,
-                        failure -> scheduleRedial());
+        dial = loop.dial(busAddress, DIAL_TIMEOUT_SECONDS, this::startWatch, error -> redial());
     }
 
     private void startWatch(StreamConnection stream) {
@@ -176,18 +160,15 @@
         watch = new Watch(stream);
     }
 
-    /**
-     * Connects anew, after a pause since the last dial that grows while no connection brings
-     * anything.
-     */
-    private void scheduleRedial() {
+    /** Disconnects and dials again after a backoff that doubles until a frame arrives. */
+    private void redial() {
         disconnect();
         redialTimer =
                 loop.scheduleAt(Math.max(loop.now(), lastDialSeconds + backoffSeconds), this::dial);
         backoffSeconds = Math.min(MAX_BACKOFF_SECONDS, backoffSeconds * 2);
     }
 
-    /** One connection to the event bus; once it is left, nothing that it still brings counts. */
+    /** One connection to the event bus; frames that arrive after it was replaced are ignored. */
     private final class Watch implements Connection.Handler {
         private final WatchFrameDecoder decoder = new WatchFrameDecoder();
         private final Connection connection;
@@ -204,16 +185,16 @@
             loop.cancel(silenceTimer);
             silenceTimer =
                     loop.scheduleAfter(
-                            silenceTimeoutSeconds,
+                            silenceSeconds,
                             () -> {
-                                Logger.warn("the event bus is silent; connecting again");
+                                Logger.warn(
+                                        "no complete frame from the event bus in time;"
+                                                + " reconnecting");
                                 if (!hasReceivedFrame) {
-                                    silenceTimeoutSeconds =
-                                            Math.min(
-                                                    MAX_SILENCE_TIMEOUT_SECONDS,
-                                                    silenceTimeoutSeconds * 2);
+                                    silenceSeconds =
+                                            Math.min(MAX_SILENCE_SECONDS, silenceSeconds * 2);
                                 }
-                                scheduleRedial();
+                                redial();
                             });
         }
 
@@ -228,16 +209,16 @@
                 }
             } catch (WatchFrameDecoder.MalformedFrameException e) {
                 counters.increment(Count.ROSTER_GARBLED);
-                Logger.warn("event bus: {}; connecting again", e.getMessage());
-                scheduleRedial();
+                Logger.warn("malformed data from the event bus: {}; reconnecting", e.getMessage());
+                redial();
             }
         }
 
-        /** A whole frame is the one sign of life: bytes that complete none may come for ever. */
+        /** Only a complete frame restarts the timer: incomplete bytes could arrive forever. */
         private void handleFrame(WatchFrameDecoder.Frame frame) {
             hasReceivedFrame = true;
             backoffSeconds = INITIAL_BACKOFF_SECONDS;
-            silenceTimeoutSeconds = SILENCE_TIMEOUT_SECONDS;
+            silenceSeconds = SILENCE_SECONDS;
             restartSilenceTimer();
             if (frame.kind() != WatchFrameDecoder.Kind.EMPTY && frame.offset() > lastOffset) {
                 lastOffset = frame.offset();
@@ -263,7 +244,7 @@
         @Override
         public void disconnected() {
             if (watch == this) {
-                scheduleRedial();
+                redial();
             }
         }
     }
--- a/src/main/java/junipercourse/discovery/InitialEventsReader.java
+++ b/src/main/java/junipercourse/discovery/InitialEventsReader.java
@@ -12,9 +12,9 @@
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
 
-/** Reads the events that the configuration holds under {@code known}. */
+/** Reads the initial endpoint events that the configuration holds under {@code known}. */
 public final class InitialEventsReader {
-    /** One event. */
+    /** A full endpoint list or a change of it, with the event's number on the event bus. */
     public record Event(long offset, boolean isFullList, List<EngineEndpoint> endpoints) {}
 
     private final List<String> zones;
@@ -25,11 +25,11 @@
         this.engineKinds = engineKinds;
     }
 
-    List<Event> read(JsonObject known) {
+    List<Event> read(JsonObject json) {
         List<Event> events = new ArrayList<>();
-        JsonValue batch = known.get("batch");
+        JsonValue batch = json.get("batch");
         if (batch == null || !batch.isArray()) {
-            throw new ConfigException("known.batch", "not a list");
+            throw new ConfigException("known.batch", "not an array");
         }
         for (JsonValue item : batch.asArray()) {
             String path = "known.batch." + events.size();
@@ -38,16 +38,16 @@
         return events;
     }
 
-    /** The number of the last event. */
-    static long readLastOffset(JsonObject known) {
-        return (long) requireNumber("known", known, "offset");
+    /** Reads the number of the last event. */
+    static long readLastOffset(JsonObject json) {
+        return (long) requireNumber("known", json, "offset");
     }
 
     private Event readEvent(String path, JsonObject event) {
         JsonObject topology = requireObject(path + ".topology", event.get("topology"));
         JsonValue list = topology.get("members");
         if (list == null || !list.isArray()) {
-            throw new ConfigException(path + ".topology.members", "not a list");
+            throw new ConfigException(path + ".topology.members", "not an array");
         }
         List<EngineEndpoint> endpoints = new ArrayList<>();
         for (JsonValue item : list.asArray()) {
@@ -84,9 +84,9 @@
                 return new EngineId(Long.parseLong(text.substring(2), 16));
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new ConfigException(path + ".id", "not an engine's id: " + text);
+        throw new ConfigException(path + ".id", "not an engine ID: " + text);
     }
 
     private static EngineStage parseStage(String path, String text) {
@@ -116,7 +116,7 @@
     private static String requireString(String path, JsonObject object, String name) {
         JsonValue value = object.get(name);
         if (value == null || !value.isString()) {
-            throw new ConfigException(path + "." + name, "not a text");
+            throw new ConfigException(path + "." + name, "not a string");
         }
         return value.asString();
     }
--- a/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
+++ b/src/main/java/junipercourse/discovery/WatchFrameDecoder.java
@@ -11,24 +11,23 @@
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
 
-/** Reads the event bus's frames from bytes that come in any pieces. */
+/** Decodes event bus frames from bytes that may arrive in pieces of any size. */
 final class WatchFrameDecoder {
-    private static final int HEADER_BYTES = 9; // number and kind
+    private static final int HEADER_BYTES = 9; // event number and kind
     private static final int RECORD_BYTES = 27;
     private static final int INITIAL_BUFFER_BYTES = 1024;
     static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * 4096;
 
-    /** What a frame carries. */
+    /** Content of a frame; the order is that of the codes on the wire. */
     enum Kind {
         EMPTY,
         FULL,
         DELTA
     }
 
-    /** One frame. */
     record Frame(Kind kind, long offset, List<EngineEndpoint> endpoints) {}
 
-    /** Bytes that are no frame. */
+    /** Reports bytes that are not a valid frame. */
     static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -38,14 +37,15 @@
     }
 
     /**
-     * Between position and limit: what has come and was not read, one unfinished frame between
-     * reads.
+     * Received bytes that are not decoded yet, between position and limit. After each read at most
+     * one incomplete frame remains.
      */
     private ByteBuffer pending = ByteBuffer.allocate(INITIAL_BUFFER_BYTES).limit(0);
 
     /**
-     * Adds what has come. Room doubles, so that a long frame in small pieces is not copied once for
-     * each of them; it stays under twice the longest frame and what is added at once.
+     * Appends received bytes. The buffer doubles, so that a long frame that arrives in small pieces
+     * is not copied for each of them; its capacity stays below twice the sum of the longest frame
+     * and the bytes added at once.
      */
     void add(ByteBuffer bytes) {
         int neededBytes = pending.remaining() + bytes.remaining();
@@ -63,19 +63,19 @@
         bytes.position(bytes.limit());
     }
 
-    /** The bytes of memory held for what has come. */
+    /** Returns the capacity of the buffer in bytes. */
     int bufferCapacity() {
         return pending.capacity();
     }
 
-    /** The next whole frame, or null if more bytes are needed. */
+    /** Returns the next complete frame, or null if more bytes are needed. */
     Frame decodeNext() throws MalformedFrameException {
         if (pending.remaining() < Integer.BYTES) {
             return null;
         }
         long frameBytes = pending.getInt(pending.position()) & 0xffffffffL;
         if (frameBytes < HEADER_BYTES || frameBytes > MAX_FRAME_BYTES) {
-            throw new MalformedFrameException("frame of " + frameBytes + " bytes");
+            throw new MalformedFrameException("invalid frame length: " + frameBytes + " bytes");
         }
         if (pending.remaining() < Integer.BYTES + frameBytes) {
             return null;
@@ -88,7 +88,7 @@
                 || payloadBytes % RECORD_BYTES != 0
                 || kind == 0 && payloadBytes > 0) {
             throw new MalformedFrameException(
-                    "frame of kind " + kind + " with " + payloadBytes + " bytes");
+                    "invalid frame: kind " + kind + ", payload of " + payloadBytes + " bytes");
         }
         List<EngineEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < payloadBytes / RECORD_BYTES; i++) {
@@ -109,7 +109,7 @@
         double weight = (pending.getInt() & 0xffffffffL) / 1000.0;
         double startedAtSeconds = pending.getLong() / 1000.0;
         if (stage >= EngineStage.values().length) {
-            throw new MalformedFrameException("engine state " + stage);
+            throw new MalformedFrameException("invalid engine state: " + stage);
         }
         try {
             return new EngineEndpoint(
@@ -123,7 +123,7 @@
                             startedAtSeconds),
                     new InetSocketAddress(InetAddress.getByAddress(address), port));
         } catch (UnknownHostException e) {
-            throw new MalformedFrameException("engine address");
+            throw new MalformedFrameException("invalid engine address");
         }
     }
 }
--- a/src/main/java/junipercourse/log/BoundedConsoleWriter.java
+++ b/src/main/java/junipercourse/log/BoundedConsoleWriter.java
@@ -15,20 +15,20 @@
 import org.tinylog.writers.Writer;
 
 /**
- * tinylog's writer {@code bounded console}: writes to standard error from a thread of its own, with
- * a bound on what waits. tinylog's own console writer blocks its caller once a pipe is full that
- * nobody reads, and its writing thread keeps an unbounded queue; here the caller is the I/O thread,
- * and memory is scarce.
+ * The tinylog writer {@code bounded console}: writes to standard error from its own thread with a
+ * bounded queue. tinylog's console writer blocks its caller when standard error is a full pipe that
+ * nobody reads, and its writing thread has an unbounded queue. Here the caller is the I/O thread,
+ * and the heap is small.
  */
 public final class BoundedConsoleWriter extends AbstractFormatPatternWriter {
-    private static final int MAX_QUEUED_CHARS = 256 * 1024; // 512 KB at most, of a heap of 64 MB
+    private static final int MAX_QUEUED_CHARS = 256 * 1024; // up to 512 KB of a 64 MB heap
     private static final double CLOSE_TIMEOUT_SECONDS =
-            0.25; // for the last lines; a reader that is gone is not waited for
+            0.25; // for the last lines; a reader that is gone must not delay the exit
 
     private final LineQueue queue = new LineQueue(MAX_QUEUED_CHARS);
     private final Thread thread;
 
-    /** Made by tinylog, with the writer's properties; {@code format} is the pattern of a line. */
+    /** Called by tinylog with the writer's properties; {@code format} is the line pattern. */
     public BoundedConsoleWriter(Map<String, String> properties) {
         this(properties, new FileOutputStream(FileDescriptor.err));
     }
@@ -46,8 +46,7 @@
                 output.write(line.getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
-            queue.close(); // there is nowhere left to say so; what comes later is counted as
-            // dropped
+            queue.close(); // the error cannot be logged; later lines count as dropped
         }
     }
 
@@ -58,10 +57,10 @@
 
     @Override
     public void flush() {
-        // lines go out as soon as they can
+        // the writing thread writes each line without delay
     }
 
-    /** Waits a moment for the last lines to go out. */
+    /** Waits up to the close timeout until the queued lines are written. */
     @Override
     public void close() {
         queue.close();
@@ -72,12 +71,12 @@
         }
     }
 
-    /** Lines that were dropped by this writer. */
+    /** Returns the number of lines dropped by this writer. */
     long droppedLines() {
         return queue.droppedLines();
     }
 
-    /** Lines of the process's log that were dropped since its start. */
+    /** Returns the number of log lines dropped since the start of the process. */
     public static long totalDroppedLines() {
         long total = 0;
         for (Writer writer : writers()) {
@@ -89,7 +88,7 @@
         return total;
     }
 
-    /** Lets the last lines out at the end of the process; what is logged later is lost. */
+    /** Writes the queued lines at process exit; lines logged afterwards are dropped. */
     public static void closeAll() {
         for (Writer writer : writers()) {
             if (writer instanceof BoundedConsoleWriter consoleWriter) {
@@ -99,7 +98,8 @@
     }
 
     /**
-     * tinylog's own list: kept here, it would be a variable that all dispatchers of a JVM share.
+     * Reads tinylog's list of writers: a static list here would be state shared by all dispatchers
+     * of a JVM.
      */
     private static Collection<Writer> writers() {
         return ProviderRegistry.getLoggingProvider() instanceof TinylogLoggingProvider tinylog
--- a/src/main/java/junipercourse/log/LineQueue.java
+++ b/src/main/java/junipercourse/log/LineQueue.java
@@ -4,8 +4,8 @@
 import java.util.Deque;
 
 /**
- * Lines on their way to a reader who may be slow or gone: a bound on what waits, and a count of
- * what was dropped for it. Whoever adds never waits; the one who takes does.
+ * Bounded queue of log lines for a reader that may be slow or gone. Adding never blocks: a line
+ * that does not fit is dropped and counted. Taking blocks.
  */
 final class LineQueue {
     private final int maxChars;
@@ -15,12 +15,14 @@
     private long unreportedDrops;
     private boolean isClosed;
 
-    /** {@code mostChars} bounds all lines that wait. */
+    /**
+     * @param maxChars total length of all queued lines
+     */
     LineQueue(int maxChars) {
         this.maxChars = maxChars;
     }
 
-    /** Adds a line, or drops it if too much waits already. */
+    /** Adds a line, or drops it if the queue is full or closed. */
     synchronized void add(String line) {
         if (isClosed || queuedChars + line.length() > maxChars) {
             droppedLines++;
@@ -32,7 +34,10 @@
         notifyAll();
     }
 
-    /** The next line, or a word on those dropped once there is room; null once closed and empty. */
+    /**
+     * Returns the next line, or a notice of dropped lines once the queue is empty; null once the
+     * queue is closed and empty.
+     */
     synchronized String take() throws InterruptedException {
         while (lines.isEmpty() && unreportedDrops == 0 && !isClosed) {
             wait();
@@ -45,7 +50,7 @@
         if (unreportedDrops > 0) {
             String notice =
                     unreportedDrops
-                            + " lines of the log were dropped: nobody read them in time"
+                            + " log lines were dropped: standard error was not read in time"
                             + System.lineSeparator();
             unreportedDrops = 0;
             return notice;
@@ -53,13 +58,13 @@
         return null;
     }
 
-    /** Nothing more is taken in. */
+    /** Rejects further lines; queued lines can still be taken. */
     synchronized void close() {
         isClosed = true;
         notifyAll();
     }
 
-    /** Lines dropped since the start. */
+    /** Returns the number of lines dropped so far. */
     synchronized long droppedLines() {
         return droppedLines;
     }
--- a/src/test/java/junipercourse/admin/AdminServerTest.java
+++ b/src/test/java/junipercourse/admin/AdminServerTest.java
@@ -40,7 +40,7 @@
     private static int requestStatus(AdminServer server, String requestLine) throws IOException {
         try (Socket socket =
                 new Socket(server.address().getAddress(), server.address().getPort())) {
-            socket.setSoTimeout(1000); // each answer is due within a second
+            socket.setSoTimeout(1000); // each response is due within a second
             for (byte b :
                     (requestLine + " HTTP/1.1\r\nHost: a\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII)) {
@@ -69,7 +69,9 @@
             assertEquals(404, requestStatus(server, "GET /ops"));
             assertEquals(405, requestStatus(server, "GET /ops/engines/up/e"));
             idleSockets.get(0).setSoTimeout(1000);
-            assertTrue(idleSockets.get(0).getInputStream().read() < 0, "the oldest has made room");
+            assertTrue(
+                    idleSockets.get(0).getInputStream().read() < 0,
+                    "the oldest connection is closed at the limit");
         } finally {
             for (Socket socket : idleSockets) {
                 socket.close();
--- a/src/test/java/junipercourse/admin/StoredFilesTest.java
+++ b/src/test/java/junipercourse/admin/StoredFilesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Holds names and contents of the files that processes of several versions share. */
+/** Fixes the names and contents of files that processes of different versions share. */
 class StoredFilesTest {
     @TempDir private Path folder;
 
--- a/src/test/java/junipercourse/config/ConfigTest.java
+++ b/src/test/java/junipercourse/config/ConfigTest.java
@@ -41,7 +41,7 @@
         assertEquals(30, config.idleTimeoutSeconds());
     }
 
-    /** Each case changes one part of a good file; the message begins with the key at fault. */
+    /** Each case changes one place of a valid file; the message must start with its key. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -25,11 +25,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What is told of the engine list, in whichever order and pieces frames, moves and ends of watches
- * come.
+ * Checks the published endpoint updates for every order and fragmentation of frames, bus address
+ * changes and connection losses.
  */
 class EndpointOrderTest {
-    private static final int FRAME_BYTES = 40; // bytes of one record's frame, with its length
+    private static final int FRAME_BYTES =
+            40; // a frame with one record, including its length field
     private final List<String> updates = new CopyOnWriteArrayList<>();
     private EventLoop loop;
     private ScriptedBus bus;
@@ -65,9 +66,9 @@
     }
 
     /**
-     * Numbers are a dispatcher's own, from 1 at its start (PROTOCOL): one that goes back or comes
-     * again is old news, whatever bus it comes from, and of two lists the newest wins. In one write
-     * and in two.
+     * By the protocol, event numbers belong to a dispatcher and start at 1: a number that repeats
+     * or goes back is an old event, whichever bus sends it, and the newest list applies. Frames
+     * arrive in one write and in two.
      */
     @ParameterizedTest
     @CsvSource({
@@ -107,7 +108,8 @@
     }
 
     /**
-     * Cut anywhere, by a close or a reset, a frame is not told, and comes whole on the next watch.
+     * A frame cut at any byte by a close or a reset must not be published; the next watch delivers
+     * it in full.
      */
     @Test
     void publishesAFrameOnceWhenTheConnectionEndsAtAnyByte() throws Exception {
@@ -128,12 +130,10 @@
         assertEquals(
                 1,
                 bus.requestedOffsets.stream().skip(1).distinct().count(),
-                "asked " + bus.requestedOffsets);
+                "requested " + bus.requestedOffsets);
     }
 
-    /**
-     * What is told under the same id is told as it stands: another address, a later start, a drain.
-     */
+    /** An engine's new address or later start is published under its unchanged ID. */
     @Test
     void publishesCurrentPropertiesWhenAnEngineChangesUnderTheSameId() throws Exception {
         List<EngineEndpoint> endpoints = new CopyOnWriteArrayList<>();
@@ -161,7 +161,7 @@
                 endpoints.stream().map(endpoint -> endpoint.engine().startedAt()).toList());
     }
 
-    /** SIGHUP moves the bus between two frames, with half of one read: each event is told once. */
+    /** The bus address changes on SIGHUP after part of a frame was read. */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 13, 39})
     void publishesEachEventOnceWhenTheBusMovesWithinAFrame(int sentBytes) throws Exception {
@@ -174,7 +174,7 @@
         try {
             sendBytes(socket, formatFrame("c2").substring(2 * sentBytes) + formatFrame("c3"));
         } catch (IOException e) {
-            assertTrue(socket.isConnected(), "it has been left by now");
+            assertTrue(socket.isConnected(), "the old connection is already closed");
         }
         sendBytes(newSocket, formatFrame("c2"));
         SocketTestSupport.await(() -> updates.size() == 2);
@@ -186,8 +186,8 @@
     }
 
     /**
-     * The move and a frame of the old bus meet in one turn of the loop, either of them queued
-     * first.
+     * The address change and a frame of the old bus are handled in one loop iteration, in either
+     * order.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -225,7 +225,10 @@
         assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), updates);
     }
 
-    /** News that lead to a move at once: nothing more of the old watch counts, garbled or not. */
+    /**
+     * The listener changes the bus address during an update: later bytes of the old watch,
+     * malformed or not, must be ignored.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "ffffffff"})
     void ignoresRemainingBytesWhenTheListenerMovesTheBus(String trailingBytes) throws Exception {
@@ -233,8 +236,9 @@
         watcher[0] =
                 bus.createWatcher(
                         loop,
-                        (kind, members) -> {
-                            ScriptedBus.recordingListener(updates).onEndpointUpdate(kind, members);
+                        (kind, endpoints) -> {
+                            ScriptedBus.recordingListener(updates)
+                                    .onEndpointUpdate(kind, endpoints);
                             watcher[0].reconfigure(otherBus.address(), List.of());
                         });
         loop.execute(watcher[0]::start);
@@ -249,12 +253,12 @@
         SocketTestSupport.await(() -> updates.size() == 3);
         assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), updates);
         assertEquals(
-                List.of(1L), otherBus.requestedOffsets, "the watch on the new bus was left, too");
+                List.of(1L), otherBus.requestedOffsets, "the watch on the new bus was closed, too");
     }
 
     /**
-     * A connection that comes up after its bus was left is closed unasked; the new bus alone is
-     * heard.
+     * A connection established after the bus address changed is closed without a request; only the
+     * new bus is used.
      */
     @Test
     void closesTheOldConnectionWithoutARequestWhenTheBusMovesDuringADial() throws Exception {
@@ -263,7 +267,7 @@
                 () -> {
                     watcher.start();
                     SocketTestSupport.sleepMillis(
-                            50); // it is up in the system by now, and not handed over
+                            50); // established by the system, not yet passed to the watcher
                     watcher.reconfigure(otherBus.address(), List.of());
                 });
         sendBytes(otherBus.acceptSubscription(), formatFrame("w1"));
@@ -272,10 +276,7 @@
         assertEquals(List.of("FULL 1"), updates);
     }
 
-    /**
-     * Events of a new configuration that are old here are not told, be they whole lists; new ones
-     * are.
-     */
+    /** Events of a new configuration that are already known are skipped, even full lists. */
     @Test
     void publishesOnlyNewEventsWhenTheConfigurationIsReloaded() throws Exception {
         EndpointWatcher watcher = startWatcher();
--- a/src/test/java/junipercourse/discovery/EndpointWatcherTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointWatcherTest.java
@@ -22,7 +22,7 @@
                     + "0000000000001388";
 
     /**
-     * After a break, garbled bytes or silence it asks for what follows the last event that it has.
+     * After a close, malformed bytes or silence the watcher requests what follows its last event.
      */
     @Test
     void resumesFromTheLastEventWhenTheConnectionEnds() throws Exception {
@@ -38,7 +38,7 @@
                             requestedOffsets.add(
                                     new DataInputStream(socket.getInputStream()).readLong());
                             String eventFrame = DELTA_FRAME.formatted(41 + requestedOffsets.size());
-                            // the event that it has already may come again and is told once
+                            // a repeated event is published once
                             String bytes =
                                     eventFrame
                                             + eventFrame
@@ -58,7 +58,7 @@
                             Json.parse("{\"offset\":41,\"batch\":[]}").asObject(),
                             List.of("east"),
                             List.of("std"),
-                            (kind, members) -> updates.add(kind + " " + members.size()),
+                            (kind, endpoints) -> updates.add(kind + " " + endpoints.size()),
                             new Counters());
             loop.execute(watcher::start);
             SocketTestSupport.await(() -> requestedOffsets.size() == 5);
--- a/src/test/java/junipercourse/discovery/SilentBusTest.java
+++ b/src/test/java/junipercourse/discovery/SilentBusTest.java
@@ -22,22 +22,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * From a watch's last whole frame to a new one that has told what came meanwhile, in the time
- * stated.
+ * Checks the documented time from the last complete frame of a watch until a new watch has
+ * delivered the events missed meanwhile.
  */
 class SilentBusTest {
     private static final double SILENCE_TIMEOUT_SECONDS = 2.5;
     private static final double DIAL_TIMEOUT_SECONDS = 1.0;
     private static final double MAX_BACKOFF_SECONDS = 0.5;
 
-    /** For the sockets and the threads of the script; stalls of this process come on top. */
+    /** Time for the sockets and threads of the script; measured stalls are added to it. */
     private static final double SLACK_SECONDS = 0.6;
 
     private static final int TIMEOUT_MILLIS = 20_000;
-    private static final int FRAME_BYTES = 40; // bytes of a change, with its length
-    private static final int UNFILLED_FRAME_BYTES = 0x7000; // a length that no frame here fills
+    private static final int FRAME_BYTES = 40; // a delta frame, including its length field
+    private static final int UNFILLED_FRAME_BYTES = 0x7000; // longer than any frame sent here
 
-    /** What one connection does after it was asked. */
+    /** Behavior of the bus on one connection after the subscription request. */
     private interface Fault {
         void run(ScriptedBus bus, Socket socket) throws IOException;
     }
@@ -62,30 +62,30 @@
         loop = new EventLoop(() -> {}, e -> {});
         loop.execute(loop::startStallDetection);
         addFault(
-                "mute",
+                "silent",
                 SILENCE_TIMEOUT_SECONDS,
                 (bus, socket) -> ScriptedBus.awaitDisconnect(socket));
         addFault(
-                "dribbles",
+                "single bytes",
                 SILENCE_TIMEOUT_SECONDS,
                 (bus, socket) ->
                         sendSlowly(socket, "%08x%016x02".formatted(UNFILLED_FRAME_BYTES, 2)));
         addFault(
-                "half a length and mute",
+                "half a length, then silent",
                 SILENCE_TIMEOUT_SECONDS,
                 (bus, socket) -> {
                     sendBytes(socket, "0000");
                     ScriptedBus.awaitDisconnect(socket);
                 });
         addFault(
-                "a cut frame and mute",
+                "a truncated frame, then silent",
                 SILENCE_TIMEOUT_SECONDS,
                 (bus, socket) -> {
                     sendBytes(socket, DELTA_FRAME.formatted(2).substring(0, 2 * FRAME_BYTES - 2));
                     ScriptedBus.awaitDisconnect(socket);
                 });
         addFault(
-                "never comes up",
+                "never established",
                 DIAL_TIMEOUT_SECONDS,
                 (bus, socket) -> {
                     bus.stopAccepting();
@@ -94,7 +94,7 @@
                     SocketTestSupport.sleepMillis(700); // in the middle of the first dial
                     bus.resumeAccepting();
                 });
-        addFault("garbled", MAX_BACKOFF_SECONDS, (bus, socket) -> sendBytes(socket, "ffffffff"));
+        addFault("malformed", MAX_BACKOFF_SECONDS, (bus, socket) -> sendBytes(socket, "ffffffff"));
         addFault("closes", MAX_BACKOFF_SECONDS, (bus, socket) -> socket.close());
     }
 
@@ -120,9 +120,9 @@
                 sendBytes(socket, "00");
             }
         } catch (IOException e) {
-            return; // it has been left
+            return; // the watcher has closed the connection
         }
-        throw new AssertionError("a bus that only dribbles is never left");
+        throw new AssertionError("the watcher keeps a connection that sends only single bytes");
     }
 
     private void runScenario(Scenario scenario, String firstFault, String secondFault)
@@ -145,15 +145,15 @@
         EndpointWatcher watcher =
                 scenario.bus.createWatcher(
                         loop,
-                        (kind, members) -> {
+                        (kind, endpoints) -> {
                             ScriptedBus.recordingListener(scenario.updates)
-                                    .onEndpointUpdate(kind, members);
+                                    .onEndpointUpdate(kind, endpoints);
                             scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                         });
         loop.execute(watcher::start);
     }
 
-    /** Each fault alone and after each other; all plays at once, each with a bus of its own. */
+    /** Runs each fault alone and each pair of faults, all at once, each with its own bus. */
     @Test
     void receivesMissedEventsInTimeWhenOneOrTwoFaultsEndTheWatch() throws Exception {
         Map<String, Scenario> scenarios = new LinkedHashMap<>();
@@ -208,12 +208,9 @@
         }
     }
 
-    /**
-     * The longest that is stated, one of each: silence, a dial that hangs, a connection that is
-     * mute.
-     */
+    /** The longest documented sequence: silence, a dial that hangs, a connection without frames. */
     @Test
-    void reconnectsInTimeWhenSilenceThenAHungDialThenAMuteWatchOccur() throws Exception {
+    void reconnectsInTimeWhenSilenceThenAHungDialThenASilentWatchOccur() throws Exception {
         Scenario scenario = new Scenario();
         try (ScriptedBus bus = scenario.bus) {
             bus.runScript(
@@ -231,9 +228,9 @@
             EndpointWatcher watcher =
                     bus.createWatcher(
                             loop,
-                            (kind, members) -> {
+                            (kind, endpoints) -> {
                                 ScriptedBus.recordingListener(scenario.updates)
-                                        .onEndpointUpdate(kind, members);
+                                        .onEndpointUpdate(kind, endpoints);
                                 scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                             });
             loop.execute(watcher::start);
@@ -253,8 +250,8 @@
     }
 
     /**
-     * A bus that is slow to speak, or in the middle of a long list, is not left each time before it
-     * does.
+     * A bus that needs longer than the silence timeout for its first frame, such as a long list,
+     * must be given more time, or the watcher would reconnect forever.
      */
     @Test
     void receivesTheListWhenTheBusIsSlowToSend() throws Exception {
@@ -277,8 +274,8 @@
     }
 
     /**
-     * A stall of our own is not held against the bus, and hides its silence no longer than it
-     * lasts.
+     * A stall of the event loop must not count as silence of the bus, and must not delay the
+     * detection of real silence by more than its own length.
      */
     @Test
     void detectsSilenceInTimeWhenTheLoopStalls() throws Exception {
@@ -300,20 +297,20 @@
                         bus.sendFrames(
                                 socket,
                                 DELTA_FRAME.formatted(
-                                        2)); // on the watch that was open all the time
+                                        2)); // on the watch that stayed open during the stall
                         loop.execute(
                                 () ->
                                         SocketTestSupport.sleepMillis(
-                                                1500)); // and is silent from now on
+                                                1500)); // the bus sends nothing from here on
                         sendBytes(bus.acceptSubscription(), DELTA_FRAME.formatted(3));
                     },
                     scenario.failures);
             EndpointWatcher watcher =
                     bus.createWatcher(
                             loop,
-                            (kind, members) -> {
+                            (kind, endpoints) -> {
                                 ScriptedBus.recordingListener(scenario.updates)
-                                        .onEndpointUpdate(kind, members);
+                                        .onEndpointUpdate(kind, endpoints);
                                 scenario.lastUpdateSeconds = ScriptedBus.nowSeconds();
                             });
             loop.execute(watcher::start);
@@ -323,7 +320,7 @@
             assertEquals(List.of(), scenario.failures);
             assertEquals(List.of("FULL 1", "DELTA 2", "DELTA 3"), scenario.updates);
             assertEquals(List.of(0L, 2L), bus.requestedOffsets);
-            assertTrue(loop.stallStatistics().totalStallSeconds() >= 4, "no stalls were seen");
+            assertTrue(loop.stallStatistics().totalStallSeconds() >= 4, "no stalls were detected");
             double elapsedSeconds = scenario.lastUpdateSeconds - bus.lastFrameAt;
             assertTrue(
                     elapsedSeconds < SILENCE_TIMEOUT_SECONDS + slackSeconds() - 3,
--- a/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
+++ b/src/test/java/junipercourse/discovery/WatchFrameDecoderTest.java
@@ -82,7 +82,10 @@
         assertThrows(WatchFrameDecoder.MalformedFrameException.class, decoder::decodeNext);
     }
 
-    /** A frame's length is known at its start: one that is too long holds no memory. */
+    /**
+     * The frame length comes first, so that an oversized frame is rejected before memory is used.
+     * The buffer must not be copied for each piece of a long frame.
+     */
     @Test
     void memoryStaysBoundedWhenALongFrameArrivesInSmallPieces()
             throws WatchFrameDecoder.MalformedFrameException {
@@ -102,10 +105,12 @@
             }
             assertEquals(4096, decoder.decodeNext().endpoints().size());
         }
-        assertTrue(capacities.size() <= 8, "the room changed for each piece: " + capacities.size());
+        assertTrue(
+                capacities.size() <= 8,
+                "the buffer was reallocated for many pieces: " + capacities.size());
         assertTrue(
                 decoder.bufferCapacity() <= 2 * (WatchFrameDecoder.MAX_FRAME_BYTES + Integer.BYTES),
-                "room " + decoder.bufferCapacity());
+                "buffer capacity " + decoder.bufferCapacity());
     }
 
     private static List<InitialEventsReader.Event> readInitialEvents(String phase, String id) {
--- a/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
+++ b/src/test/java/junipercourse/log/BoundedConsoleWriterTest.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * A pipe that nobody reads: the caller is not held up, memory stays bounded, what is lost is
+     * A full pipe that nobody reads must not block the caller or grow memory; dropped lines are
      * counted.
      */
     @Test
@@ -55,19 +55,22 @@
         }
         assertTrue(
                 System.nanoTime() - startNanos < 2_000_000_000L,
-                "writing 5 MB to a full pipe took long");
+                "writing 5 MB to a full pipe took too long");
         long dropped = writer.droppedLines();
-        assertEquals(0, BoundedConsoleWriter.totalDroppedLines(), "of the process's own log");
+        assertEquals(
+                0,
+                BoundedConsoleWriter.totalDroppedLines(),
+                "lines dropped from the log of this process");
         assertTrue(dropped > 4500 && dropped < 5000, "dropped " + dropped);
         StringBuilder received = new StringBuilder();
-        while (received.indexOf("lines of the log were dropped") < 0) {
+        while (received.indexOf("log lines were dropped") < 0) {
             received.append((char) input.read());
         }
-        assertTrue(received.toString().endsWith(dropped + " lines of the log were dropped"));
+        assertTrue(received.toString().endsWith(dropped + " log lines were dropped"));
         writer.close();
     }
 
-    /** A reader that has gone altogether: as before, and the end is not held up either. */
+    /** A reader that has closed the pipe must not block the caller or delay closing. */
     @Test
     void callerIsNotBlockedWhenThePipeIsBroken() {
         CountDownLatch failed = new CountDownLatch(1);
