--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -67,11 +67,11 @@
     }
 
     private void delete() {
-        calls.run(EngineRequestEncoder.bare("DELETE", query, ""), new Delete(), false);
+        calls.run(EngineRequestEncoder.bare("DELETE", query, ""), new DeleteListener(), false);
     }
 
-    private final class Delete extends AttemptConnections.Step {
-        Delete() {
+    private final class DeleteListener extends AttemptConnections.CallListener {
+        DeleteListener() {
             super(calls);
         }
 
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -25,7 +25,7 @@
     private final EnginePool pool;
     private final AttemptLiveness evidence;
     private HttpCall call;
-    private Step waiting;
+    private CallListener waiting;
     private HttpCall ignored;
     private EngineConnection kept;
     private boolean ended;
@@ -38,7 +38,7 @@
     }
 
     /** Makes a call on the connection that is kept, if that is usable, or on a new one. */
-    void run(byte[] request, Step step, boolean starts) {
+    void run(byte[] request, CallListener step, boolean starts) {
         run(() -> request, step, starts);
     }
 
@@ -46,11 +46,11 @@
      * Makes the call that starts the query, whose bytes tell of the moment when the first of them
      * leaves.
      */
-    void start(Supplier<byte[]> request, Step step) {
+    void start(Supplier<byte[]> request, CallListener step) {
         run(request, step, true);
     }
 
-    private void run(Supplier<byte[]> request, Step step, boolean starts) {
+    private void run(Supplier<byte[]> request, CallListener step, boolean starts) {
         HttpCall mine = new HttpCall(request, step);
         call = mine;
         waiting = step;
@@ -72,7 +72,7 @@
      */
     private void await(double seconds) {
         HttpCall mine = call;
-        Step step = waiting;
+        CallListener step = waiting;
         later(
                 seconds,
                 () -> {
@@ -148,12 +148,12 @@
     }
 
     /** What all calls have in common. */
-    abstract static class Step implements HttpCall.Listener {
+    abstract static class CallListener implements HttpCall.Listener {
         private final AttemptConnections calls;
         private boolean onTheWay;
         private double writtenAt;
 
-        Step(AttemptConnections calls) {
+        CallListener(AttemptConnections calls) {
             this.calls = calls;
         }
 
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -39,7 +39,7 @@
     private final EnginePool pool;
     private final Query query;
     private final double giveUpAt;
-    private final EngineClient.GaugeReader gauges;
+    private final EngineClient.LoadReportReader gauges;
     private final Counters counters;
     private final AttemptListener ending;
     private final ResultPages pages = new ResultPages();
@@ -57,7 +57,7 @@
             EnginePool pool,
             Query query,
             double giveUpAt,
-            EngineClient.GaugeReader gauges,
+            EngineClient.LoadReportReader gauges,
             Counters counters,
             AttemptListener ending) {
         this.loop = loop;
@@ -83,13 +83,13 @@
                     () ->
                             EngineRequestEncoder.post(
                                     query, Math.max(1, Math.round((giveUpAt - loop.now()) * 1000))),
-                    new Start());
+                    new StartListener());
         }
     }
 
     /** A call that is answered with news. */
-    private abstract class Asking extends AttemptConnections.Step {
-        Asking() {
+    private abstract class StateListener extends AttemptConnections.CallListener {
+        StateListener() {
             super(calls);
         }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    private final class Start extends Asking {
+    private final class StartListener extends StateListener {
         /**
          * Guards against sends on facts that have changed since; reading the client's may change
          * others.
@@ -140,7 +140,7 @@
         }
     }
 
-    private final class Poll extends Asking {
+    private final class PollListener extends StateListener {
         @Override
         void failed() {
             askAgain();
@@ -181,7 +181,7 @@
     }
 
     private void poll() {
-        calls.run(EngineRequestEncoder.bare("GET", query, "/0"), new Poll(), false);
+        calls.run(EngineRequestEncoder.bare("GET", query, "/0"), new PollListener(), false);
     }
 
     /**
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -25,7 +25,7 @@
     private final EventLoop loop;
     private final double dialTimeout;
     private final Counters counters;
-    private final GaugeReader gauges;
+    private final LoadReportReader gauges;
     private final EnginePool.Budget budget;
     private final Map<EngineId, EnginePool> pools = new HashMap<>();
 
@@ -42,7 +42,7 @@
                         ? settings.limits().connectTimeoutSeconds()
                         : 1;
         this.counters = counters;
-        this.gauges = new GaugeReader(settings.loadMetrics());
+        this.gauges = new LoadReportReader(settings.loadMetrics());
     }
 
     @Override
@@ -101,11 +101,11 @@
     /**
      * Reads load reports such as {@code inflight:7;util:0.61} in the order that the settings name.
      */
-    static final class GaugeReader {
+    static final class LoadReportReader {
         private static final float[] NONE = {};
         private final List<LoadMetric> fields;
 
-        GaugeReader(List<LoadMetric> fields) {
+        LoadReportReader(List<LoadMetric> fields) {
             this.fields = fields;
         }
 
--- a/src/main/java/junipercourse/engine/EngineConnection.java
+++ b/src/main/java/junipercourse/engine/EngineConnection.java
@@ -98,13 +98,14 @@
                 return;
             }
             if (response == null || call == null) {
-                throw new HttpResponseParser.GarbledException("an answer to nothing");
+                throw new HttpResponseParser.MalformedResponseException("an answer to nothing");
             }
             if (bytes.hasRemaining() && HttpResponseParser.rowsFollow(bytes)) {
-                throw new HttpResponseParser.GarbledException("rows behind the length told");
+                throw new HttpResponseParser.MalformedResponseException(
+                        "rows behind the length told");
             }
             answered(response, bytes.hasRemaining());
-        } catch (HttpResponseParser.GarbledException e) {
+        } catch (HttpResponseParser.MalformedResponseException e) {
             counters.increment(Count.ENGINES_GARBLED);
             Logger.warn("engine {}: {}; the connection is closed", pool.name(), e.getMessage());
             link.close();
--- a/src/main/java/junipercourse/engine/HttpResponseParser.java
+++ b/src/main/java/junipercourse/engine/HttpResponseParser.java
@@ -21,10 +21,10 @@
     static final int MAX_ANSWER = 2 * MAX_BODY;
 
     /** Bytes that are no HTTP response. */
-    static final class GarbledException extends Exception {
+    static final class MalformedResponseException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        GarbledException(String message) {
+        MalformedResponseException(String message) {
             super(message);
         }
     }
@@ -55,14 +55,14 @@
     }
 
     /** Takes bytes until a response is whole, and returns it; null if more are needed. */
-    HttpResponse read(ByteBuffer in) throws GarbledException {
+    HttpResponse read(ByteBuffer in) throws MalformedResponseException {
         int from = in.position();
         HttpResponse response = parse(in);
         taken += in.position() - from;
         if (response != null) {
             taken = 0;
         } else if (taken > MAX_ANSWER) {
-            throw new GarbledException("an answer of over " + MAX_ANSWER + " bytes");
+            throw new MalformedResponseException("an answer of over " + MAX_ANSWER + " bytes");
         }
         return response;
     }
@@ -77,7 +77,7 @@
         return text.indexOf('\t') >= 0 && !text.startsWith("HTTP/");
     }
 
-    private HttpResponse parse(ByteBuffer in) throws GarbledException {
+    private HttpResponse parse(ByteBuffer in) throws MalformedResponseException {
         while (true) {
             if (state == State.BODY || state == State.CHUNK) {
                 int n = Math.min(left, in.remaining());
@@ -104,7 +104,7 @@
         }
     }
 
-    private String line(ByteBuffer in) throws GarbledException {
+    private String line(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -113,14 +113,14 @@
                 return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             }
             if (line.size() >= MAX_LINE) {
-                throw new GarbledException("a line of over " + MAX_LINE + " bytes");
+                throw new MalformedResponseException("a line of over " + MAX_LINE + " bytes");
             }
             line.write(b);
         }
         return null;
     }
 
-    private HttpResponse take(String text) throws GarbledException {
+    private HttpResponse take(String text) throws MalformedResponseException {
         switch (state) {
             case STATUS -> status(text);
             case HEADERS -> {
@@ -135,7 +135,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new GarbledException("a chunk that is longer than its size");
+                    throw new MalformedResponseException("a chunk that is longer than its size");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -149,35 +149,36 @@
         return null;
     }
 
-    private void status(String text) throws GarbledException {
+    private void status(String text) throws MalformedResponseException {
         if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
-            throw new GarbledException("no status line");
+            throw new MalformedResponseException("no status line");
         }
         oldVersion = text.charAt(7) == '0';
         status = Integer.parseInt(text.substring(9, 12));
         state = State.HEADERS;
     }
 
-    private void header(String text) throws GarbledException {
+    private void header(String text) throws MalformedResponseException {
         int colon = text.indexOf(':');
         if (colon <= 0 || headers.size() >= MAX_HEADERS) {
-            throw new GarbledException(colon <= 0 ? "a header without a name" : "too many headers");
+            throw new MalformedResponseException(
+                    colon <= 0 ? "a header without a name" : "too many headers");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
         String before = headers.put(name, value);
         if (before != null && name.equals("content-length") && !before.equals(value)) {
-            throw new GarbledException("two lengths");
+            throw new MalformedResponseException("two lengths");
         }
     }
 
-    private HttpResponse headersEnd() throws GarbledException {
+    private HttpResponse headersEnd() throws MalformedResponseException {
         String coding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
         if (status < 200) { // an interim response: the real one follows
             interim++;
             if (interim > MAX_INTERIM) {
-                throw new GarbledException("interim responses without end");
+                throw new MalformedResponseException("interim responses without end");
             }
             headers = new HashMap<>();
             state = State.STATUS;
@@ -188,31 +189,31 @@
         }
         if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked")) {
-                throw new GarbledException("transfer coding " + coding);
+                throw new MalformedResponseException("transfer coding " + coding);
             }
             state = State.CHUNK_SIZE;
             return null;
         }
         if (length == null) {
-            throw new GarbledException("no length");
+            throw new MalformedResponseException("no length");
         }
         left = size(length, 10);
         state = State.BODY;
         return left == 0 ? whole() : null;
     }
 
-    private int size(String text, int radix) throws GarbledException {
+    private int size(String text, int radix) throws MalformedResponseException {
         int n;
         try {
             n = Integer.parseInt(text, radix);
         } catch (NumberFormatException e) {
-            throw new GarbledException("not a length: " + text);
+            throw new MalformedResponseException("not a length: " + text);
         }
         if (n < 0 || Character.digit(text.charAt(0), radix) < 0) { // a sign is no digit
-            throw new GarbledException("not a length: " + text);
+            throw new MalformedResponseException("not a length: " + text);
         }
         if (n > MAX_BODY - body.size()) {
-            throw new GarbledException("a length out of range: " + text);
+            throw new MalformedResponseException("a length out of range: " + text);
         }
         return n;
     }
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -19,11 +19,11 @@
     private final AttemptConnections calls;
     private final AttemptLiveness evidence;
     private final Counters counters;
-    private final Done done;
+    private final CompletionListener done;
     private int breaks;
 
     /** Is told once, when all pages are there or one is lost. */
-    interface Done {
+    interface CompletionListener {
         void done(boolean whole);
     }
 
@@ -33,7 +33,7 @@
             AttemptConnections calls,
             AttemptLiveness evidence,
             Counters counters,
-            Done done) {
+            CompletionListener done) {
         this.query = query;
         this.pages = pages;
         this.calls = calls;
@@ -51,13 +51,13 @@
                     () ->
                             calls.run(
                                     EngineRequestEncoder.bare("GET", query, "/" + pages.next()),
-                                    new Page(),
+                                    new PageListener(),
                                     false));
         }
     }
 
-    private final class Page extends AttemptConnections.Step {
-        Page() {
+    private final class PageListener extends AttemptConnections.CallListener {
+        PageListener() {
             super(calls);
         }
 
--- a/src/test/java/junipercourse/engine/AttemptJudge.java
+++ b/src/test/java/junipercourse/engine/AttemptOverlapChecker.java
@@ -10,7 +10,7 @@
  * then, by PROTOCOL: until its end is written, it is deleted, or nobody has asked for it for 2 s.
  * The first attempt meets a fault, later ones are answered.
  */
-final class AttemptJudge {
+final class AttemptOverlapChecker {
     private static final double FORGOTTEN_S = 2.0;
     private final Function<String, String> fault;
     private final List<Double> posts = new ArrayList<>();
@@ -20,7 +20,7 @@
     private double lastAsked;
 
     /** {@code fault} answers the calls for the first attempt. */
-    AttemptJudge(Function<String, String> fault) {
+    AttemptOverlapChecker(Function<String, String> fault) {
         this.fault = fault;
     }
 
--- a/src/test/java/junipercourse/engine/RepeatsTest.java
+++ b/src/test/java/junipercourse/engine/AttemptRetryTest.java
@@ -31,7 +31,7 @@
  * PROTOCOL's list of proofs that an attempt never ran, against what is none, for each effect: what
  * is sent again, and that there are never two out.
  */
-class RepeatsTest {
+class AttemptRetryTest {
     /** By what may be repeated: always, by key for 12 s and for half a second, and never. */
     private static final List<String> CLASSES = List.of("check", "load", "soon", "move");
 
@@ -92,16 +92,17 @@
                             call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
     /** What was seen of one class. */
-    private record Seen(String kind, String answer, AttemptJudge judge, boolean again) {}
+    private record Observation(
+            String kind, String answer, AttemptOverlapChecker judge, boolean again) {}
 
-    private static Seen play(String kind, Function<String, String> fault, long timeoutMs)
+    private static Observation play(String kind, Function<String, String> fault, long timeoutMs)
             throws IOException {
-        AttemptJudge judge = new AttemptJudge(fault);
+        AttemptOverlapChecker judge = new AttemptOverlapChecker(fault);
         try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512)) {
             bench.startEngine(1, judge::answer);
             bench.startEngine(2, judge::answer);
             String answer = bench.connectClient().startSession().query(query(kind, 1, timeoutMs));
-            return new Seen(kind, answer, judge, judge.posts() > 1);
+            return new Observation(kind, answer, judge, judge.posts() > 1);
         }
     }
 
@@ -124,15 +125,15 @@
             })
     void anAttemptIsRepeatedByItsEffectAndByProof(String row, String again) throws Exception {
         ExecutorService side = Executors.newFixedThreadPool(CLASSES.size());
-        List<Future<Seen>> all = new ArrayList<>();
+        List<Future<Observation>> all = new ArrayList<>();
         for (String kind : CLASSES) {
-            Callable<Seen> one =
+            Callable<Observation> one =
                     () -> play(kind, FAULTS.get(row), row.startsWith("hangs") ? 7000 : 15_000);
             all.add(side.submit(one));
         }
         side.shutdown();
         for (int i = 0; i < all.size(); i++) {
-            Seen seen = all.get(i).get();
+            Observation seen = all.get(i).get();
             String what = row + ": " + seen;
             assertFalse(seen.judge.twoOut(), what);
             boolean may = again.charAt(i) != 'n';
@@ -165,7 +166,7 @@
         StubEngine dead = new StubEngine(call -> OK);
         dead.close();
         try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512);
-                FullQueue never = new FullQueue()) {
+                FullAcceptQueue never = new FullAcceptQueue()) {
             bench.updateEndpointAndWait(
                     1, fault.equals("refused") ? dead : never.listed(), EngineStage.READY);
             SocketTestSupport.Client client = bench.connectClient().startSession();
--- a/src/test/java/junipercourse/engine/CrossedDialTest.java
+++ b/src/test/java/junipercourse/engine/ConnectRaceTest.java
@@ -35,7 +35,7 @@
  * What happens to an attempt in the very turn of the loop in which its connection has come up,
  * before the loop has seen that: the turn is held until the engine has accepted.
  */
-class CrossedDialTest {
+class ConnectRaceTest {
     private static final int PATIENCE_MS = 3000;
     private final Counters counters = new Counters();
     private final EventLoop loop =
@@ -47,7 +47,7 @@
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<AttemptCompletion> ends = new CopyOnWriteArrayList<>();
 
-    CrossedDialTest() throws Exception {
+    ConnectRaceTest() throws Exception {
         server.setSoTimeout(PATIENCE_MS);
     }
 
--- a/src/test/java/junipercourse/engine/DuplicateResponseTest.java
+++ b/src/test/java/junipercourse/engine/DuplicateResponseTest.java
@@ -85,8 +85,8 @@
     })
     void eachClientGetsItsOwnRows(int kind, long echoMs) throws Exception {
         AtomicInteger posts = new AtomicInteger();
-        EchoEngine e =
-                new EchoEngine(
+        DuplicatingEngine e =
+                new DuplicatingEngine(
                         call -> {
                             boolean first = call.startsWith("POST") && posts.incrementAndGet() == 1;
                             boolean held = call.endsWith("/0");
@@ -133,10 +133,10 @@
         long seed = 20261202;
         Map<String, Long> until = new ConcurrentHashMap<>();
         Random random = new Random(seed);
-        List<EchoEngine> engines = new ArrayList<>();
+        List<DuplicatingEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            EchoEngine e =
-                    new EchoEngine(
+            DuplicatingEngine e =
+                    new DuplicatingEngine(
                             call -> {
                                 if (call.startsWith("DELETE")
                                         || call.startsWith("GET") && !call.endsWith("/0")) {
@@ -204,7 +204,7 @@
                         + served);
         assertEquals(List.of(), faults, "seed " + seed);
         assertTrue(served.get() >= 30, "seed " + seed + ": served " + served);
-        for (EchoEngine e : engines) {
+        for (DuplicatingEngine e : engines) {
             e.close();
         }
     }
--- a/src/test/java/junipercourse/engine/EchoEngine.java
+++ b/src/test/java/junipercourse/engine/DuplicatingEngine.java
@@ -13,12 +13,13 @@
  * An engine that sends answers twice: the second copy goes out after a delay or, if the answer to
  * another call on the connection comes before, right before that.
  */
-final class EchoEngine extends SocketTestSupport.StubEngine {
+final class DuplicatingEngine extends SocketTestSupport.StubEngine {
     private final Map<Socket, Copy> copies = new ConcurrentHashMap<>();
     private final ToLongFunction<String> echoMs;
 
     /** {@code echoMs}: by call, when the copy goes out at the latest; none below 0. */
-    EchoEngine(Function<String, String> script, ToLongFunction<String> echoMs) throws IOException {
+    DuplicatingEngine(Function<String, String> script, ToLongFunction<String> echoMs)
+            throws IOException {
         super(script);
         this.echoMs = echoMs;
     }
--- a/src/test/java/junipercourse/engine/EngineRequestBytesTest.java
+++ b/src/test/java/junipercourse/engine/EngineRequestEncoderTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Holds the bytes of the calls to engines. */
-class EngineRequestBytesTest {
+class EngineRequestEncoderTest {
     private static String text(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
--- a/src/test/java/junipercourse/engine/FullQueue.java
+++ b/src/test/java/junipercourse/engine/FullAcceptQueue.java
@@ -16,7 +16,7 @@
  * An engine's address at which no connection comes up until it is opened: its accept queue is full,
  * and the system answers no further SYN. A client's system tries again a second after its first.
  */
-final class FullQueue implements Closeable {
+final class FullAcceptQueue implements Closeable {
     private static final int FILL_MS = 100;
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> parked = new ArrayList<>();
@@ -28,7 +28,7 @@
                 }
             };
 
-    FullQueue() throws IOException {
+    FullAcceptQueue() throws IOException {
         while (true) {
             Socket s = new Socket();
             try {
--- a/src/test/java/junipercourse/engine/HttpResponseParserTest.java
+++ b/src/test/java/junipercourse/engine/HttpResponseParserTest.java
@@ -34,7 +34,7 @@
                 "HTTP/1.1 202 A~Content-Length: 0~~HTTP/1.1 204 B~~ | 202 '' true 204 '' true"
             })
     void readsResponsesInAnyPieces(String text, String expected)
-            throws HttpResponseParser.GarbledException {
+            throws HttpResponseParser.MalformedResponseException {
         byte[] bytes = unescaped(text).getBytes(StandardCharsets.ISO_8859_1);
         for (int piece = 1; piece <= bytes.length; piece++) {
             HttpResponseParser parser = new HttpResponseParser();
@@ -82,7 +82,8 @@
     void garbledBytesAreTold(String text) {
         ByteBuffer in = ByteBuffer.wrap(unescaped(text).getBytes(StandardCharsets.ISO_8859_1));
         assertThrows(
-                HttpResponseParser.GarbledException.class, () -> new HttpResponseParser().read(in));
+                HttpResponseParser.MalformedResponseException.class,
+                () -> new HttpResponseParser().read(in));
     }
 
     /**
@@ -112,7 +113,7 @@
         parser.read(ByteBuffer.wrap(unescaped(begins).getBytes(StandardCharsets.ISO_8859_1)));
         int[] fed = {begins.length()};
         assertThrows(
-                HttpResponseParser.GarbledException.class,
+                HttpResponseParser.MalformedResponseException.class,
                 () -> {
                     for (int i = 0; fed[0] < 2 * HttpResponseParser.MAX_ANSWER; i++) {
                         byte[] more =
@@ -157,7 +158,7 @@
             })
     void readsLoadReportsWholeOrNotAtAll(String text, String expected) {
         float[] got =
-                new EngineClient.GaugeReader(List.of(LoadMetric.QUEUED, LoadMetric.BUSY))
+                new EngineClient.LoadReportReader(List.of(LoadMetric.QUEUED, LoadMetric.BUSY))
                         .read(text);
         float[] want = new float[expected.isEmpty() ? 0 : 2];
         for (int i = 0; i < want.length; i++) {
--- a/src/test/java/junipercourse/engine/LateConnectionTest.java
+++ b/src/test/java/junipercourse/engine/LateConnectionTest.java
@@ -32,7 +32,7 @@
     @Test
     void aConnectionWithinTheSettingsTimeCarriesItsQuery() throws Exception {
         try (SocketTestSupport bench = bench("\"dial_timeout_s\":3.0");
-                FullQueue late = new FullQueue()) {
+                FullAcceptQueue late = new FullAcceptQueue()) {
             bench.updateEndpointAndWait(1, late.listed(), EngineStage.READY);
             Client client = bench.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
@@ -67,7 +67,7 @@
     @Test
     void oneThatNeverComesUpLeavesTheQueryToOthers() throws Exception {
         try (SocketTestSupport bench = bench("\"dial_timeout_s\":0.8");
-                FullQueue never = new FullQueue()) {
+                FullAcceptQueue never = new FullAcceptQueue()) {
             bench.updateEndpointAndWait(1, never.listed(), EngineStage.READY);
             Client client = bench.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
--- a/src/test/java/junipercourse/engine/MalformedResponseTest.java
+++ b/src/test/java/junipercourse/engine/MalformedResponseTest.java
@@ -60,10 +60,10 @@
      * One whose answers are spoilt by a word before them: {@code end} closes, the others go on for
      * good.
      */
-    private static final class SpoiltEngine extends StubEngine {
+    private static final class MalformedEngine extends StubEngine {
         private final AtomicLong sent = new AtomicLong();
 
-        SpoiltEngine(Function<String, String> script) throws IOException {
+        MalformedEngine(Function<String, String> script) throws IOException {
             super(script);
         }
 
@@ -94,9 +94,9 @@
         }
     }
 
-    private SpoiltEngine engine(Function<String, String> script) throws IOException {
-        SpoiltEngine e =
-                new SpoiltEngine(
+    private MalformedEngine engine(Function<String, String> script) throws IOException {
+        MalformedEngine e =
+                new MalformedEngine(
                         call -> call.startsWith("DELETE") ? CANCELLED : script.apply(call));
         bench.updateEndpointAndWait(1, e, EngineStage.READY);
         return e;
@@ -119,7 +119,7 @@
                 HEAD + "Content-Length: +12~~a\tb\tc\nd\te\tf\n"
             })
     void whatNeverEndsIsToldAtItsBoundAndAskedForAgain(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
+        try (MalformedEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
             assertEquals(
                     SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
             assertEquals(1, e.countCalls("POST"));
@@ -151,7 +151,7 @@
                 CHUNKS + "0~"
             })
     void whatStopsOrDribblesCostsTheTimeOfOneCall(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
+        try (MalformedEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
             Client client = bench.connectClient().startSession();
             long from = System.nanoTime();
             assertEquals(SERVED, client.query(query("load", 1, 9000)));
@@ -178,7 +178,7 @@
                 CHUNKS + "6~a\tb\tc\n~0~~d\te\tf\n"
             })
     void partOfAResultIsNeverToldAsAll(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
+        try (MalformedEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
             assertEquals(
                     SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
             assertEquals(1, e.countCalls("POST"));
@@ -200,7 +200,7 @@
             })
     void aSpoiltPageIsGotAgain(String spoilt) throws Exception {
         AtomicLong pages = new AtomicLong();
-        try (SpoiltEngine e =
+        try (MalformedEngine e =
                 engine(
                         call ->
                                 call.startsWith("POST")
@@ -227,7 +227,7 @@
     })
     void aResultPastItsBoundsIsAnErrorAndNoRow(String kind, int pages, int size) throws Exception {
         String row = "a\tb\t" + "c".repeat(size - 5) + "\n";
-        try (SpoiltEngine e =
+        try (MalformedEngine e =
                 engine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: "
@@ -255,7 +255,7 @@
     @Test
     void theLargestResultPassesWhole() throws Exception {
         String row = "a\tb\t" + "c".repeat(5994) + "\n";
-        try (SpoiltEngine e =
+        try (MalformedEngine e =
                 engine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: 5999~"
