--- a/src/test/java/junipercourse/discovery/EndpointOrderTest.java
+++ b/src/test/java/junipercourse/discovery/EndpointOrderTest.java
@@ -57,6 +57,7 @@
         return watcher;
     }
 
+    /** Formats {@code w2}, {@code c2} or {@code n2} as full, delta or empty frame of event 2. */
     private static String formatFrame(String shorthand) {
         String offset = shorthand.substring(1);
         return (shorthand.startsWith("w")
