--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -7,101 +7,102 @@
 
 /** Gives an attempt up: has its engine delete the query, and waits until that is proven. */
 final class AttemptCancellation {
-    private static final double ASK_AGAIN_S = 0.1;
-    private static final int DELETED = 204;
+    private static final double RETRY_DELAY_SECONDS = 0.1;
+    private static final int STATUS_DELETED = 204;
 
     private final EventLoop loop;
     private final Query query;
-    private final AttemptConnections calls;
-    private final AttemptLiveness evidence;
-    private final Runnable done;
-    private DeadlineQueue.Entry forgotten;
+    private final AttemptConnections connections;
+    private final AttemptLiveness liveness;
+    private final Runnable onQueryStopped;
+    private DeadlineQueue.Entry expiryTimer;
 
     /** {@code done} is run once the engine surely does not run the query any more. */
     AttemptCancellation(
             EventLoop loop,
             Query query,
-            AttemptConnections calls,
-            AttemptLiveness evidence,
-            Runnable done) {
+            AttemptConnections connections,
+            AttemptLiveness liveness,
+            Runnable onQueryStopped) {
         this.loop = loop;
         this.query = query;
-        this.calls = calls;
-        this.evidence = evidence;
-        this.done = done;
+        this.connections = connections;
+        this.liveness = liveness;
+        this.onQueryStopped = onQueryStopped;
     }
 
     /**
      * Begins, after something was written. {@code overtake} is what a call that is reset may still
      * need.
      */
-    void begin(double overtake) {
-        if (evidence
+    void begin(double deliveryMarginSeconds) {
+        if (liveness
                 .hasEngineResponded()) { // a silent engine's connection is not kept for its answer
-            calls.dropIgnored(AttemptConnections.ANSWER_S);
-            delete();
+            connections.abortIgnored(AttemptConnections.RESPONSE_TIMEOUT_SECONDS);
+            sendDelete();
         } else { // guards against a DELETE that overtakes its POST and leaves the query running
-            calls.dropIgnored(0);
-            calls.later(overtake, this::delete);
+            connections.abortIgnored(0);
+            connections.schedule(deliveryMarginSeconds, this::sendDelete);
         }
-        untilForgotten();
+        waitForExpiry();
     }
 
     /** The attempt is over. */
-    void end() {
-        loop.cancel(forgotten);
+    void stop() {
+        loop.cancel(expiryTimer);
     }
 
     /** If nobody answers, the query is surely gone once it has not been asked for long enough. */
-    private void untilForgotten() {
+    private void waitForExpiry() {
         double now = loop.now();
-        double gone = evidence.latestExpiryTime();
-        if (gone <= now) {
-            done.run();
+        double expiresAt = liveness.latestExpiryTime();
+        if (expiresAt <= now) {
+            onQueryStopped.run();
         } else { // a call that is on its way is dropped within the time for its answer
-            forgotten =
+            expiryTimer =
                     loop.scheduleAt(
-                            Math.min(gone, now + AttemptConnections.ANSWER_S),
-                            this::untilForgotten);
+                            Math.min(expiresAt, now + AttemptConnections.RESPONSE_TIMEOUT_SECONDS),
+                            this::waitForExpiry);
         }
     }
 
-    private void delete() {
-        calls.run(EngineRequestEncoder.bare("DELETE", query, ""), new Delete(), false);
+    private void sendDelete() {
+        connections.makeCall(
+                EngineRequestEncoder.encodeWithoutBody("DELETE", query, ""), new Delete(), false);
     }
 
     private final class Delete extends AttemptConnections.Step {
         Delete() {
-            super(calls);
+            super(connections);
         }
 
         /** Asking the engine to forget a query does not keep it alive. */
         @Override
         public boolean mayWrite() {
-            begins();
+            markWriteStarted();
             return true;
         }
 
         @Override
-        public boolean proves(HttpResponse response) {
-            return response.status() == DELETED;
+        public boolean matchesOnlyThisCall(HttpResponse response) {
+            return response.status() == STATUS_DELETED;
         }
 
         /** Nothing but its 204 proves it: another answer may be a copy of an earlier one. */
         @Override
-        void told(HttpResponse response, boolean sure) {
-            if (response.status() == DELETED) {
-                done.run();
+        void handleResponse(HttpResponse response, boolean isUnambiguous) {
+            if (response.status() == STATUS_DELETED) {
+                onQueryStopped.run();
             } else {
-                calls.reset();
-                failed();
+                connections.resetIdle();
+                handleFailure();
             }
         }
 
         /** Tried until it is answered or the query is forgotten: until then it may run. */
         @Override
-        void failed() {
-            calls.later(ASK_AGAIN_S, AttemptCancellation.this::delete);
+        void handleFailure() {
+            connections.schedule(RETRY_DELAY_SECONDS, AttemptCancellation.this::sendDelete);
         }
 
         /**
@@ -109,8 +110,8 @@
          * connections.
          */
         @Override
-        public void unreachable(boolean refused) {
-            failed();
+        public void onUnreachable(boolean refused) {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -13,56 +13,59 @@
  */
 final class AttemptConnections implements EngineConnection.Owner {
     /** The engine answers each call within a quarter of a second; one this late is lost. */
-    static final double ANSWER_S = 0.6;
+    static final double RESPONSE_TIMEOUT_SECONDS = 0.6;
 
     /**
      * Before a connection is used again: what an engine sends right behind an answer has come by
      * then.
      */
-    static final double REST_S = 0.002;
+    static final double REUSE_DELAY_SECONDS = 0.002;
 
     private final EventLoop loop;
     private final EnginePool pool;
-    private final AttemptLiveness evidence;
+    private final AttemptLiveness liveness;
     private HttpCall call;
-    private Step waiting;
-    private HttpCall ignored;
-    private EngineConnection kept;
-    private boolean ended;
+    private Step listener;
+    private HttpCall ignoredCall;
+    private EngineConnection idleConnection;
+    private boolean isClosed;
     private DeadlineQueue.Entry timer;
 
-    AttemptConnections(EventLoop loop, EnginePool pool, AttemptLiveness evidence) {
+    AttemptConnections(EventLoop loop, EnginePool pool, AttemptLiveness liveness) {
         this.loop = loop;
         this.pool = pool;
-        this.evidence = evidence;
+        this.liveness = liveness;
     }
 
     /** Makes a call on the connection that is kept, if that is usable, or on a new one. */
-    void run(byte[] request, Step step, boolean starts) {
-        run(() -> request, step, starts);
+    void makeCall(byte[] request, Step callListener, boolean startsQuery) {
+        makeCall(() -> request, callListener, startsQuery);
     }
 
     /**
      * Makes the call that starts the query, whose bytes tell of the moment when the first of them
      * leaves.
      */
-    void start(Supplier<byte[]> request, Step step) {
-        run(request, step, true);
+    void makeStartCall(Supplier<byte[]> request, Step callListener) {
+        makeCall(request, callListener, true);
     }
 
-    private void run(Supplier<byte[]> request, Step step, boolean starts) {
-        HttpCall mine = new HttpCall(request, step);
-        call = mine;
-        waiting = step;
+    private void makeCall(Supplier<byte[]> request, Step callListener, boolean startsQuery) {
+        HttpCall newCall = new HttpCall(request, callListener);
+        call = newCall;
+        listener = callListener;
         // A new query's connection comes up within the settings' time or never; then it goes
         // elsewhere.
-        await(starts ? ANSWER_S + pool.dialTimeout() : ANSWER_S);
-        EngineConnection reused = kept;
-        kept = null;
-        if (reused != null && reused.usable()) {
-            mine.run(reused);
+        armResponseTimer(
+                startsQuery
+                        ? RESPONSE_TIMEOUT_SECONDS + pool.dialTimeoutSeconds()
+                        : RESPONSE_TIMEOUT_SECONDS);
+        EngineConnection reusable = idleConnection;
+        idleConnection = null;
+        if (reusable != null && reusable.checkReusable()) {
+            newCall.writeOn(reusable);
         } else {
-            pool.call(mine, starts, this);
+            pool.callOnNewConnection(newCall, startsQuery, this);
         }
     }
 
@@ -70,40 +73,40 @@
      * Waits so long for the call that is out; its first byte begins that anew, as its answer's
      * time.
      */
-    private void await(double seconds) {
-        HttpCall mine = call;
-        Step step = waiting;
-        later(
+    private void armResponseTimer(double seconds) {
+        HttpCall timedCall = call;
+        Step timedListener = listener;
+        schedule(
                 seconds,
                 () -> {
-                    mine.drop();
-                    step.failed();
+                    timedCall.abort();
+                    timedListener.handleFailure();
                 });
     }
 
     @Override
-    public void free(EngineConnection connection) {
-        if (ended || kept != null) {
+    public void onReusable(EngineConnection connection) {
+        if (isClosed || idleConnection != null) {
             connection.close();
         } else {
-            kept = connection;
+            idleConnection = connection;
         }
     }
 
     /**
      * Resets the connection that is kept: what came there last may be no answer to the last call.
      */
-    void reset() {
-        if (kept != null) {
-            kept.abort();
-            kept = null;
+    void resetIdle() {
+        if (idleConnection != null) {
+            idleConnection.abort();
+            idleConnection = null;
         }
     }
 
     /** Does something later instead of waiting for an answer. */
-    void later(double delay, Runnable task) {
+    void schedule(double delaySeconds, Runnable task) {
         loop.cancel(timer);
-        timer = loop.scheduleAfter(delay, task);
+        timer = loop.scheduleAfter(delaySeconds, task);
     }
 
     /** Waits for nothing any more; the last call, if there was one, hears no more of its answer. */
@@ -111,21 +114,21 @@
         loop.cancel(timer);
         if (call != null) {
             call.ignore();
-            ignored = call;
+            ignoredCall = call;
         }
     }
 
     /** Resets the connection of the ignored call, after a delay only if it has no answer then. */
-    void dropIgnored(double delay) {
-        if (delay > 0) {
-            loop.scheduleAfter(delay, ignored::drop);
+    void abortIgnored(double delaySeconds) {
+        if (delaySeconds > 0) {
+            loop.scheduleAfter(delaySeconds, ignoredCall::abort);
         } else {
-            ignored.drop();
+            ignoredCall.abort();
         }
     }
 
     /** Whether a call was ever made. */
-    boolean began() {
+    boolean hasMadeCall() {
         return call != null;
     }
 
@@ -133,35 +136,36 @@
      * The attempt is over: closes its connections, with a reset where a call may still be on its
      * way.
      */
-    void end() {
-        ended = true;
+    void close() {
+        isClosed = true;
         loop.cancel(timer);
-        if (ignored != null) {
-            ignored.drop();
+        if (ignoredCall != null) {
+            ignoredCall.abort();
         }
         if (call != null) {
-            call.drop();
+            call.abort();
         }
-        if (kept != null) {
-            kept.close();
+        if (idleConnection != null) {
+            idleConnection.close();
         }
     }
 
     /** What all calls have in common. */
     abstract static class Step implements HttpCall.Listener {
-        private final AttemptConnections calls;
-        private boolean onTheWay;
-        private double writtenAt;
+        private final AttemptConnections connections;
+        private boolean isInTransit;
+        private double writeStartedAt;
 
-        Step(AttemptConnections calls) {
-            this.calls = calls;
+        Step(AttemptConnections connections) {
+            this.connections = connections;
         }
 
         @Override
         public boolean mayWrite() {
-            begins();
-            onTheWay = true;
-            calls.evidence.recordCallStarted(writtenAt, calls.loop.responsiveSeconds());
+            markWriteStarted();
+            isInTransit = true;
+            connections.liveness.recordCallStarted(
+                    writeStartedAt, connections.loop.responsiveSeconds());
             return true;
         }
 
@@ -169,44 +173,44 @@
          * Its first byte is written now: the time that its connection took to come up was none of
          * its.
          */
-        final void begins() {
-            writtenAt = calls.loop.now();
-            calls.await(ANSWER_S);
+        final void markWriteStarted() {
+            writeStartedAt = connections.loop.now();
+            connections.armResponseTimer(RESPONSE_TIMEOUT_SECONDS);
         }
 
         /** Seconds since its first byte. */
-        final double age() {
-            return calls.loop.now() - writtenAt;
+        final double secondsSinceWrite() {
+            return connections.loop.now() - writeStartedAt;
         }
 
         @Override
-        public final void over() {
-            if (onTheWay) {
-                onTheWay = false;
-                calls.evidence.recordCallCompleted(calls.loop.now());
+        public final void onDeliveryEnded() {
+            if (isInTransit) {
+                isInTransit = false;
+                connections.liveness.recordCallCompleted(connections.loop.now());
             }
         }
 
         @Override
-        public final void answered(HttpResponse response, boolean sure) {
-            told(response, sure);
+        public final void onResponse(HttpResponse response, boolean isUnambiguous) {
+            handleResponse(response, isUnambiguous);
         }
 
         @Override
-        public final void broken() {
-            failed();
+        public final void onConnectionBroken() {
+            handleFailure();
         }
 
-        /** The engine has answered; {@code sure} as in {@link HttpCall.Listener#answered}. */
-        abstract void told(HttpResponse response, boolean sure);
+        /** The engine has answered; {@code sure} as in {@link HttpCall.Listener#onResponse}. */
+        abstract void handleResponse(HttpResponse response, boolean isUnambiguous);
 
         /** The call brought nothing readable, and brings nothing more. */
-        abstract void failed();
+        abstract void handleFailure();
 
         /** No room for a connection: like one that broke. */
         @Override
-        public void takenBack() {
-            failed();
+        public void onWithdrawn() {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -16,73 +16,74 @@
  * pages. It is bound to no connection: if one breaks, the news is asked for again on another.
  */
 final class EngineAttempt implements Backend.Attempt {
-    private static final double ASK_AGAIN_S = 0.1;
-    private static final double ASK_AGAIN_FIRST_S = 0.01;
+    private static final double RETRY_DELAY_SECONDS = 0.1;
+    private static final double FIRST_RETRY_DELAY_SECONDS = 0.01;
 
     /**
      * Calls in a row that bring nothing readable, before and after the engine has said anything of
      * it.
      */
-    private static final int BREAKS_UNHEARD = 4;
+    private static final int MAX_FAILURES_WITHOUT_RESPONSE = 4;
 
-    private static final int BREAKS = 12;
+    private static final int MAX_FAILURES = 12;
 
     /** A 202 that comes sooner was not held by the engine; its clock may be a little fast. */
-    private static final double NO_NEWS_S = AttemptLiveness.LONG_POLL_SECONDS - 0.01;
+    private static final double MIN_LONG_POLL_SECONDS = AttemptLiveness.LONG_POLL_SECONDS - 0.01;
 
     /**
      * For what had left before its connection was reset to come in before what follows on another.
      */
-    private static final double OVERTAKE_S = 0.05;
+    private static final double DELIVERY_MARGIN_SECONDS = 0.05;
 
     private final EventLoop loop;
     private final EnginePool pool;
     private final Query query;
-    private final double giveUpAt;
-    private final EngineClient.GaugeReader gauges;
+    private final double deadlineAt;
+    private final EngineClient.GaugeReader loadReports;
     private final Counters counters;
-    private final AttemptListener ending;
+    private final AttemptListener listener;
     private final ResultPages pages = new ResultPages();
-    private final AttemptLiveness evidence = new AttemptLiveness();
-    private final AttemptConnections calls;
-    private final AttemptCancellation givingUp;
+    private final AttemptLiveness liveness = new AttemptLiveness();
+    private final AttemptConnections connections;
+    private final AttemptCancellation cancellation;
     private boolean posted;
-    private int breaks;
-    private AttemptOutcome givenUpAs;
-    private HttpResponse goodEnd;
-    private boolean over;
+    private int failures;
+    private AttemptOutcome abortOutcome;
+    private HttpResponse okResponse;
+    private boolean isCompleted;
 
     EngineAttempt(
             EventLoop loop,
             EnginePool pool,
             Query query,
-            double giveUpAt,
-            EngineClient.GaugeReader gauges,
+            double deadlineAt,
+            EngineClient.GaugeReader loadReports,
             Counters counters,
-            AttemptListener ending) {
+            AttemptListener listener) {
         this.loop = loop;
         this.pool = pool;
         this.query = query;
-        this.giveUpAt = giveUpAt;
-        this.gauges = gauges;
+        this.deadlineAt = deadlineAt;
+        this.loadReports = loadReports;
         this.counters = counters;
-        this.ending = ending;
-        calls = new AttemptConnections(loop, pool, evidence);
-        givingUp =
+        this.listener = listener;
+        connections = new AttemptConnections(loop, pool, liveness);
+        cancellation =
                 new AttemptCancellation(
                         loop,
                         query,
-                        calls,
-                        evidence,
-                        () -> end(AttemptCompletion.withOutcome(givenUpAs)));
+                        connections,
+                        liveness,
+                        () -> complete(AttemptCompletion.withOutcome(abortOutcome)));
     }
 
     void start() {
-        if (givenUpAs == null) {
-            calls.start(
+        if (abortOutcome == null) {
+            connections.makeStartCall(
                     () ->
-                            EngineRequestEncoder.post(
-                                    query, Math.max(1, Math.round((giveUpAt - loop.now()) * 1000))),
+                            EngineRequestEncoder.encodePost(
+                                    query,
+                                    Math.max(1, Math.round((deadlineAt - loop.now()) * 1000))),
                     new Start());
         }
     }
@@ -90,17 +91,17 @@
     /** A call that is answered with news. */
     private abstract class Asking extends AttemptConnections.Step {
         Asking() {
-            super(calls);
+            super(connections);
         }
 
         @Override
-        public final boolean proves(HttpResponse response) {
+        public final boolean matchesOnlyThisCall(HttpResponse response) {
             return response.status() != 202;
         }
 
         @Override
-        void told(HttpResponse response, boolean sure) {
-            news(response, sure || age() > NO_NEWS_S);
+        void handleResponse(HttpResponse response, boolean isUnambiguous) {
+            handleState(response, isUnambiguous || secondsSinceWrite() > MIN_LONG_POLL_SECONDS);
         }
     }
 
@@ -112,43 +113,43 @@
         @Override
         public boolean mayWrite() {
             posted =
-                    ending.maySendRequest()
-                            && pool.ready()
-                            && givenUpAs == null
+                    listener.maySendRequest()
+                            && pool.isReady()
+                            && abortOutcome == null
                             && super.mayWrite();
             return posted;
         }
 
         @Override
-        public void written() {
-            ending.onRequestWritten();
+        public void onWritten() {
+            listener.onRequestWritten();
         }
 
         @Override
-        public void unreachable(boolean refused) {
-            end(AttemptCompletion.withOutcome(AttemptOutcome.UNREACHABLE));
+        public void onUnreachable(boolean refused) {
+            complete(AttemptCompletion.withOutcome(AttemptOutcome.UNREACHABLE));
         }
 
         /** It may have run and may be running: only the engine can tell. */
         @Override
-        void failed() {
+        void handleFailure() {
             if (posted) {
-                askAgain();
+                retryPoll();
             } else { // no room for a connection in all that time, or facts that have changed
-                end(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT));
+                complete(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT));
             }
         }
     }
 
     private final class Poll extends Asking {
         @Override
-        void failed() {
-            askAgain();
+        void handleFailure() {
+            retryPoll();
         }
 
         @Override
-        public void unreachable(boolean refused) {
-            askAgain(); // a process that lives refuses connections, too, past its own limit
+        public void onUnreachable(boolean refused) {
+            retryPoll(); // a process that lives refuses connections, too, past its own limit
         }
     }
 
@@ -157,127 +158,145 @@
      * ever closes cannot read this query, or has nothing to tell: it is given up, since it may have
      * run.
      */
-    private void askAgain() {
+    private void retryPoll() {
         counters.increment(Count.ENGINES_ASKED_AGAIN);
-        breaks++;
-        switch (evidence.assessUnansweredCall(loop.now(), loop.responsiveSeconds())) {
-            case ENGINE_LOST -> end(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
-            case NOT_POLLED -> leftAlone();
+        failures++;
+        switch (liveness.assessUnansweredCall(loop.now(), loop.responsiveSeconds())) {
+            case ENGINE_LOST -> complete(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
+            case NOT_POLLED -> completeNotPolled();
             default -> {
-                if (breaks >= (evidence.hasEngineResponded() ? BREAKS : BREAKS_UNHEARD)) {
+                if (failures
+                        >= (liveness.hasEngineResponded()
+                                ? MAX_FAILURES
+                                : MAX_FAILURES_WITHOUT_RESPONSE)) {
                     abort(AttemptOutcome.ERROR);
                 } else {
-                    double first = evidence.hasEngineResponded() ? ASK_AGAIN_FIRST_S : OVERTAKE_S;
-                    calls.later(breaks == 1 ? first : ASK_AGAIN_S, this::poll);
+                    double firstDelay =
+                            liveness.hasEngineResponded()
+                                    ? FIRST_RETRY_DELAY_SECONDS
+                                    : DELIVERY_MARGIN_SECONDS;
+                    connections.schedule(
+                            failures == 1 ? firstDelay : RETRY_DELAY_SECONDS, this::poll);
                 }
             }
         }
     }
 
     /** The engine dropped it because we were not there to ask: as if we had called it off. */
-    private void leftAlone() {
+    private void completeNotPolled() {
         counters.increment(Count.ATTEMPTS_LEFT_ALONE);
-        end(AttemptCompletion.withOutcome(AttemptOutcome.CANCELLED));
+        complete(AttemptCompletion.withOutcome(AttemptOutcome.CANCELLED));
     }
 
     private void poll() {
-        calls.run(EngineRequestEncoder.bare("GET", query, "/0"), new Poll(), false);
+        connections.makeCall(
+                EngineRequestEncoder.encodeWithoutBody("GET", query, "/0"), new Poll(), false);
     }
 
     /**
      * What may be a copy is news nevertheless: it is about this query, and only a 202 can be one,
      * since whatever else is told ends the asking. But then its call is still on its way.
      */
-    private void news(HttpResponse response, boolean trusted) {
-        boolean leftAlone = evidence.mayHaveExpiredUnpolled();
+    private void handleState(HttpResponse response, boolean isTrusted) {
+        boolean mayHaveExpired = liveness.mayHaveExpiredUnpolled();
         boolean neverRan = "1".equals(response.header("x-unrun"));
         switch (response.status()) {
-            case 200 -> goodEnd(response);
-            case 202 -> stillRuns(trusted);
+            case 200 -> handleOk(response);
+            case 202 -> handleRunning(isTrusted);
             case 503 ->
-                    end(plain(neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, response));
+                    complete(
+                            withLoadReport(
+                                    neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
+                                    response));
             case 504 ->
-                    end(plain(neverRan ? AttemptOutcome.OBSOLETE : AttemptOutcome.ERROR, response));
+                    complete(
+                            withLoadReport(
+                                    neverRan ? AttemptOutcome.OBSOLETE : AttemptOutcome.ERROR,
+                                    response));
             case 500 -> {
-                if (leftAlone) {
-                    leftAlone();
+                if (mayHaveExpired) {
+                    completeNotPolled();
                 } else {
-                    end(plain(AttemptOutcome.ERROR, response));
+                    complete(withLoadReport(AttemptOutcome.ERROR, response));
                 }
             }
-            default -> spoilt(); // such as 204, which answers no call for news: no proof of an end
+            default ->
+                    handleMalformed(); // such as 204, which answers no call for news: no proof of
+                // an end
         }
     }
 
     /** One that came too soon, where another came before: the next call goes elsewhere. */
-    private void stillRuns(boolean trusted) {
-        if (trusted) {
-            evidence.recordResponse();
-            breaks = 0;
+    private void handleRunning(boolean isTrusted) {
+        if (isTrusted) {
+            liveness.recordResponse();
+            failures = 0;
         } else {
-            calls.reset();
+            connections.resetIdle();
         }
-        calls.later(AttemptConnections.REST_S, this::poll);
+        connections.schedule(AttemptConnections.REUSE_DELAY_SECONDS, this::poll);
     }
 
-    private void spoilt() {
+    private void handleMalformed() {
         counters.increment(Count.ENGINES_GARBLED);
-        calls.reset();
-        askAgain();
+        connections.resetIdle();
+        retryPoll();
     }
 
-    private AttemptCompletion plain(AttemptOutcome outcome, HttpResponse response) {
+    private AttemptCompletion withLoadReport(AttemptOutcome outcome, HttpResponse response) {
         return new AttemptCompletion(
-                outcome, gauges.read(response.header("x-gauges")), 0, 0, List.of());
+                outcome, loadReports.read(response.header("x-gauges")), 0, 0, List.of());
     }
 
-    private void goodEnd(HttpResponse response) {
-        evidence.recordResponse();
-        goodEnd = response;
-        if (pages.first(response)) {
-            new ResultPageFetcher(query, pages, calls, evidence, counters, this::pagesDone).next();
+    private void handleOk(HttpResponse response) {
+        liveness.recordResponse();
+        okResponse = response;
+        if (pages.addFirst(response)) {
+            new ResultPageFetcher(
+                            query, pages, connections, liveness, counters, this::onPagesFetched)
+                    .fetchNext();
         } else {
-            spoilt();
+            handleMalformed();
         }
     }
 
-    private void pagesDone(boolean whole) {
-        if (whole) {
-            end(
+    private void onPagesFetched(boolean isComplete) {
+        if (isComplete) {
+            complete(
                     new AttemptCompletion(
                             AttemptOutcome.OK,
-                            gauges.read(goodEnd.header("x-gauges")),
-                            goodEnd.decimal("x-effort") / 1000,
-                            goodEnd.decimal("x-footprint"),
-                            pages.all()));
-        } else if (evidence.mayHaveExpiredUnpolled()) {
-            leftAlone();
+                            loadReports.read(okResponse.header("x-gauges")),
+                            okResponse.decimalHeader("x-effort") / 1000,
+                            okResponse.decimalHeader("x-footprint"),
+                            pages.toList()));
+        } else if (liveness.mayHaveExpiredUnpolled()) {
+            completeNotPolled();
         } else {
-            end(plain(AttemptOutcome.ERROR, goodEnd));
+            complete(withLoadReport(AttemptOutcome.ERROR, okResponse));
         }
     }
 
     @Override
-    public void abort(AttemptOutcome as) {
-        if (over || givenUpAs != null) {
+    public void abort(AttemptOutcome outcome) {
+        if (isCompleted || abortOutcome != null) {
             return;
         }
-        givenUpAs = as;
-        calls.ignore();
-        if (!calls.began() || !posted) { // nothing was written
-            loop.execute(() -> end(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
+        abortOutcome = outcome;
+        connections.ignore();
+        if (!connections.hasMadeCall() || !posted) { // nothing was written
+            loop.execute(() -> complete(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
             return;
         }
-        givingUp.begin(OVERTAKE_S);
+        cancellation.begin(DELIVERY_MARGIN_SECONDS);
     }
 
     /** The one place where an attempt ends. */
-    private void end(AttemptCompletion end) {
-        if (!over) {
-            over = true;
-            givingUp.end();
-            calls.end();
-            ending.onCompleted(end);
+    private void complete(AttemptCompletion completion) {
+        if (!isCompleted) {
+            isCompleted = true;
+            cancellation.stop();
+            connections.close();
+            listener.onCompleted(completion);
         }
     }
 }
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -23,9 +23,9 @@
 /** The engines by id, each with what opens its connections; starts fetches on them. */
 public final class EngineClient implements Backend {
     private final EventLoop loop;
-    private final double dialTimeout;
+    private final double dialTimeoutSeconds;
     private final Counters counters;
-    private final GaugeReader gauges;
+    private final GaugeReader loadReports;
     private final EnginePool.Budget budget;
     private final Map<EngineId, EnginePool> pools = new HashMap<>();
 
@@ -37,38 +37,38 @@
             Counters counters) {
         this.budget = new EnginePool.Budget(loop, share);
         this.loop = loop;
-        this.dialTimeout =
+        this.dialTimeoutSeconds =
                 settings.limits().connectTimeoutSeconds() > 0
                         ? settings.limits().connectTimeoutSeconds()
                         : 1;
         this.counters = counters;
-        this.gauges = new GaugeReader(settings.loadMetrics());
+        this.loadReports = new GaugeReader(settings.loadMetrics());
     }
 
     @Override
-    public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> members) {
-        Set<EngineId> named = new HashSet<>();
-        for (EngineEndpoint m : members) {
-            EngineListing e = m.engine();
-            named.add(e.id());
-            if (e.stage() == EngineStage.GONE) {
-                retire(e.id());
+    public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
+        Set<EngineId> listedIds = new HashSet<>();
+        for (EngineEndpoint endpoint : endpoints) {
+            EngineListing engine = endpoint.engine();
+            listedIds.add(engine.id());
+            if (engine.stage() == EngineStage.GONE) {
+                retire(engine.id());
                 continue;
             }
-            EnginePool pool = pools.get(e.id());
-            if (pool != null && !pool.isOf(m)) {
-                retire(e.id());
+            EnginePool pool = pools.get(engine.id());
+            if (pool != null && !pool.matches(endpoint)) {
+                retire(engine.id());
                 pool = null;
             }
             if (pool == null) {
-                pool = new EnginePool(loop, m, dialTimeout, budget, counters);
-                pools.put(e.id(), pool);
+                pool = new EnginePool(loop, endpoint, dialTimeoutSeconds, budget, counters);
+                pools.put(engine.id(), pool);
             }
-            pool.ready(e.stage() == EngineStage.READY);
+            pool.setReady(engine.stage() == EngineStage.READY);
         }
         if (kind == EndpointUpdateKind.FULL || kind == EndpointUpdateKind.CACHED) {
             List.copyOf(pools.keySet()).stream()
-                    .filter(id -> !named.contains(id))
+                    .filter(id -> !listedIds.contains(id))
                     .forEach(this::retire);
         }
     }
@@ -77,62 +77,62 @@
     private void retire(EngineId id) {
         EnginePool pool = pools.remove(id);
         if (pool != null) {
-            pool.ready(false);
+            pool.setReady(false);
         }
     }
 
     @Override
     public Attempt startAttempt(
-            EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
+            EngineId engine, Query query, double deadlineAt, AttemptListener listener) {
         EnginePool pool = pools.get(engine);
-        if (pool == null || !pool.ready()) {
+        if (pool == null || !pool.isReady()) {
             loop.execute(
                     () ->
-                            ending.onCompleted(
+                            listener.onCompleted(
                                     AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
-            return as -> {};
+            return outcome -> {};
         }
-        EngineAttempt fetch =
-                new EngineAttempt(loop, pool, query, giveUpAt, gauges, counters, ending);
-        loop.execute(fetch::start);
-        return fetch;
+        EngineAttempt attempt =
+                new EngineAttempt(loop, pool, query, deadlineAt, loadReports, counters, listener);
+        loop.execute(attempt::start);
+        return attempt;
     }
 
     /**
      * Reads load reports such as {@code inflight:7;util:0.61} in the order that the settings name.
      */
     static final class GaugeReader {
-        private static final float[] NONE = {};
-        private final List<LoadMetric> fields;
+        private static final float[] EMPTY = {};
+        private final List<LoadMetric> metrics;
 
-        GaugeReader(List<LoadMetric> fields) {
-            this.fields = fields;
+        GaugeReader(List<LoadMetric> metrics) {
+            this.metrics = metrics;
         }
 
         /** The values, or none if one is missing or no number: half a report would mislead. */
         float[] read(String text) {
             if (text == null) {
-                return NONE;
+                return EMPTY;
             }
-            float[] values = new float[fields.size()];
+            float[] values = new float[metrics.size()];
             Arrays.fill(values, Float.NaN);
-            for (String part : text.split(";")) {
-                int colon = part.indexOf(':');
-                LoadMetric field = colon < 0 ? null : field(part.substring(0, colon).trim());
-                int at = field == null ? -1 : fields.indexOf(field);
-                if (at >= 0) {
-                    values[at] = number(part.substring(colon + 1));
+            for (String entry : text.split(";")) {
+                int colon = entry.indexOf(':');
+                LoadMetric metric = colon < 0 ? null : toMetric(entry.substring(0, colon).trim());
+                int index = metric == null ? -1 : metrics.indexOf(metric);
+                if (index >= 0) {
+                    values[index] = parseValue(entry.substring(colon + 1));
                 }
             }
-            for (float v : values) {
-                if (!(v >= 0 && v < Float.POSITIVE_INFINITY)) {
-                    return NONE;
+            for (float value : values) {
+                if (!(value >= 0 && value < Float.POSITIVE_INFINITY)) {
+                    return EMPTY;
                 }
             }
             return values;
         }
 
-        private static float number(String text) {
+        private static float parseValue(String text) {
             try {
                 return Float.parseFloat(text.trim());
             } catch (NumberFormatException e) {
@@ -140,7 +140,7 @@
             }
         }
 
-        private static LoadMetric field(String name) {
+        private static LoadMetric toMetric(String name) {
             return switch (name) {
                 case "inflight", "rif" -> LoadMetric.IN_FLIGHT;
                 case "queue", "q" -> LoadMetric.QUEUED;
--- a/src/main/java/junipercourse/engine/EngineConnection.java
+++ b/src/main/java/junipercourse/engine/EngineConnection.java
@@ -18,7 +18,7 @@
     /** The attempt that a connection serves. */
     interface Owner {
         /** The call on it is answered, and it can serve another. */
-        void free(EngineConnection connection);
+        void onReusable(EngineConnection connection);
     }
 
     private final EventLoop loop;
@@ -26,21 +26,21 @@
     private final Owner owner;
     private final Counters counters;
     private final HttpResponseParser parser = new HttpResponseParser();
-    private final Connection link;
+    private final Connection connection;
     private HttpCall call;
-    private boolean written;
+    private boolean isWritten;
 
     /**
      * Calls of which no answer proves that they have arrived. At most those that one attempt makes.
      */
-    private final List<HttpCall> unproven = new ArrayList<>();
+    private final List<HttpCall> unconfirmedCalls = new ArrayList<>();
 
-    private boolean hasAnswered;
-    private boolean left;
+    private boolean hasResponded;
+    private boolean isClosed;
 
     EngineConnection(
             EventLoop loop,
-            StreamConnection connection,
+            StreamConnection stream,
             EnginePool pool,
             Owner owner,
             Counters counters) {
@@ -48,18 +48,18 @@
         this.pool = pool;
         this.owner = owner;
         this.counters = counters;
-        this.link = new Connection(loop, connection, this);
+        this.connection = new Connection(loop, stream, this);
     }
 
     /**
      * Whether another call can go here. What came since the last answer is to nothing: it is closed
      * then.
      */
-    boolean usable() {
-        if (left) {
+    boolean checkReusable() {
+        if (isClosed) {
             return false;
         }
-        if (!link.isOpenWithoutInput()) {
+        if (!connection.isOpenWithoutInput()) {
             counters.increment(Count.ENGINES_GARBLED);
             close();
             return false;
@@ -69,24 +69,24 @@
 
     /** Whether it has neither been closed nor broken. */
     boolean isOpen() {
-        return !left;
+        return !isClosed;
     }
 
-    void write(HttpCall next, byte[] request) {
-        unproven.add(next);
-        call = next;
-        written = false;
-        link.write(request);
-        if (link.unsentBytes() == 0) {
+    void write(HttpCall nextCall, byte[] request) {
+        unconfirmedCalls.add(nextCall);
+        call = nextCall;
+        isWritten = false;
+        connection.write(request);
+        if (connection.unsentBytes() == 0) {
             flushed();
         }
     }
 
     @Override
     public void flushed() {
-        if (call != null && !written) {
-            written = true;
-            call.written();
+        if (call != null && !isWritten) {
+            isWritten = true;
+            call.markWritten();
         }
     }
 
@@ -100,35 +100,36 @@
             if (response == null || call == null) {
                 throw new HttpResponseParser.GarbledException("an answer to nothing");
             }
-            if (bytes.hasRemaining() && HttpResponseParser.rowsFollow(bytes)) {
+            if (bytes.hasRemaining() && HttpResponseParser.containsRows(bytes)) {
                 throw new HttpResponseParser.GarbledException("rows behind the length told");
             }
-            answered(response, bytes.hasRemaining());
+            completeCall(response, bytes.hasRemaining());
         } catch (HttpResponseParser.GarbledException e) {
             counters.increment(Count.ENGINES_GARBLED);
-            Logger.warn("engine {}: {}; the connection is closed", pool.name(), e.getMessage());
-            link.close();
+            Logger.warn(
+                    "engine {}: {}; the connection is closed", pool.engineName(), e.getMessage());
+            connection.close();
             disconnected(); // the call on it is told at once, not when its answer is overdue
         }
     }
 
-    private void answered(HttpResponse response, boolean followed) {
-        HttpCall done = call;
-        boolean sure = !hasAnswered || done.proves(response);
+    private void completeCall(HttpResponse response, boolean hasTrailingBytes) {
+        HttpCall completedCall = call;
+        boolean isUnambiguous = !hasResponded || completedCall.matchesOnlyThisCall(response);
         call = null;
-        hasAnswered = true;
-        if (sure) { // an engine takes the calls of a connection in order
-            nothingMore();
+        hasResponded = true;
+        if (isUnambiguous) { // an engine takes the calls of a connection in order
+            endDeliveries();
         }
-        if (followed) { // a whole answer counts, but what follows it belongs to no call
+        if (hasTrailingBytes) { // a whole answer counts, but what follows it belongs to no call
             counters.increment(Count.ENGINES_GARBLED);
             close();
         } else if (response.keepAlive()) {
-            owner.free(this);
+            owner.onReusable(this);
         } else {
             close();
         }
-        done.answered(response, sure);
+        completedCall.complete(response, isUnambiguous);
     }
 
     @Override
@@ -139,28 +140,29 @@
 
     @Override
     public void disconnected() {
-        leave();
-        HttpCall broken = call;
+        markClosed();
+        HttpCall brokenCall = call;
         call = null;
-        if (broken != null) {
-            link.abort(); // of a call that is told as broken nothing more may arrive
+        if (brokenCall != null) {
+            connection.abort(); // of a call that is told as broken nothing more may arrive
             counters.increment(Count.ENGINES_BROKEN);
-            nothingMore();
-            broken.broken();
-        } else if (!unproven.isEmpty()) {
+            endDeliveries();
+            brokenCall.failBroken();
+        } else if (!unconfirmedCalls.isEmpty()) {
             abort();
         }
     }
 
     /** Closes; a call on it hears nothing. */
     void close() {
-        if (!unproven.isEmpty()) { // an orderly close would still deliver what lies in the kernel
+        if (!unconfirmedCalls
+                .isEmpty()) { // an orderly close would still deliver what lies in the kernel
             abort();
             return;
         }
         call = null;
-        link.close();
-        leave();
+        connection.close();
+        markClosed();
     }
 
     /**
@@ -169,21 +171,22 @@
      */
     void abort() {
         call = null;
-        link.abort();
-        leave();
-        loop.runAfterNextPass(this::nothingMore); // by then the reset has surely reached the kernel
+        connection.abort();
+        markClosed();
+        loop.runAfterNextPass(
+                this::endDeliveries); // by then the reset has surely reached the kernel
     }
 
-    private void nothingMore() {
-        List<HttpCall> over = List.copyOf(unproven);
-        unproven.clear();
-        over.forEach(HttpCall::nothingMore);
+    private void endDeliveries() {
+        List<HttpCall> endedCalls = List.copyOf(unconfirmedCalls);
+        unconfirmedCalls.clear();
+        endedCalls.forEach(HttpCall::endDelivery);
     }
 
-    private void leave() {
-        if (!left) {
-            left = true;
-            pool.left();
+    private void markClosed() {
+        if (!isClosed) {
+            isClosed = true;
+            pool.onConnectionClosed();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -21,123 +21,124 @@
          * Of the connections, for polls, pages and DELETEs: no new query may keep those from going
          * out.
          */
-        private static final int FOLLOW_UP_PART = 12;
+        private static final int FOLLOW_UP_DIVISOR = 12;
 
-        private final Set<Runnable> waiting = new LinkedHashSet<>();
+        private final Set<Runnable> waitingStarts = new LinkedHashSet<>();
         private final EventLoop loop;
         private final DescriptorBudget.Share share;
-        private final int followUps;
+        private final int followUpReserve;
 
         Budget(EventLoop loop, DescriptorBudget.Share share) {
             this.loop = loop;
             this.share = share;
-            followUps = share.maxOpen() / FOLLOW_UP_PART;
+            followUpReserve = share.maxOpen() / FOLLOW_UP_DIVISOR;
         }
 
-        boolean take(boolean starts) {
-            int spare = starts ? followUps : 0;
-            return share.available() > spare && share.tryAcquire();
+        boolean tryAcquire(boolean startsQuery) {
+            int reserve = startsQuery ? followUpReserve : 0;
+            return share.available() > reserve && share.tryAcquire();
         }
 
         /** One is closed; its descriptor is back once the sockets have been looked at again. */
-        void giveBack() {
+        void release() {
             share.markClosing();
             loop.runAfterNextPass(
                     () -> {
                         share.markClosed();
-                        next();
+                        resumeNextWaiting();
                     });
-            next();
+            resumeNextWaiting();
         }
 
         /** A new query that found no room goes on, in the order come. */
-        private void next() {
-            if (!waiting.isEmpty() && share.available() > followUps) {
-                Runnable first = waiting.iterator().next();
-                waiting.remove(first);
-                loop.execute(first);
+        private void resumeNextWaiting() {
+            if (!waitingStarts.isEmpty() && share.available() > followUpReserve) {
+                Runnable longestWaiting = waitingStarts.iterator().next();
+                waitingStarts.remove(longestWaiting);
+                loop.execute(longestWaiting);
             }
         }
     }
 
     private final EventLoop loop;
     private final Budget budget;
-    private final EngineEndpoint member;
-    private final double dialTimeout;
+    private final EngineEndpoint endpoint;
+    private final double dialTimeoutSeconds;
     private final Counters counters;
-    private boolean ready = true;
+    private boolean isReady = true;
 
     EnginePool(
             EventLoop loop,
-            EngineEndpoint member,
-            double dialTimeout,
+            EngineEndpoint endpoint,
+            double dialTimeoutSeconds,
             Budget budget,
             Counters counters) {
         this.loop = loop;
         this.budget = budget;
-        this.member = member;
-        this.dialTimeout = dialTimeout;
+        this.endpoint = endpoint;
+        this.dialTimeoutSeconds = dialTimeoutSeconds;
         this.counters = counters;
     }
 
-    String name() {
-        return String.format("s-%08x", member.engine().id().value());
+    String engineName() {
+        return String.format("s-%08x", endpoint.engine().id().value());
     }
 
     /** Whether a listed engine is this one, where it was and not started since. */
-    boolean isOf(EngineEndpoint listed) {
-        return member.address().equals(listed.address())
-                && member.engine().startedAt() == listed.engine().startedAt();
+    boolean matches(EngineEndpoint other) {
+        return endpoint.address().equals(other.address())
+                && endpoint.engine().startedAt() == other.engine().startedAt();
     }
 
     /** Seconds in which a connection comes up or is given up. */
-    double dialTimeout() {
-        return dialTimeout;
+    double dialTimeoutSeconds() {
+        return dialTimeoutSeconds;
     }
 
     /** Whether new work may go there now. */
-    boolean ready() {
-        return ready;
+    boolean isReady() {
+        return isReady;
     }
 
-    void ready(boolean takesWork) {
-        ready = takesWork;
+    void setReady(boolean acceptsQueries) {
+        isReady = acceptsQueries;
     }
 
     /**
      * Runs a call on a new connection of its owner's. A call that {@code starts} a query waits for
      * room.
      */
-    void call(HttpCall call, boolean starts, EngineConnection.Owner owner) {
-        if (!call.wanted()) { // given up while it waited for room
-            budget.next();
+    void callOnNewConnection(HttpCall call, boolean startsQuery, EngineConnection.Owner owner) {
+        if (!call.isPending()) { // given up while it waited for room
+            budget.resumeNextWaiting();
             return;
         }
-        if (!budget.take(starts)) {
-            waitForRoom(call, starts, owner);
+        if (!budget.tryAcquire(startsQuery)) {
+            waitForConnection(call, startsQuery, owner);
             return;
         }
         EventLoop.Dial dial =
                 loop.dial(
-                        member.address(),
-                        dialTimeout,
-                        c -> {
+                        endpoint.address(),
+                        dialTimeoutSeconds,
+                        stream -> {
                             counters.increment(Count.ENGINES_CONNECTED);
-                            EngineConnection up =
-                                    new EngineConnection(loop, c, this, owner, counters);
-                            call.dialing(up::close);
+                            EngineConnection connection =
+                                    new EngineConnection(loop, stream, this, owner, counters);
+                            call.setConnectCanceller(connection::close);
                             loop.runWhenCaughtUp(
-                                    () -> call.run(up)); // a cancel or a drain may lie unread
+                                    () -> call.writeOn(connection)); // a cancel or a drain may lie
+                            // unread
                             // after a stall
                         },
-                        why -> {
-                            budget.giveBack();
-                            call.unreachable(why == EventLoop.DialFailure.REFUSED);
+                        failure -> {
+                            budget.release();
+                            call.failUnreachable(failure == EventLoop.DialFailure.REFUSED);
                         });
-        call.dialing(
+        call.setConnectCanceller(
                 () -> {
                     dial.cancel();
-                    budget.giveBack();
+                    budget.release();
                 });
     }
 
@@ -145,18 +146,19 @@
      * Our own lack of room is told of no engine: a new query waits for it, other calls try again
      * soon.
      */
-    private void waitForRoom(HttpCall call, boolean starts, EngineConnection.Owner owner) {
-        if (starts) {
-            Runnable goOn = () -> call(call, true, owner);
-            budget.waiting.add(goOn);
-            call.dialing(() -> budget.waiting.remove(goOn));
+    private void waitForConnection(
+            HttpCall call, boolean startsQuery, EngineConnection.Owner owner) {
+        if (startsQuery) {
+            Runnable resume = () -> callOnNewConnection(call, true, owner);
+            budget.waitingStarts.add(resume);
+            call.setConnectCanceller(() -> budget.waitingStarts.remove(resume));
         } else {
-            loop.execute(call::takenBack);
+            loop.execute(call::withdraw);
         }
     }
 
     /** A connection has been closed; each says so once. */
-    void left() {
-        budget.giveBack();
+    void onConnectionClosed() {
+        budget.release();
     }
 }
--- a/src/main/java/junipercourse/engine/EngineRequestEncoder.java
+++ b/src/main/java/junipercourse/engine/EngineRequestEncoder.java
@@ -9,7 +9,7 @@
     private EngineRequestEncoder() {}
 
     /** Starts a query; {@code waitMs} is how long its news is waited for. */
-    static byte[] post(Query query, long waitMs) {
+    static byte[] encodePost(Query query, long limitMillis) {
         StringBuilder head =
                 new StringBuilder("POST /fetch HTTP/1.1\r\n")
                         .append("Host: engine\r\n")
@@ -20,21 +20,21 @@
                         .append(query.className())
                         .append("\r\n")
                         .append("X-Limit-Ms: ")
-                        .append(waitMs)
+                        .append(limitMillis)
                         .append("\r\n");
         if (query.idempotencyKey() != null) {
             head.append("X-Dedupe: ").append(query.idempotencyKey()).append("\r\n");
         }
         head.append("Content-Length: ").append(query.statement().length).append("\r\n\r\n");
-        byte[] top = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = Arrays.copyOf(top, top.length + query.statement().length);
-        System.arraycopy(query.statement(), 0, all, top.length, query.statement().length);
-        return all;
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = Arrays.copyOf(headBytes, headBytes.length + query.statement().length);
+        System.arraycopy(query.statement(), 0, message, headBytes.length, query.statement().length);
+        return message;
     }
 
     /** A call without a body, such as {@code GET} of {@code /0}. */
-    static byte[] bare(String method, Query query, String rest) {
-        return (method + " /fetch/" + query.id() + rest + " HTTP/1.1\r\nHost: engine\r\n\r\n")
+    static byte[] encodeWithoutBody(String method, Query query, String pathSuffix) {
+        return (method + " /fetch/" + query.id() + pathSuffix + " HTTP/1.1\r\nHost: engine\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/junipercourse/engine/HttpCall.java
+++ b/src/main/java/junipercourse/engine/HttpCall.java
@@ -3,8 +3,8 @@
 import java.util.function.Supplier;
 
 /**
- * One call to an engine, from the moment a connection is wanted for it until its answer is there or
- * it failed. Exactly one of the listener's methods that tell how it went is called, unless it is
+ * One call to an engine, from the moment a connection is isPending for it until its answer is there
+ * or it failed. Exactly one of the listener's methods that tell how it went is called, unless it is
  * dropped.
  */
 final class HttpCall {
@@ -17,37 +17,37 @@
          * Whether an answer can be to this call alone, although its connection has brought others
          * before, of which it may be a late second copy.
          */
-        boolean proves(HttpResponse response);
+        boolean matchesOnlyThisCall(HttpResponse response);
 
         /**
          * Nothing more of the call arrives: it is answered for sure, or reset. May be said twice.
          */
-        void over();
+        void onDeliveryEnded();
 
         /** {@code sure} unless the answer may be a copy of an earlier one on its connection. */
-        void answered(HttpResponse response, boolean sure);
+        void onResponse(HttpResponse response, boolean isUnambiguous);
 
         /** All of the call has been handed to the system. */
-        default void written() {}
+        default void onWritten() {}
 
         /** The connection broke with the call on it. */
-        void broken();
+        void onConnectionBroken();
 
         /** No connection came up, and nothing was written. */
-        void unreachable(boolean refused);
+        void onUnreachable(boolean refused);
 
         /**
          * {@link #mayWrite} said no, or a later call found no room for a connection; nothing was
          * written.
          */
-        void takenBack();
+        void onWithdrawn();
     }
 
     private final Supplier<byte[]> request;
     private final Listener listener;
-    private boolean wanted = true;
-    private EngineConnection on;
-    private Runnable stopDialing;
+    private boolean isPending = true;
+    private EngineConnection activeConnection;
+    private Runnable connectCanceller;
 
     /** {@code request} is asked for right before its first byte. */
     HttpCall(Supplier<byte[]> request, Listener listener) {
@@ -56,82 +56,82 @@
     }
 
     /** Until its first byte it is given up by this. */
-    void dialing(Runnable stop) {
-        stopDialing = stop;
+    void setConnectCanceller(Runnable canceller) {
+        connectCanceller = canceller;
     }
 
     /** Writes the call on a connection, or closes that. */
-    void run(EngineConnection connection) {
-        stopDialing = connection::close;
-        if (!wanted || !connection.isOpen() || !listener.mayWrite()) {
+    void writeOn(EngineConnection connection) {
+        connectCanceller = connection::close;
+        if (!isPending || !connection.isOpen() || !listener.mayWrite()) {
             connection.close();
-            takenBack();
+            withdraw();
             return;
         }
-        stopDialing = null;
-        on = connection;
+        connectCanceller = null;
+        activeConnection = connection;
         connection.write(this, request.get());
     }
 
-    void written() {
-        listener.written();
+    void markWritten() {
+        listener.onWritten();
     }
 
-    boolean proves(HttpResponse response) {
-        return listener.proves(response);
+    boolean matchesOnlyThisCall(HttpResponse response) {
+        return listener.matchesOnlyThisCall(response);
     }
 
     /**
      * Told of ignored calls, too: what is still on its way may arrive although nobody waits for it.
      */
-    void nothingMore() {
-        listener.over();
+    void endDelivery() {
+        listener.onDeliveryEnded();
     }
 
-    void answered(HttpResponse response, boolean sure) {
-        if (done()) {
-            listener.answered(response, sure);
+    void complete(HttpResponse response, boolean isUnambiguous) {
+        if (finish()) {
+            listener.onResponse(response, isUnambiguous);
         }
     }
 
-    void broken() {
-        if (done()) {
-            listener.broken();
+    void failBroken() {
+        if (finish()) {
+            listener.onConnectionBroken();
         }
     }
 
     /** Nothing was written, and nothing is to be. */
-    void takenBack() {
-        if (done()) {
-            listener.takenBack();
+    void withdraw() {
+        if (finish()) {
+            listener.onWithdrawn();
         }
     }
 
-    void unreachable(boolean refused) {
-        if (done()) {
-            listener.unreachable(refused);
+    void failUnreachable(boolean refused) {
+        if (finish()) {
+            listener.onUnreachable(refused);
         }
     }
 
-    private boolean done() {
-        boolean told = wanted;
-        wanted = false;
-        stopDialing = null;
-        on = null;
-        return told;
+    private boolean finish() {
+        boolean wasPending = isPending;
+        isPending = false;
+        connectCanceller = null;
+        activeConnection = null;
+        return wasPending;
     }
 
     /** Whether somebody still waits for how it goes. */
-    boolean wanted() {
-        return wanted;
+    boolean isPending() {
+        return isPending;
     }
 
-    /** The listener hears nothing more but {@link Listener#over}. */
+    /** The listener hears nothing more but {@link Listener#onDeliveryEnded}. */
     void ignore() {
-        wanted = false;
-        if (stopDialing != null) {
-            stopDialing.run();
-            stopDialing = null;
+        isPending = false;
+        if (connectCanceller != null) {
+            connectCanceller.run();
+            connectCanceller = null;
         }
     }
 
@@ -139,11 +139,11 @@
      * Ignores the call and, unless it is answered, resets its connection: then no more of it
      * arrives.
      */
-    void drop() {
-        EngineConnection c = on;
+    void abort() {
+        EngineConnection connection = activeConnection;
         ignore();
-        if (c != null) {
-            c.abort();
+        if (connection != null) {
+            connection.abort();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/HttpResponse.java
+++ b/src/main/java/junipercourse/engine/HttpResponse.java
@@ -9,11 +9,11 @@
     }
 
     /** A header's number; 0 if there is none or it is below 0 or not finite. */
-    double decimal(String lowerCaseName) {
+    double decimalHeader(String lowerCaseName) {
         String text = header(lowerCaseName);
         try {
-            double d = text == null ? 0 : Double.parseDouble(text);
-            return d >= 0 && d < Double.POSITIVE_INFINITY ? d : 0;
+            double value = text == null ? 0 : Double.parseDouble(text);
+            return value >= 0 && value < Double.POSITIVE_INFINITY ? value : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/src/main/java/junipercourse/engine/HttpResponseParser.java
+++ b/src/main/java/junipercourse/engine/HttpResponseParser.java
@@ -9,16 +9,16 @@
 
 /** Reads HTTP/1.1 responses from bytes that come in any pieces. Anything else is garbled. */
 final class HttpResponseParser {
-    private static final int MAX_LINE = 4 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024;
     private static final int MAX_HEADERS = 32;
-    private static final int MAX_INTERIM =
+    private static final int MAX_INTERIM_RESPONSES =
             16; // 1xx heads before one answer: they may not go on for good
-    private static final int MAX_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
      * Of one answer with its framing: no head, chunk or trailer may go on for good in small pieces.
      */
-    static final int MAX_ANSWER = 2 * MAX_BODY;
+    static final int MAX_RESPONSE_BYTES = 2 * MAX_BODY_BYTES;
 
     /** Bytes that are no HTTP response. */
     static final class GarbledException extends Exception {
@@ -39,30 +39,30 @@
         TRAILERS
     }
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Map<String, String> headers = new HashMap<>();
     private State state = State.STATUS;
-    private boolean oldVersion;
+    private boolean isHttp10;
     private int status;
-    private int left;
-    private int interim;
-    private int taken; // bytes of the answer that is being read
+    private int remaining;
+    private int interimResponses;
+    private int responseBytes; // bytes of the answer that is being read
 
     /** True between responses: nothing of a next one has come. */
-    boolean atStart() {
-        return state == State.STATUS && line.size() == 0;
+    boolean isBetweenResponses() {
+        return state == State.STATUS && lineBuffer.size() == 0;
     }
 
     /** Takes bytes until a response is whole, and returns it; null if more are needed. */
-    HttpResponse read(ByteBuffer in) throws GarbledException {
-        int from = in.position();
-        HttpResponse response = parse(in);
-        taken += in.position() - from;
+    HttpResponse read(ByteBuffer input) throws GarbledException {
+        int startPosition = input.position();
+        HttpResponse response = parse(input);
+        responseBytes += input.position() - startPosition;
         if (response != null) {
-            taken = 0;
-        } else if (taken > MAX_ANSWER) {
-            throw new GarbledException("an answer of over " + MAX_ANSWER + " bytes");
+            responseBytes = 0;
+        } else if (responseBytes > MAX_RESPONSE_BYTES) {
+            throw new GarbledException("an answer of over " + MAX_RESPONSE_BYTES + " bytes");
         }
         return response;
     }
@@ -72,66 +72,66 @@
      * short, and what it leaves over may look like a whole result. Another answer, or noise, is
      * none of them.
      */
-    static boolean rowsFollow(ByteBuffer rest) {
-        String text = StandardCharsets.ISO_8859_1.decode(rest.duplicate()).toString();
+    static boolean containsRows(ByteBuffer trailingBytes) {
+        String text = StandardCharsets.ISO_8859_1.decode(trailingBytes.duplicate()).toString();
         return text.indexOf('\t') >= 0 && !text.startsWith("HTTP/");
     }
 
-    private HttpResponse parse(ByteBuffer in) throws GarbledException {
+    private HttpResponse parse(ByteBuffer input) throws GarbledException {
         while (true) {
             if (state == State.BODY || state == State.CHUNK) {
-                int n = Math.min(left, in.remaining());
-                byte[] part = new byte[n];
-                in.get(part);
-                body.writeBytes(part);
-                left -= n;
-                if (left > 0) {
+                int length = Math.min(remaining, input.remaining());
+                byte[] bytes = new byte[length];
+                input.get(bytes);
+                body.writeBytes(bytes);
+                remaining -= length;
+                if (remaining > 0) {
                     return null;
                 }
                 if (state == State.BODY) {
-                    return whole();
+                    return completeResponse();
                 }
                 state = State.CHUNK_END;
             }
-            String text = line(in);
+            String text = readLine(input);
             if (text == null) {
                 return null;
             }
-            HttpResponse done = take(text);
-            if (done != null) {
-                return done;
+            HttpResponse response = handleLine(text);
+            if (response != null) {
+                return response;
             }
         }
     }
 
-    private String line(ByteBuffer in) throws GarbledException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
+    private String readLine(ByteBuffer input) throws GarbledException {
+        while (input.hasRemaining()) {
+            byte b = input.get();
             if (b == '\n') {
-                String text = line.toString(StandardCharsets.ISO_8859_1);
-                line.reset();
+                String text = lineBuffer.toString(StandardCharsets.ISO_8859_1);
+                lineBuffer.reset();
                 return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             }
-            if (line.size() >= MAX_LINE) {
-                throw new GarbledException("a line of over " + MAX_LINE + " bytes");
+            if (lineBuffer.size() >= MAX_LINE_BYTES) {
+                throw new GarbledException("a line of over " + MAX_LINE_BYTES + " bytes");
             }
-            line.write(b);
+            lineBuffer.write(b);
         }
         return null;
     }
 
-    private HttpResponse take(String text) throws GarbledException {
+    private HttpResponse handleLine(String text) throws GarbledException {
         switch (state) {
-            case STATUS -> status(text);
+            case STATUS -> parseStatusLine(text);
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    return headersEnd();
+                    return finishHeaders();
                 }
-                header(text);
+                parseHeader(text);
             }
             case CHUNK_SIZE -> {
-                left = size(text.split(";", 2)[0].trim(), 16);
-                state = left == 0 ? State.TRAILERS : State.CHUNK;
+                remaining = parseSize(text.split(";", 2)[0].trim(), 16);
+                state = remaining == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
@@ -141,7 +141,7 @@
             }
             case TRAILERS -> {
                 if (text.isEmpty()) {
-                    return whole();
+                    return completeResponse();
                 }
             }
             default -> throw new IllegalStateException(state.toString());
@@ -149,34 +149,34 @@
         return null;
     }
 
-    private void status(String text) throws GarbledException {
+    private void parseStatusLine(String text) throws GarbledException {
         if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
             throw new GarbledException("no status line");
         }
-        oldVersion = text.charAt(7) == '0';
+        isHttp10 = text.charAt(7) == '0';
         status = Integer.parseInt(text.substring(9, 12));
         state = State.HEADERS;
     }
 
-    private void header(String text) throws GarbledException {
+    private void parseHeader(String text) throws GarbledException {
         int colon = text.indexOf(':');
         if (colon <= 0 || headers.size() >= MAX_HEADERS) {
             throw new GarbledException(colon <= 0 ? "a header without a name" : "too many headers");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
-        String before = headers.put(name, value);
-        if (before != null && name.equals("content-length") && !before.equals(value)) {
+        String previous = headers.put(name, value);
+        if (previous != null && name.equals("content-length") && !previous.equals(value)) {
             throw new GarbledException("two lengths");
         }
     }
 
-    private HttpResponse headersEnd() throws GarbledException {
-        String coding = headers.get("transfer-encoding");
+    private HttpResponse finishHeaders() throws GarbledException {
+        String transferCoding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
         if (status < 200) { // an interim response: the real one follows
-            interim++;
-            if (interim > MAX_INTERIM) {
+            interimResponses++;
+            if (interimResponses > MAX_INTERIM_RESPONSES) {
                 throw new GarbledException("interim responses without end");
             }
             headers = new HashMap<>();
@@ -184,11 +184,11 @@
             return null;
         }
         if (status == 204 || status == 304) {
-            return whole();
+            return completeResponse();
         }
-        if (coding != null) {
-            if (!coding.equalsIgnoreCase("chunked")) {
-                throw new GarbledException("transfer coding " + coding);
+        if (transferCoding != null) {
+            if (!transferCoding.equalsIgnoreCase("chunked")) {
+                throw new GarbledException("transfer coding " + transferCoding);
             }
             state = State.CHUNK_SIZE;
             return null;
@@ -196,36 +196,36 @@
         if (length == null) {
             throw new GarbledException("no length");
         }
-        left = size(length, 10);
+        remaining = parseSize(length, 10);
         state = State.BODY;
-        return left == 0 ? whole() : null;
+        return remaining == 0 ? completeResponse() : null;
     }
 
-    private int size(String text, int radix) throws GarbledException {
-        int n;
+    private int parseSize(String text, int radix) throws GarbledException {
+        int size;
         try {
-            n = Integer.parseInt(text, radix);
+            size = Integer.parseInt(text, radix);
         } catch (NumberFormatException e) {
             throw new GarbledException("not a length: " + text);
         }
-        if (n < 0 || Character.digit(text.charAt(0), radix) < 0) { // a sign is no digit
+        if (size < 0 || Character.digit(text.charAt(0), radix) < 0) { // a sign is no digit
             throw new GarbledException("not a length: " + text);
         }
-        if (n > MAX_BODY - body.size()) {
+        if (size > MAX_BODY_BYTES - body.size()) {
             throw new GarbledException("a length out of range: " + text);
         }
-        return n;
+        return size;
     }
 
-    private HttpResponse whole() {
-        String connection = headers.getOrDefault("connection", oldVersion ? "close" : "keep-alive");
-        HttpResponse r =
+    private HttpResponse completeResponse() {
+        String connection = headers.getOrDefault("connection", isHttp10 ? "close" : "keep-alive");
+        HttpResponse response =
                 new HttpResponse(
                         status, headers, body.toByteArray(), !connection.equalsIgnoreCase("close"));
         headers = new HashMap<>();
         body.reset();
-        interim = 0;
+        interimResponses = 0;
         state = State.STATUS;
-        return r;
+        return response;
     }
 }
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -7,50 +7,51 @@
 
 /** Gets the further pages of a result, after its good end was told with page 0. */
 final class ResultPageFetcher {
-    private static final double ASK_AGAIN_S = 0.1;
+    private static final double RETRY_DELAY_SECONDS = 0.1;
 
     /** Calls in a row that do not bring the page. */
-    private static final int BREAKS = 4;
+    private static final int MAX_FAILURES = 4;
 
-    private static final int FIRST_ERROR = 400;
+    private static final int FIRST_ERROR_STATUS = 400;
 
     private final Query query;
     private final ResultPages pages;
-    private final AttemptConnections calls;
-    private final AttemptLiveness evidence;
+    private final AttemptConnections connections;
+    private final AttemptLiveness liveness;
     private final Counters counters;
-    private final Done done;
-    private int breaks;
+    private final Done listener;
+    private int failures;
 
     /** Is told once, when all pages are there or one is lost. */
     interface Done {
-        void done(boolean whole);
+        void onFinished(boolean isComplete);
     }
 
     ResultPageFetcher(
             Query query,
             ResultPages pages,
-            AttemptConnections calls,
-            AttemptLiveness evidence,
+            AttemptConnections connections,
+            AttemptLiveness liveness,
             Counters counters,
-            Done done) {
+            Done listener) {
         this.query = query;
         this.pages = pages;
-        this.calls = calls;
-        this.evidence = evidence;
+        this.connections = connections;
+        this.liveness = liveness;
         this.counters = counters;
-        this.done = done;
+        this.listener = listener;
     }
 
-    void next() {
-        if (pages.whole()) {
-            done.done(true);
+    void fetchNext() {
+        if (pages.isComplete()) {
+            listener.onFinished(true);
         } else {
-            calls.later(
-                    breaks > 1 ? ASK_AGAIN_S : AttemptConnections.REST_S,
+            connections.schedule(
+                    failures > 1 ? RETRY_DELAY_SECONDS : AttemptConnections.REUSE_DELAY_SECONDS,
                     () ->
-                            calls.run(
-                                    EngineRequestEncoder.bare("GET", query, "/" + pages.next()),
+                            connections.makeCall(
+                                    EngineRequestEncoder.encodeWithoutBody(
+                                            "GET", query, "/" + pages.nextNumber()),
                                     new Page(),
                                     false));
         }
@@ -58,45 +59,46 @@
 
     private final class Page extends AttemptConnections.Step {
         Page() {
-            super(calls);
+            super(connections);
         }
 
         /** A page bears its number; an error is told of no query whose pages are got after it. */
         @Override
-        public boolean proves(HttpResponse response) {
-            return pages.isNext(response) || response.status() >= FIRST_ERROR;
+        public boolean matchesOnlyThisCall(HttpResponse response) {
+            return pages.isNextPage(response) || response.status() >= FIRST_ERROR_STATUS;
         }
 
         @Override
-        void told(HttpResponse response, boolean sure) {
-            if (pages.further(response)) {
-                evidence.recordResponse();
-                breaks = 0;
-                next();
-            } else if (response.status() >= FIRST_ERROR) {
-                done.done(false); // pages end with their engine, or when nobody asks for them
+        void handleResponse(HttpResponse response, boolean isUnambiguous) {
+            if (pages.addNext(response)) {
+                liveness.recordResponse();
+                failures = 0;
+                fetchNext();
+            } else if (response.status() >= FIRST_ERROR_STATUS) {
+                listener.onFinished(
+                        false); // pages end with their engine, or when nobody asks for them
             } else { // spoilt, or a copy of a 202 or of another page: the engine still has this one
                 counters.increment(Count.ENGINES_GARBLED);
-                calls.reset();
-                failed();
+                connections.resetIdle();
+                handleFailure();
             }
         }
 
         @Override
-        void failed() {
-            breaks++;
-            if (breaks >= BREAKS) {
-                evidence.recordResponse(); // it is known to have ended well: nobody has left it
+        void handleFailure() {
+            failures++;
+            if (failures >= MAX_FAILURES) {
+                liveness.recordResponse(); // it is known to have ended well: nobody has left it
                 // alone
-                done.done(false);
+                listener.onFinished(false);
             } else {
-                next();
+                fetchNext();
             }
         }
 
         @Override
-        public void unreachable(boolean refused) {
-            failed();
+        public void onUnreachable(boolean refused) {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/ResultPages.java
+++ b/src/main/java/junipercourse/engine/ResultPages.java
@@ -9,24 +9,24 @@
  */
 final class ResultPages {
     private static final int COLUMNS = 3;
-    private static final int MOST_PAGES = 64;
-    private static final int MOST_BYTES = 256 * 1024;
+    private static final int MAX_PAGES = 64;
+    private static final int MAX_BYTES = 256 * 1024;
 
     private final List<byte[]> pages = new ArrayList<>();
-    private int count;
-    private int bytes;
+    private int pageCount;
+    private int totalBytes;
 
     /**
      * Takes page 0, which tells the number of all pages; false if it is a further page's, or
      * spoilt.
      */
-    boolean first(HttpResponse response) {
-        String fetches = response.header("x-fetches");
-        count = fetches == null ? 1 : number(fetches);
+    boolean addFirst(HttpResponse response) {
+        String pageCountHeader = response.header("x-fetches");
+        pageCount = pageCountHeader == null ? 1 : parseNumber(pageCountHeader);
         if (response.header("x-fetch") != null
-                || count < 1
-                || count > MOST_PAGES
-                || !wholeRows(response.body())) {
+                || pageCount < 1
+                || pageCount > MAX_PAGES
+                || !hasOnlyWholeRows(response.body())) {
             return false;
         }
         add(response.body());
@@ -34,37 +34,37 @@
     }
 
     /** Whether an answer says that it is the next page. */
-    boolean isNext(HttpResponse response) {
-        return response.status() == 200 && number(response.header("x-fetch")) == pages.size();
+    boolean isNextPage(HttpResponse response) {
+        return response.status() == 200 && parseNumber(response.header("x-fetch")) == pages.size();
     }
 
     /** Takes the next page; false if this is another one, or spoilt. */
-    boolean further(HttpResponse response) {
-        boolean wanted =
-                isNext(response)
-                        && wholeRows(response.body())
-                        && bytes + response.body().length <= MOST_BYTES;
-        if (wanted) {
+    boolean addNext(HttpResponse response) {
+        boolean isValid =
+                isNextPage(response)
+                        && hasOnlyWholeRows(response.body())
+                        && totalBytes + response.body().length <= MAX_BYTES;
+        if (isValid) {
             add(response.body());
         }
-        return wanted;
+        return isValid;
     }
 
     private void add(byte[] page) {
-        bytes += page.length;
+        totalBytes += page.length;
         pages.add(page);
     }
 
     /** The number of the next page. */
-    int next() {
+    int nextNumber() {
         return pages.size();
     }
 
-    boolean whole() {
-        return pages.size() == count;
+    boolean isComplete() {
+        return pages.size() == pageCount;
     }
 
-    List<byte[]> all() {
+    List<byte[]> toList() {
         return List.copyOf(pages);
     }
 
@@ -72,7 +72,7 @@
      * Whether a page holds whole rows of three columns: no client is to get part of a result as
      * all.
      */
-    private static boolean wholeRows(byte[] page) {
+    private static boolean hasOnlyWholeRows(byte[] page) {
         int tabs = 0;
         for (byte b : page) {
             tabs += b == '\t' ? 1 : 0;
@@ -86,7 +86,7 @@
         return page.length == 0 || page[page.length - 1] == '\n';
     }
 
-    private static int number(String text) {
+    private static int parseNumber(String text) {
         try {
             return text == null ? -1 : Integer.parseInt(text.trim());
         } catch (NumberFormatException e) {
--- a/src/test/java/junipercourse/engine/AttemptJudge.java
+++ b/src/test/java/junipercourse/engine/AttemptJudge.java
@@ -11,13 +11,13 @@
  * The first attempt meets a fault, later ones are answered.
  */
 final class AttemptJudge {
-    private static final double FORGOTTEN_S = 2.0;
+    private static final double QUERY_EXPIRY_SECONDS = 2.0;
     private final Function<String, String> fault;
-    private final List<Double> posts = new ArrayList<>();
+    private final List<Double> postTimes = new ArrayList<>();
     private final List<String> calls = new ArrayList<>();
-    private boolean out;
-    private boolean twoOut;
-    private double lastAsked;
+    private boolean isAttemptRunning;
+    private boolean hasOverlap;
+    private double lastPolledAt;
 
     /** {@code fault} answers the calls for the first attempt. */
     AttemptJudge(Function<String, String> fault) {
@@ -25,43 +25,43 @@
     }
 
     /** The engine's script: the id tells nothing, as engines of a bench serve one query. */
-    String answer(String call) {
-        boolean first;
+    String respond(String call) {
+        boolean isFirstAttempt;
         synchronized (this) {
             double now = System.nanoTime() / 1e9;
-            boolean post = call.startsWith("POST");
+            boolean isPost = call.startsWith("POST");
             calls.add(call.split(" ")[0] + " " + "%.3f".formatted(now));
-            twoOut |= post && out && now - lastAsked < FORGOTTEN_S;
-            if (post) {
-                posts.add(now);
+            hasOverlap |= isPost && isAttemptRunning && now - lastPolledAt < QUERY_EXPIRY_SECONDS;
+            if (isPost) {
+                postTimes.add(now);
             }
-            out |= post;
-            lastAsked = call.startsWith("DELETE") ? lastAsked : now;
-            first = posts.size() == 1;
+            isAttemptRunning |= isPost;
+            lastPolledAt = call.startsWith("DELETE") ? lastPolledAt : now;
+            isFirstAttempt = postTimes.size() == 1;
         }
-        String answer = first ? fault.apply(call) : SocketTestSupport.OK;
+        String answer = isFirstAttempt ? fault.apply(call) : SocketTestSupport.OK;
         synchronized (this) {
-            boolean end =
+            boolean isCompletion =
                     !answer.equals(SocketTestSupport.RUNNING)
                             && !answer.equals(SocketTestSupport.NO_RESPONSE)
                             && !answer.equals(SocketTestSupport.CLOSE_CONNECTION)
                             && answer.startsWith("HTTP/");
-            out &= !end;
+            isAttemptRunning &= !isCompletion;
         }
         return answer;
     }
 
-    synchronized int posts() {
-        return posts.size();
+    synchronized int postCount() {
+        return postTimes.size();
     }
 
-    synchronized boolean twoOut() {
-        return twoOut;
+    synchronized boolean hasOverlap() {
+        return hasOverlap;
     }
 
     /** Seconds from the first attempt's arrival to the last one's. */
-    synchronized double spread() {
-        return posts.isEmpty() ? 0 : posts.get(posts.size() - 1) - posts.get(0);
+    synchronized double secondsBetweenPosts() {
+        return postTimes.isEmpty() ? 0 : postTimes.get(postTimes.size() - 1) - postTimes.get(0);
     }
 
     @Override
--- a/src/test/java/junipercourse/engine/CancellationTest.java
+++ b/src/test/java/junipercourse/engine/CancellationTest.java
@@ -24,11 +24,11 @@
  */
 class CancellationTest {
     private static final String CANCELLED = "E(57014 canceling statement due to user request)";
-    private static final double FORGOTTEN_NS = 2.0e9;
-    private final SocketTestSupport bench;
+    private static final double QUERY_EXPIRY_NANOS = 2.0e9;
+    private final SocketTestSupport support;
 
     CancellationTest() throws Exception {
-        bench =
+        support =
                 new SocketTestSupport(
                         SocketTestSupport.CONFIG.replace(
                                 "\"goal_time_s\":3.0", "\"goal_time_s\":15.0"),
@@ -37,7 +37,7 @@
 
     @AfterEach
     void close() throws Exception {
-        bench.close();
+        support.close();
     }
 
     /**
@@ -53,37 +53,38 @@
         "HTTP/1.1 200 OK~X-Fetches: 1~Content-Length: 0~~",
         "HTTP/1.1 204 No"
     })
-    void aDeleteWithoutItsProofKeepsTheKeyUntilTheQueryIsForgotten(String answer) throws Exception {
-        AtomicLong asked = new AtomicLong();
-        AtomicLong second = new AtomicLong();
-        StubEngine e =
-                bench.startEngine(
+    void unconfirmedDeleteBlocksIdempotencyKeyUntilQueryExpires(String deleteResponse)
+            throws Exception {
+        AtomicLong lastPollNanos = new AtomicLong();
+        AtomicLong secondPostNanos = new AtomicLong();
+        StubEngine engine =
+                support.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
-                                return answer.replace("~", "\r\n");
+                                return deleteResponse.replace("~", "\r\n");
                             }
                             if (call.contains("0000000000000002")) {
-                                second.compareAndSet(0, System.nanoTime());
+                                secondPostNanos.compareAndSet(0, System.nanoTime());
                                 return OK;
                             }
-                            asked.set(System.nanoTime());
+                            lastPollNanos.set(System.nanoTime());
                             SocketTestSupport.sleepMillis(call.startsWith("GET") ? 240 : 0);
                             return RUNNING;
                         });
-        Client first = bench.connectClient().startSession();
-        first.write(Client.queryMessage(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
-        Client next = bench.connectClient().startSession();
-        next.write(Client.queryMessage(query("load", 2, 19_000)));
-        first.cancel();
-        assertEquals(CANCELLED, first.readAnswer());
-        assertEquals("T D(a b c) C(SELECT 1)", next.readAnswer());
+        Client firstClient = support.connectClient().startSession();
+        firstClient.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> engine.countCalls("GET") >= 1);
+        Client secondClient = support.connectClient().startSession();
+        secondClient.write(Client.queryMessage(query("load", 2, 19_000)));
+        firstClient.cancel();
+        assertEquals(CANCELLED, firstClient.readAnswer());
+        assertEquals("T D(a b c) C(SELECT 1)", secondClient.readAnswer());
         assertTrue(
-                second.get() - asked.get() >= FORGOTTEN_NS,
-                "after " + (second.get() - asked.get()));
-        assertTrue(e.countCalls("DELETE") >= 2, "tried again: " + e.calls);
-        assertEquals(1, e.countCalls("POST /fetch 0000000000000001"));
+                secondPostNanos.get() - lastPollNanos.get() >= QUERY_EXPIRY_NANOS,
+                "after " + (secondPostNanos.get() - lastPollNanos.get()));
+        assertTrue(engine.countCalls("DELETE") >= 2, "tried again: " + engine.calls);
+        assertEquals(1, engine.countCalls("POST /fetch 0000000000000001"));
     }
 
     /**
@@ -92,11 +93,11 @@
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void anAnswerThatCrossesTheDeleteIsNobodys(boolean deleteFirst) throws Exception {
-        CountDownLatch deleted = new CountDownLatch(1);
-        CountDownLatch ended = new CountDownLatch(1);
-        StubEngine e =
-                bench.startEngine(
+    void responseCrossingDeleteIsDiscarded(boolean deleteFirst) throws Exception {
+        CountDownLatch deleteAnswered = new CountDownLatch(1);
+        CountDownLatch deleteReceived = new CountDownLatch(1);
+        StubEngine engine =
+                support.startEngine(
                         1,
                         call -> {
                             if (call.contains("0000000000000002")) {
@@ -104,9 +105,9 @@
                             }
                             if (call.startsWith("DELETE")) {
                                 if (deleteFirst) {
-                                    deleted.countDown();
+                                    deleteAnswered.countDown();
                                 } else {
-                                    ended.countDown();
+                                    deleteReceived.countDown();
                                     SocketTestSupport.sleepMillis(
                                             50); // the answer leaves on its own connection
                                     // meanwhile
@@ -115,21 +116,24 @@
                             }
                             if (call.startsWith("GET")) { // held until the DELETE has come
                                 SocketTestSupport.await(
-                                        () -> (deleteFirst ? deleted : ended).getCount() == 0);
+                                        () ->
+                                                (deleteFirst ? deleteAnswered : deleteReceived)
+                                                                .getCount()
+                                                        == 0);
                                 SocketTestSupport.sleepMillis(deleteFirst ? 50 : 0);
                                 return OK;
                             }
                             return RUNNING;
                         });
-        Client client = bench.connectClient().startSession();
+        Client client = support.connectClient().startSession();
         client.write(Client.queryMessage(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
+        SocketTestSupport.await(() -> engine.countCalls("GET") >= 1);
         client.cancel();
         assertEquals(CANCELLED, client.readAnswer());
         assertEquals("T D(x y c) C(SELECT 1)", client.query(query("check", 2, 7000)));
-        SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_CANCELLED) == 1);
-        assertEquals(1, bench.counters.get(Count.QUERIES_SERVED));
-        assertEquals(0, bench.counters.get(Count.INTERNAL_ERRORS));
+        SocketTestSupport.await(() -> support.counters.get(Count.ENDS_CANCELLED) == 1);
+        assertEquals(1, support.counters.get(Count.QUERIES_SERVED));
+        assertEquals(0, support.counters.get(Count.INTERNAL_ERRORS));
     }
 
     /**
@@ -137,26 +141,28 @@
      * behind.
      */
     @Test
-    void everyConnectionOfAGivenUpAttemptIsClosed() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
-        StubEngine e =
-                bench.startEngine(
+    void cancelledAttemptClosesAllConnections() throws Exception {
+        CountDownLatch attemptCompleted = new CountDownLatch(1);
+        StubEngine engine =
+                support.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("POST")) {
                                 return RUNNING;
                             }
-                            SocketTestSupport.await(() -> over.getCount() == 0, 20_000);
+                            SocketTestSupport.await(() -> attemptCompleted.getCount() == 0, 20_000);
                             return SocketTestSupport.NO_RESPONSE;
                         });
-        Client client = bench.connectClient().startSession();
+        Client client = support.connectClient().startSession();
         client.write(Client.queryMessage(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> e.countCalls("GET") >= 1);
+        SocketTestSupport.await(() -> engine.countCalls("GET") >= 1);
         client.cancel();
-        SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_CANCELLED) == 1);
-        assertTrue(e.countCalls("DELETE") >= 2, "tried again: " + e.calls);
-        over.countDown();
+        SocketTestSupport.await(() -> support.counters.get(Count.ENDS_CANCELLED) == 1);
+        assertTrue(engine.countCalls("DELETE") >= 2, "tried again: " + engine.calls);
+        attemptCompleted.countDown();
         SocketTestSupport.await(
-                () -> e.closedConnections.get() == bench.counters.get(Count.ENGINES_CONNECTED));
+                () ->
+                        engine.closedConnections.get()
+                                == support.counters.get(Count.ENGINES_CONNECTED));
     }
 }
--- a/src/test/java/junipercourse/engine/CrossedDialTest.java
+++ b/src/test/java/junipercourse/engine/CrossedDialTest.java
@@ -36,19 +36,19 @@
  * before the loop has seen that: the turn is held until the engine has accepted.
  */
 class CrossedDialTest {
-    private static final int PATIENCE_MS = 3000;
+    private static final int TIMEOUT_MILLIS = 3000;
     private final Counters counters = new Counters();
     private final EventLoop loop =
             new EventLoop(() -> counters.increment(Count.INTERNAL_ERRORS), e -> {});
     private final DescriptorBudget.Share share =
             new DescriptorBudget(1024, 28).allocateShare("engines", 16, 4);
-    private final EngineClient engines =
+    private final EngineClient engineClient =
             new EngineClient(loop, SocketTestSupport.settings(), share, counters);
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<AttemptCompletion> ends = new CopyOnWriteArrayList<>();
+    private final List<AttemptCompletion> completions = new CopyOnWriteArrayList<>();
 
     CrossedDialTest() throws Exception {
-        server.setSoTimeout(PATIENCE_MS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
     }
 
     @AfterEach
@@ -57,16 +57,16 @@
         server.close();
     }
 
-    private void list(EngineStage stage) {
+    private void updateEngine(EngineStage stage) {
         EngineListing entry = new EngineListing(new EngineId(1), 0, 0, 0, stage, 1, 0);
-        engines.updateEndpoints(
+        engineClient.updateEndpoints(
                 EndpointUpdateKind.DELTA,
                 List.of(
                         new EngineEndpoint(
                                 entry, (InetSocketAddress) server.getLocalSocketAddress())));
     }
 
-    private Backend.Attempt start() {
+    private Backend.Attempt startAttempt() {
         double now = loop.now();
         Query query =
                 new Query(
@@ -83,16 +83,16 @@
                         false,
                         "SELECT 1".getBytes(StandardCharsets.UTF_8),
                         new ArrivalInterval(now, now));
-        return engines.startAttempt(new EngineId(1), query, now + 5, ends::add);
+        return engineClient.startAttempt(new EngineId(1), query, now + 5, completions::add);
     }
 
     /** What the engine reads before the connection ends, or until it has a call. */
-    private static String read(Socket s) throws Exception {
-        s.setSoTimeout(PATIENCE_MS);
-        byte[] got = new byte[4096];
+    private static String readMethod(Socket socket) throws Exception {
+        socket.setSoTimeout(TIMEOUT_MILLIS);
+        byte[] buffer = new byte[4096];
         try {
-            int n = s.getInputStream().read(got);
-            return n < 0 ? "" : new String(got, 0, 4, StandardCharsets.ISO_8859_1);
+            int length = socket.getInputStream().read(buffer);
+            return length < 0 ? "" : new String(buffer, 0, 4, StandardCharsets.ISO_8859_1);
         } catch (SocketException reset) {
             return "";
         }
@@ -107,24 +107,24 @@
         "nothing,OK",
         "held past the dial's time,"
     })
-    void aConnectionThatComesUpInTheSameTurnCarriesNothingThatIsOver(
+    void connectionOpenedInSameIterationCarriesNoObsoleteRequest(
             String event, AttemptOutcome expected) throws Exception {
         AtomicReference<Socket> accepted = new AtomicReference<>();
-        AtomicReference<Exception> failed = new AtomicReference<>();
+        AtomicReference<Exception> failure = new AtomicReference<>();
         loop.execute(
                 () -> {
-                    list(EngineStage.READY);
-                    Backend.Attempt attempt = start();
+                    updateEngine(EngineStage.READY);
+                    Backend.Attempt attempt = startAttempt();
                     loop.execute(
                             () -> { // after the dial has begun
                                 try {
                                     accepted.set(server.accept());
                                 } catch (java.io.IOException e) {
-                                    failed.set(e);
+                                    failure.set(e);
                                 }
                                 SocketTestSupport.sleepMillis(event.startsWith("held") ? 400 : 20);
                                 if (event.startsWith("drained") || event.equals("gone")) {
-                                    list(
+                                    updateEngine(
                                             event.equals("gone")
                                                     ? EngineStage.GONE
                                                     : EngineStage.DRAINING);
@@ -134,21 +134,21 @@
                                 }
                             });
                 });
-        SocketTestSupport.await(() -> accepted.get() != null || failed.get() != null);
-        try (Socket s = accepted.get()) {
-            String call = read(s);
+        SocketTestSupport.await(() -> accepted.get() != null || failure.get() != null);
+        try (Socket socket = accepted.get()) {
+            String call = readMethod(socket);
             if (!call.isEmpty()) {
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write(SocketTestSupport.OK.getBytes(StandardCharsets.ISO_8859_1));
             }
-            SocketTestSupport.await(() -> !ends.isEmpty());
-            AttemptOutcome outcome = ends.get(0).outcome();
+            SocketTestSupport.await(() -> !completions.isEmpty());
+            AttemptOutcome outcome = completions.get(0).outcome();
             assertTrue(expected == null || expected == outcome, "ended as " + outcome);
             assertEquals(outcome == AttemptOutcome.OK ? "POST" : "", call, "ended as " + outcome);
         }
         SocketTestSupport.await(
                 () -> share.available() == 16); // whoever closed it, its descriptor came back once
-        assertEquals(1, ends.size());
+        assertEquals(1, completions.size());
         assertEquals(0, counters.get(Count.INTERNAL_ERRORS));
     }
 }
--- a/src/test/java/junipercourse/engine/DuplicateResponseTest.java
+++ b/src/test/java/junipercourse/engine/DuplicateResponseTest.java
@@ -22,59 +22,59 @@
 
 /** Engines that send answers twice: no answer, page or proof is taken from the wrong call. */
 class DuplicateResponseTest {
-    private static final String UNRUN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
-    private static final int PAGES = 3;
-    private final SocketTestSupport bench;
-    private final Set<String> running = ConcurrentHashMap.newKeySet();
-    private final List<String> faults = new CopyOnWriteArrayList<>();
+    private static final String NEVER_RAN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final int PAGE_COUNT = 3;
+    private final SocketTestSupport support;
+    private final Set<String> runningQueries = ConcurrentHashMap.newKeySet();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
 
     DuplicateResponseTest() throws Exception {
-        bench = new SocketTestSupport();
+        support = new SocketTestSupport();
     }
 
     @AfterEach
     void close() throws Exception {
-        bench.close();
+        support.close();
     }
 
-    private static String id(String call) {
+    private static String queryId(String call) {
         return call.startsWith("POST") ? call.substring(call.length() - 16) : call.split("/")[2];
     }
 
-    private static String page(String id, int n) {
-        String row = id + "\t" + n + "\tc\n";
+    private static String page(String id, int number) {
+        String row = id + "\t" + number + "\tc\n";
         return "HTTP/1.1 200 OK\r\n"
-                + (n == 0 ? "X-Fetches: " + PAGES : "X-Fetch: " + n)
+                + (number == 0 ? "X-Fetches: " + PAGE_COUNT : "X-Fetch: " + number)
                 + "\r\nContent-Length: "
                 + row.length()
                 + "\r\n\r\n"
                 + row;
     }
 
-    private static String rows(int number) {
-        String id = "%016x".formatted(number);
+    private static String rows(int queryNumber) {
+        String id = "%016x".formatted(queryNumber);
         return "T D(" + id + " 0 c) D(" + id + " 1 c) D(" + id + " 2 c) C(SELECT 3)";
     }
 
     /**
      * What an engine that runs each query until {@code news} is no 202 answers; it knows the truth.
      */
-    private String answer(String call, String news) {
-        String id = id(call);
+    private String answer(String call, String stateResponse) {
+        String id = queryId(call);
         if (call.startsWith("DELETE")) {
-            running.remove(id);
+            runningQueries.remove(id);
             return SocketTestSupport.CANCELLED;
         }
         if (call.startsWith("GET") && !call.endsWith("/0")) {
             return page(id, call.charAt(call.length() - 1) - '0');
         }
-        if (call.startsWith("POST") && !running.add(id)) {
-            faults.add("two attempts at once: " + id);
+        if (call.startsWith("POST") && !runningQueries.add(id)) {
+            violations.add("two attempts at once: " + id);
         }
-        if (!news.equals(SocketTestSupport.RUNNING)) {
-            running.remove(id);
+        if (!stateResponse.equals(SocketTestSupport.RUNNING)) {
+            runningQueries.remove(id);
         }
-        return news.isEmpty() ? page(id, 0) : news;
+        return stateResponse.isEmpty() ? page(id, 0) : stateResponse;
     }
 
     /** By kind of the first answer, a copy of which meets the next call, whoever's it is. */
@@ -83,44 +83,48 @@
         "200,100", "202,100", "500,100", "503,100", "504,100", "204,100", "200,3", "202,3", "500,3",
         "503,3", "504,3", "204,3"
     })
-    void eachClientGetsItsOwnRows(int kind, long echoMs) throws Exception {
-        AtomicInteger posts = new AtomicInteger();
-        EchoEngine e =
+    void duplicateOfFirstResponseLeavesRowsUnchanged(int status, long duplicateDelayMillis)
+            throws Exception {
+        AtomicInteger postCount = new AtomicInteger();
+        EchoEngine engine =
                 new EchoEngine(
                         call -> {
-                            boolean first = call.startsWith("POST") && posts.incrementAndGet() == 1;
-                            boolean held = call.endsWith("/0");
-                            SocketTestSupport.sleepMillis(held ? 20 : 0);
+                            boolean isFirstPost =
+                                    call.startsWith("POST") && postCount.incrementAndGet() == 1;
+                            boolean isPoll = call.endsWith("/0");
+                            SocketTestSupport.sleepMillis(isPoll ? 20 : 0);
                             return answer(
                                     call,
-                                    kind == 204 && id(call).endsWith("1")
+                                    status == 204 && queryId(call).endsWith("1")
                                             ? SocketTestSupport.RUNNING
-                                            : !first
+                                            : !isFirstPost
                                                     ? ""
-                                                    : switch (kind) {
+                                                    : switch (status) {
                                                         case 202 -> SocketTestSupport.RUNNING;
                                                         case 500 -> SocketTestSupport.FAILED;
-                                                        case 503 -> "HTTP/1.1 503 Full\r\n" + UNRUN;
-                                                        case 504 -> "HTTP/1.1 504 Late\r\n" + UNRUN;
+                                                        case 503 ->
+                                                                "HTTP/1.1 503 Full\r\n" + NEVER_RAN;
+                                                        case 504 ->
+                                                                "HTTP/1.1 504 Late\r\n" + NEVER_RAN;
                                                         default -> "";
                                                     });
                         },
-                        call -> echoMs);
-        try (e;
-                Client one = bench.connectClient().startSession();
-                Client two = bench.connectClient().startSession()) {
-            bench.updateEndpointAndWait(1, e, EngineStage.READY);
-            one.write(Client.queryMessage(SocketTestSupport.query("check", 1, 3000)));
-            SocketTestSupport.await(() -> e.countCalls("POST") > 0);
-            if (kind == 204) {
-                SocketTestSupport.await(() -> e.countCalls("GET") > 0);
-                one.cancel();
-                SocketTestSupport.await(() -> e.countCalls("DELETE") > 0);
+                        call -> duplicateDelayMillis);
+        try (engine;
+                Client firstClient = support.connectClient().startSession();
+                Client secondClient = support.connectClient().startSession()) {
+            support.updateEndpointAndWait(1, engine, EngineStage.READY);
+            firstClient.write(Client.queryMessage(SocketTestSupport.query("check", 1, 3000)));
+            SocketTestSupport.await(() -> engine.countCalls("POST") > 0);
+            if (status == 204) {
+                SocketTestSupport.await(() -> engine.countCalls("GET") > 0);
+                firstClient.cancel();
+                SocketTestSupport.await(() -> engine.countCalls("DELETE") > 0);
             }
-            String answer = one.readAnswer();
-            assertTrue(answer.equals(rows(1)) || kind >= 204 && answer.startsWith("E("), answer);
-            assertEquals(rows(2), two.query(SocketTestSupport.query("check", 2, 5000)));
-            assertEquals(List.of(), faults);
+            String answer = firstClient.readAnswer();
+            assertTrue(answer.equals(rows(1)) || status >= 204 && answer.startsWith("E("), answer);
+            assertEquals(rows(2), secondClient.query(SocketTestSupport.query("check", 2, 5000)));
+            assertEquals(List.of(), violations);
         }
     }
 
@@ -129,83 +133,90 @@
      * it.
      */
     @Test
-    void whateverComesTwiceEachClientGetsItsOwnRows() throws Exception {
+    void randomDuplicatesLeaveRowsUnchanged() throws Exception {
         long seed = 20261202;
-        Map<String, Long> until = new ConcurrentHashMap<>();
+        Map<String, Long> completionTimes = new ConcurrentHashMap<>();
         Random random = new Random(seed);
         List<EchoEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            EchoEngine e =
+            EchoEngine engine =
                     new EchoEngine(
                             call -> {
                                 if (call.startsWith("DELETE")
                                         || call.startsWith("GET") && !call.endsWith("/0")) {
                                     return answer(call, "");
                                 }
-                                long now = System.nanoTime();
-                                long end =
-                                        until.computeIfAbsent(
-                                                id(call),
-                                                k -> now + random.nextInt(400) * 1_000_000L);
-                                long left = Math.max(0, (end - now) / 1_000_000);
+                                long nowNanos = System.nanoTime();
+                                long completionNanos =
+                                        completionTimes.computeIfAbsent(
+                                                queryId(call),
+                                                k -> nowNanos + random.nextInt(400) * 1_000_000L);
+                                long remainingMillis =
+                                        Math.max(0, (completionNanos - nowNanos) / 1_000_000);
                                 if (call.startsWith("POST") && random.nextInt(5) == 0) {
-                                    until.remove(id(call));
+                                    completionTimes.remove(queryId(call));
                                     return answer(
                                             call,
                                             random.nextBoolean()
                                                     ? SocketTestSupport.AT_CAPACITY
                                                     : SocketTestSupport.FAILED);
                                 }
-                                SocketTestSupport.sleepMillis(Math.min(left, 250));
-                                return answer(call, left >= 250 ? SocketTestSupport.RUNNING : "");
+                                SocketTestSupport.sleepMillis(Math.min(remainingMillis, 250));
+                                return answer(
+                                        call,
+                                        remainingMillis >= 250 ? SocketTestSupport.RUNNING : "");
                             },
                             call -> random.nextBoolean() ? random.nextInt(251) : -1);
-            engines.add(e);
-            bench.updateEndpointAndWait(i, e, EngineStage.READY);
+            engines.add(engine);
+            support.updateEndpointAndWait(i, engine, EngineStage.READY);
         }
         List<Thread> threads = new ArrayList<>();
         AtomicInteger served = new AtomicInteger();
         for (int c = 0; c < 8; c++) {
-            int base = 100 * (c + 1);
-            Thread t =
+            int firstNumber = 100 * (c + 1);
+            Thread thread =
                     new Thread(
                             () -> {
-                                try (Client client = bench.connectClient().startSession()) {
-                                    for (int n = base; n < base + 10; n++) {
+                                try (Client client = support.connectClient().startSession()) {
+                                    for (int number = firstNumber;
+                                            number < firstNumber + 10;
+                                            number++) {
                                         client.write(
                                                 Client.queryMessage(
-                                                        SocketTestSupport.query("check", n, 4000)));
-                                        if (n % 5 == 4) {
+                                                        SocketTestSupport.query(
+                                                                "check", number, 4000)));
+                                        if (number % 5 == 4) {
                                             SocketTestSupport.sleepMillis(random.nextInt(200));
                                             client.cancel();
                                         }
                                         String answer = client.readAnswer();
-                                        served.addAndGet(answer.equals(rows(n)) ? 1 : 0);
-                                        if (!answer.equals(rows(n)) && !answer.startsWith("E(")) {
-                                            faults.add(n + " got " + answer);
+                                        served.addAndGet(answer.equals(rows(number)) ? 1 : 0);
+                                        if (!answer.equals(rows(number))
+                                                && !answer.startsWith("E(")) {
+                                            violations.add(number + " got " + answer);
                                         }
                                     }
                                 } catch (java.io.IOException e) {
-                                    faults.add(e.toString());
+                                    violations.add(e.toString());
                                 }
                             });
-            threads.add(t);
-            t.start();
+            threads.add(thread);
+            thread.start();
         }
-        for (Thread t : threads) {
-            t.join(9000);
+        for (Thread thread : threads) {
+            thread.join(9000);
         }
         System.out.println(
                 "connections="
-                        + bench.counters.get(Count.ENGINES_CONNECTED)
+                        + support.counters.get(Count.ENGINES_CONNECTED)
                         + " attempts="
-                        + bench.counters.get(Count.ATTEMPTS_SENT)
+                        + support.counters.get(Count.ATTEMPTS_SENT)
                         + " served="
                         + served);
-        assertEquals(List.of(), faults, "seed " + seed);
+        assertEquals(List.of(), violations, "seed " + seed);
         assertTrue(served.get() >= 30, "seed " + seed + ": served " + served);
-        for (EchoEngine e : engines) {
-            e.close();
+        for (EchoEngine engine : engines) {
+            engine.close();
         }
     }
 }
--- a/src/test/java/junipercourse/engine/EchoEngine.java
+++ b/src/test/java/junipercourse/engine/EchoEngine.java
@@ -14,29 +14,30 @@
  * another call on the connection comes before, right before that.
  */
 final class EchoEngine extends SocketTestSupport.StubEngine {
-    private final Map<Socket, Copy> copies = new ConcurrentHashMap<>();
-    private final ToLongFunction<String> echoMs;
+    private final Map<Socket, Copy> pendingCopies = new ConcurrentHashMap<>();
+    private final ToLongFunction<String> duplicateDelayMillis;
 
     /** {@code echoMs}: by call, when the copy goes out at the latest; none below 0. */
-    EchoEngine(Function<String, String> script, ToLongFunction<String> echoMs) throws IOException {
+    EchoEngine(Function<String, String> script, ToLongFunction<String> duplicateDelayMillis)
+            throws IOException {
         super(script);
-        this.echoMs = echoMs;
+        this.duplicateDelayMillis = duplicateDelayMillis;
     }
 
     @Override
-    protected void send(Socket s, String call, String answer) throws IOException {
-        Copy before = copies.remove(s);
-        if (before != null) {
-            before.send();
+    protected void send(Socket socket, String call, String answer) throws IOException {
+        Copy previous = pendingCopies.remove(socket);
+        if (previous != null) {
+            previous.send();
         }
-        super.send(s, call, answer);
-        long delay = echoMs.applyAsLong(call);
-        if (delay >= 0) {
-            Copy copy = new Copy(s, answer);
-            copies.put(s, copy);
+        super.send(socket, call, answer);
+        long delayMillis = duplicateDelayMillis.applyAsLong(call);
+        if (delayMillis >= 0) {
+            Copy copy = new Copy(socket, answer);
+            pendingCopies.put(socket, copy);
             SocketTestSupport.startDaemon(
                     () -> {
-                        SocketTestSupport.sleepMillis(delay);
+                        SocketTestSupport.sleepMillis(delayMillis);
                         copy.send();
                     });
         }
@@ -53,9 +54,9 @@
         }
 
         synchronized void send() throws IOException {
-            String now = text;
+            String unsent = text;
             text = "";
-            socket.getOutputStream().write(now.getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(unsent.getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 }
--- a/src/test/java/junipercourse/engine/EngineRequestBytesTest.java
+++ b/src/test/java/junipercourse/engine/EngineRequestBytesTest.java
@@ -31,30 +31,30 @@
     }
 
     @Test
-    void encodesAPostWithItsIdempotencyKey() {
+    void postWithIdempotencyKeyHasKeyHeader() {
         assertEquals(
                 "POST /fetch HTTP/1.1\r\nHost: engine\r\nX-Txn: 00000000000000ab\r\n"
                         + "X-Lane: scan\r\nX-Limit-Ms: 250\r\nX-Dedupe: k-1\r\n"
                         + "Content-Length: 8\r\n\r\nSELECT 1",
-                text(EngineRequestEncoder.post(query("k-1"), 250)));
+                text(EngineRequestEncoder.encodePost(query("k-1"), 250)));
     }
 
     @Test
-    void leavesOutTheKeyHeaderWithoutAKey() {
+    void postWithoutIdempotencyKeyHasNoKeyHeader() {
         assertEquals(
                 "POST /fetch HTTP/1.1\r\nHost: engine\r\nX-Txn: 00000000000000ab\r\n"
                         + "X-Lane: scan\r\nX-Limit-Ms: 0\r\n"
                         + "Content-Length: 8\r\n\r\nSELECT 1",
-                text(EngineRequestEncoder.post(query(null), 0)));
+                text(EngineRequestEncoder.encodePost(query(null), 0)));
     }
 
     @Test
-    void encodesCallsWithoutABody() {
+    void getAndDeleteHaveNoBody() {
         assertEquals(
                 "GET /fetch/00000000000000ab/0 HTTP/1.1\r\nHost: engine\r\n\r\n",
-                text(EngineRequestEncoder.bare("GET", query(null), "/0")));
+                text(EngineRequestEncoder.encodeWithoutBody("GET", query(null), "/0")));
         assertEquals(
                 "DELETE /fetch/00000000000000ab HTTP/1.1\r\nHost: engine\r\n\r\n",
-                text(EngineRequestEncoder.bare("DELETE", query(null), "")));
+                text(EngineRequestEncoder.encodeWithoutBody("DELETE", query(null), "")));
     }
 }
--- a/src/test/java/junipercourse/engine/FullQueue.java
+++ b/src/test/java/junipercourse/engine/FullQueue.java
@@ -17,10 +17,10 @@
  * and the system answers no further SYN. A client's system tries again a second after its first.
  */
 final class FullQueue implements Closeable {
-    private static final int FILL_MS = 100;
+    private static final int CONNECT_TIMEOUT_MILLIS = 100;
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> parked = new ArrayList<>();
-    private final StubEngine listed =
+    private final List<Socket> queuedSockets = new ArrayList<>();
+    private final StubEngine endpoint =
             new StubEngine(call -> SocketTestSupport.NO_RESPONSE) {
                 @Override
                 public InetSocketAddress address() {
@@ -30,38 +30,38 @@
 
     FullQueue() throws IOException {
         while (true) {
-            Socket s = new Socket();
+            Socket socket = new Socket();
             try {
-                s.connect(server.getLocalSocketAddress(), FILL_MS);
-                parked.add(s);
-            } catch (SocketTimeoutException full) {
-                s.close();
+                socket.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MILLIS);
+                queuedSockets.add(socket);
+            } catch (SocketTimeoutException queueFull) {
+                socket.close();
                 return;
             }
         }
     }
 
     /** For the list of engines. */
-    StubEngine listed() {
-        return listed;
+    StubEngine endpoint() {
+        return endpoint;
     }
 
     /** Takes what was parked out of the queue and gives the next connection that comes up. */
-    Socket open() throws IOException {
-        for (Socket s : parked) {
-            s.close();
+    Socket drainAndAccept() throws IOException {
+        for (Socket socket : queuedSockets) {
+            socket.close();
             server.accept().close();
         }
-        parked.clear();
+        queuedSockets.clear();
         return server.accept();
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        listed.close();
-        for (Socket s : parked) {
-            s.close();
+        endpoint.close();
+        for (Socket socket : queuedSockets) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/junipercourse/engine/HttpResponseParserTest.java
+++ b/src/test/java/junipercourse/engine/HttpResponseParserTest.java
@@ -33,25 +33,28 @@
                 "HTTP/1.1 100 Continue~~HTTP/1.1 500 Oops~Content-Length: 2~~no | 500 'no' true",
                 "HTTP/1.1 202 A~Content-Length: 0~~HTTP/1.1 204 B~~ | 202 '' true 204 '' true"
             })
-    void readsResponsesInAnyPieces(String text, String expected)
+    void responsesAreReadFromPiecesOfAnySize(String text, String expected)
             throws HttpResponseParser.GarbledException {
         byte[] bytes = unescaped(text).getBytes(StandardCharsets.ISO_8859_1);
-        for (int piece = 1; piece <= bytes.length; piece++) {
+        for (int pieceSize = 1; pieceSize <= bytes.length; pieceSize++) {
             HttpResponseParser parser = new HttpResponseParser();
-            List<String> got = new ArrayList<>();
-            for (int at = 0; at < bytes.length; at += piece) {
-                ByteBuffer in = ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at));
-                for (HttpResponse r = parser.read(in); r != null; r = parser.read(in)) {
-                    got.add(
-                            r.status()
+            List<String> responses = new ArrayList<>();
+            for (int offset = 0; offset < bytes.length; offset += pieceSize) {
+                ByteBuffer input =
+                        ByteBuffer.wrap(bytes, offset, Math.min(pieceSize, bytes.length - offset));
+                for (HttpResponse response = parser.read(input);
+                        response != null;
+                        response = parser.read(input)) {
+                    responses.add(
+                            response.status()
                                     + " '"
-                                    + new String(r.body(), StandardCharsets.ISO_8859_1)
+                                    + new String(response.body(), StandardCharsets.ISO_8859_1)
                                     + "' "
-                                    + r.keepAlive());
+                                    + response.keepAlive());
                 }
             }
-            assertEquals(expected, String.join(" ", got), "pieces of " + piece);
-            assertTrue(parser.atStart());
+            assertEquals(expected, String.join(" ", responses), "pieces of " + pieceSize);
+            assertTrue(parser.isBetweenResponses());
         }
     }
 
@@ -79,10 +82,11 @@
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~zz~",
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~1~xyz~"
             })
-    void garbledBytesAreTold(String text) {
-        ByteBuffer in = ByteBuffer.wrap(unescaped(text).getBytes(StandardCharsets.ISO_8859_1));
+    void malformedResponseIsRejected(String text) {
+        ByteBuffer input = ByteBuffer.wrap(unescaped(text).getBytes(StandardCharsets.ISO_8859_1));
         assertThrows(
-                HttpResponseParser.GarbledException.class, () -> new HttpResponseParser().read(in));
+                HttpResponseParser.GarbledException.class,
+                () -> new HttpResponseParser().read(input));
     }
 
     /**
@@ -106,23 +110,25 @@
                 "HTTP/1.1 100 Continue~ | X: 1~",
                 "HTTP/1.1 204 None~ | X: 1~"
             })
-    void anAnswerThatNeverEndsIsGarbledWithinItsBound(String begins, String goesOn)
+    void endlessResponseIsRejectedWithinSizeLimit(String start, String continuation)
             throws Exception {
         HttpResponseParser parser = new HttpResponseParser();
-        parser.read(ByteBuffer.wrap(unescaped(begins).getBytes(StandardCharsets.ISO_8859_1)));
-        int[] fed = {begins.length()};
+        parser.read(ByteBuffer.wrap(unescaped(start).getBytes(StandardCharsets.ISO_8859_1)));
+        int[] bytesFed = {start.length()};
         assertThrows(
                 HttpResponseParser.GarbledException.class,
                 () -> {
-                    for (int i = 0; fed[0] < 2 * HttpResponseParser.MAX_ANSWER; i++) {
+                    for (int i = 0; bytesFed[0] < 2 * HttpResponseParser.MAX_RESPONSE_BYTES; i++) {
                         byte[] more =
-                                unescaped(goesOn.replace("#", "" + i))
+                                unescaped(continuation.replace("#", "" + i))
                                         .getBytes(StandardCharsets.ISO_8859_1);
-                        fed[0] += more.length;
+                        bytesFed[0] += more.length;
                         parser.read(ByteBuffer.wrap(more));
                     }
                 });
-        assertTrue(fed[0] <= HttpResponseParser.MAX_ANSWER + 100, "only after " + fed[0]);
+        assertTrue(
+                bytesFed[0] <= HttpResponseParser.MAX_RESPONSE_BYTES + 100,
+                "only after " + bytesFed[0]);
     }
 
     /**
@@ -130,15 +136,15 @@
      * bound.
      */
     @Test
-    void theBoundIsThatOfEachAnswer() throws Exception {
+    void sizeLimitAppliesToEachResponse() throws Exception {
         HttpResponseParser parser = new HttpResponseParser();
         String body = "x".repeat(50_000);
-        ByteBuffer answer =
+        ByteBuffer response =
                 ByteBuffer.wrap(
                         ("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.ISO_8859_1));
         for (int i = 0; i < 5; i++) {
-            assertEquals(50_000, parser.read(answer.rewind()).body().length);
+            assertEquals(50_000, parser.read(response.rewind()).body().length);
         }
     }
 
@@ -155,14 +161,14 @@
                 "queue:-1;util:1 | ''",
                 "queue;util | ''"
             })
-    void readsLoadReportsWholeOrNotAtAll(String text, String expected) {
-        float[] got =
+    void loadReportIsReadOnlyIfComplete(String text, String expected) {
+        float[] values =
                 new EngineClient.GaugeReader(List.of(LoadMetric.QUEUED, LoadMetric.BUSY))
                         .read(text);
-        float[] want = new float[expected.isEmpty() ? 0 : 2];
-        for (int i = 0; i < want.length; i++) {
-            want[i] = Float.parseFloat(expected.split(" ")[i]);
+        float[] expectedValues = new float[expected.isEmpty() ? 0 : 2];
+        for (int i = 0; i < expectedValues.length; i++) {
+            expectedValues[i] = Float.parseFloat(expected.split(" ")[i]);
         }
-        assertArrayEquals(want, got);
+        assertArrayEquals(expectedValues, values);
     }
 }
--- a/src/test/java/junipercourse/engine/LateConnectionTest.java
+++ b/src/test/java/junipercourse/engine/LateConnectionTest.java
@@ -20,9 +20,10 @@
 class LateConnectionTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
 
-    private static SocketTestSupport bench(String dialTimeout) throws Exception {
+    private static SocketTestSupport createSupport(String dialTimeoutSetting) throws Exception {
         return new SocketTestSupport(
-                SocketTestSupport.CONFIG.replace("\"dial_timeout_s\":0.25", dialTimeout), 512);
+                SocketTestSupport.CONFIG.replace("\"dial_timeout_s\":0.25", dialTimeoutSetting),
+                512);
     }
 
     /**
@@ -30,33 +31,34 @@
      * same.
      */
     @Test
-    void aConnectionWithinTheSettingsTimeCarriesItsQuery() throws Exception {
-        try (SocketTestSupport bench = bench("\"dial_timeout_s\":3.0");
-                FullQueue late = new FullQueue()) {
-            bench.updateEndpointAndWait(1, late.listed(), EngineStage.READY);
-            Client client = bench.connectClient().startSession();
+    void connectionOpenedWithinDialTimeoutCarriesItsQuery() throws Exception {
+        try (SocketTestSupport support = createSupport("\"dial_timeout_s\":3.0");
+                FullQueue lateEngine = new FullQueue()) {
+            support.updateEndpointAndWait(1, lateEngine.endpoint(), EngineStage.READY);
+            Client client = support.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
-            SocketTestSupport.await(() -> bench.counters.get(Count.ATTEMPTS_SENT) == 1);
-            AtomicReference<String> first = new AtomicReference<>("");
+            SocketTestSupport.await(() -> support.counters.get(Count.ATTEMPTS_SENT) == 1);
+            AtomicReference<String> requestMethod = new AtomicReference<>("");
             SocketTestSupport.startDaemon(
                     () -> {
-                        try (Socket s = late.open()) {
-                            byte[] got = new byte[4];
-                            first.set(
+                        try (Socket socket = lateEngine.drainAndAccept()) {
+                            byte[] buffer = new byte[4];
+                            requestMethod.set(
                                     new String(
-                                            got,
+                                            buffer,
                                             0,
-                                            s.getInputStream().read(got),
+                                            socket.getInputStream().read(buffer),
                                             StandardCharsets.ISO_8859_1));
                             SocketTestSupport.sleepMillis(
                                     250); // as an engine that holds a call for news
-                            s.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
-                            s.getInputStream().read(new byte[4096]);
+                            socket.getOutputStream()
+                                    .write(OK.getBytes(StandardCharsets.ISO_8859_1));
+                            socket.getInputStream().read(new byte[4096]);
                         }
                     });
             assertEquals(SERVED, client.readAnswer());
-            assertEquals("POST", first.get());
-            assertEquals(1, bench.counters.get(Count.ATTEMPTS_SENT));
+            assertEquals("POST", requestMethod.get());
+            assertEquals(1, support.counters.get(Count.ATTEMPTS_SENT));
         }
     }
 
@@ -65,17 +67,17 @@
      * on.
      */
     @Test
-    void oneThatNeverComesUpLeavesTheQueryToOthers() throws Exception {
-        try (SocketTestSupport bench = bench("\"dial_timeout_s\":0.8");
-                FullQueue never = new FullQueue()) {
-            bench.updateEndpointAndWait(1, never.listed(), EngineStage.READY);
-            Client client = bench.connectClient().startSession();
+    void dialTimeoutMovesQueryToAnotherEngine() throws Exception {
+        try (SocketTestSupport support = createSupport("\"dial_timeout_s\":0.8");
+                FullQueue unreachableEngine = new FullQueue()) {
+            support.updateEndpointAndWait(1, unreachableEngine.endpoint(), EngineStage.READY);
+            Client client = support.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
-            SocketTestSupport.await(() -> bench.counters.get(Count.ATTEMPTS_SENT) == 1);
-            bench.startEngine(2, call -> OK);
+            SocketTestSupport.await(() -> support.counters.get(Count.ATTEMPTS_SENT) == 1);
+            support.startEngine(2, call -> OK);
             assertEquals(SERVED, client.readAnswer());
-            assertEquals(1, bench.counters.get(Count.ENDS_UNREACHABLE));
-            assertEquals(0, bench.counters.get(Count.ENDS_MOOT));
+            assertEquals(1, support.counters.get(Count.ENDS_UNREACHABLE));
+            assertEquals(0, support.counters.get(Count.ENDS_MOOT));
         }
     }
 }
--- a/src/test/java/junipercourse/engine/MalformedResponseTest.java
+++ b/src/test/java/junipercourse/engine/MalformedResponseTest.java
@@ -27,32 +27,33 @@
  * told.
  */
 class MalformedResponseTest {
-    private static final String HEAD = "HTTP/1.1 200 OK~X-Fetches: 1~";
-    private static final String CHUNKS = HEAD + "Transfer-Encoding: chunked~~";
+    private static final String OK_HEAD = "HTTP/1.1 200 OK~X-Fetches: 1~";
+    private static final String CHUNKED_HEAD = OK_HEAD + "Transfer-Encoding: chunked~~";
     private static final String TWO_ROWS =
             "HTTP/1.1 200 OK~X-Fetches: 1~Content-Length: 12~~a\tb\tc\nd\te\tf\n";
-    private static final String FIRST_OF_TWO =
+    private static final String FIRST_OF_TWO_PAGES =
             "HTTP/1.1 200 OK~X-Fetches: 2~Content-Length: 6~~a\tb\tc\n";
-    private static final String SECOND = "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 6~~d\te\tf\n";
+    private static final String SECOND_PAGE =
+            "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 6~~d\te\tf\n";
     private static final String SERVED = "T D(a b c) D(d e f) C(SELECT 2)";
 
     /** Of an answer's bound, and what the system holds of a connection on either side. */
-    private static final long MOST_SENT = 16 << 20;
+    private static final long MAX_SENT_BYTES = 16 << 20;
 
-    private static final long SECOND_NS = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
-    private final SocketTestSupport bench;
+    private final SocketTestSupport support;
 
     MalformedResponseTest() throws Exception {
-        bench = new SocketTestSupport();
+        support = new SocketTestSupport();
     }
 
     @AfterEach
     void close() throws Exception {
-        bench.close();
+        support.close();
     }
 
-    private static String raw(String text) {
+    private static String unescaped(String text) {
         return text.replace("~", "\r\n");
     }
 
@@ -61,45 +62,47 @@
      * good.
      */
     private static final class SpoiltEngine extends StubEngine {
-        private final AtomicLong sent = new AtomicLong();
+        private final AtomicLong sentBytes = new AtomicLong();
 
         SpoiltEngine(Function<String, String> script) throws IOException {
             super(script);
         }
 
         @Override
-        protected void send(Socket s, String call, String answer) throws IOException {
-            String[] parts = raw(answer).split("\\|");
-            write(s, parts[0]);
-            if (parts.length == 1) {
+        protected void send(Socket socket, String call, String answer) throws IOException {
+            String[] sections = unescaped(answer).split("\\|");
+            write(socket, sections[0]);
+            if (sections.length == 1) {
                 return;
             }
-            if (parts[1].equals("end")) {
-                s.close();
+            if (sections[1].equals("end")) {
+                socket.close();
                 return;
             }
-            boolean slowly = parts[1].equals("slowly");
-            String more =
-                    slowly ? parts[2] : parts[1].repeat(Math.max(1, 4096 / parts[1].length()));
+            boolean isSlow = sections[1].equals("slowly");
+            String repeatedText =
+                    isSlow
+                            ? sections[2]
+                            : sections[1].repeat(Math.max(1, 4096 / sections[1].length()));
             while (true) {
-                SocketTestSupport.sleepMillis(slowly ? 40 : 0);
-                write(s, more);
+                SocketTestSupport.sleepMillis(isSlow ? 40 : 0);
+                write(socket, repeatedText);
             }
         }
 
-        private void write(Socket s, String text) throws IOException {
-            OutputStream out = s.getOutputStream();
-            out.write(text.getBytes(StandardCharsets.ISO_8859_1));
-            sent.addAndGet(text.length());
+        private void write(Socket socket, String text) throws IOException {
+            OutputStream output = socket.getOutputStream();
+            output.write(text.getBytes(StandardCharsets.ISO_8859_1));
+            sentBytes.addAndGet(text.length());
         }
     }
 
-    private SpoiltEngine engine(Function<String, String> script) throws IOException {
-        SpoiltEngine e =
+    private SpoiltEngine startEngine(Function<String, String> script) throws IOException {
+        SpoiltEngine engine =
                 new SpoiltEngine(
                         call -> call.startsWith("DELETE") ? CANCELLED : script.apply(call));
-        bench.updateEndpointAndWait(1, e, EngineStage.READY);
-        return e;
+        support.updateEndpointAndWait(1, engine, EngineStage.READY);
+        return engine;
     }
 
     /** Told by its bytes, at once, and within a bound; the engine gives the whole answer again. */
@@ -107,27 +110,30 @@
     @ValueSource(
             strings = {
                 "HTTP/1.1 200 |x",
-                HEAD + "X: |x",
-                HEAD + "|X: 1~",
-                CHUNKS + "|1~x~",
-                CHUNKS + "1~x~0~|T: 1~",
-                CHUNKS + "|6;a=b;c=d;e=f;g=h;i=j~a\tb\tc\n~",
-                CHUNKS + "ffffffff~|x",
+                OK_HEAD + "X: |x",
+                OK_HEAD + "|X: 1~",
+                CHUNKED_HEAD + "|1~x~",
+                CHUNKED_HEAD + "1~x~0~|T: 1~",
+                CHUNKED_HEAD + "|6;a=b;c=d;e=f;g=h;i=j~a\tb\tc\n~",
+                CHUNKED_HEAD + "ffffffff~|x",
                 "HTTP/1.1 100 Continue~~|HTTP/1.1 100 Continue~~",
                 "HTTP/1.1 103 Hints~|Link: 1~",
-                HEAD + "Content-Length: 2147483647~~|a\tb\tc\n",
-                HEAD + "Content-Length: +12~~a\tb\tc\nd\te\tf\n"
+                OK_HEAD + "Content-Length: 2147483647~~|a\tb\tc\n",
+                OK_HEAD + "Content-Length: +12~~a\tb\tc\nd\te\tf\n"
             })
-    void whatNeverEndsIsToldAtItsBoundAndAskedForAgain(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
+    void endlessResponseIsRejectedAtLimitAndPolledAgain(String malformed) throws Exception {
+        try (SpoiltEngine engine =
+                startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
             assertEquals(
-                    SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
-            assertEquals(1, e.countCalls("POST"));
+                    SERVED, support.connectClient().startSession().query(query("load", 1, 9000)));
+            assertEquals(1, engine.countCalls("POST"));
             assertEquals(
                     1,
-                    bench.counters.get(Count.ENGINES_GARBLED),
+                    support.counters.get(Count.ENGINES_GARBLED),
                     "told by its length, not by time");
-            assertTrue(e.sent.get() < MOST_SENT, "took " + e.sent.get() + " bytes");
+            assertTrue(
+                    engine.sentBytes.get() < MAX_SENT_BYTES,
+                    "took " + engine.sentBytes.get() + " bytes");
         }
     }
 
@@ -138,25 +144,26 @@
     @ValueSource(
             strings = {
                 "HTTP/1.1 200 |slowly|O",
-                HEAD + "|slowly|X: 1~",
-                CHUNKS + "|slowly|1~x~",
-                HEAD + "Content-Length: 6000~~|slowly|a\tb\tc\n",
+                OK_HEAD + "|slowly|X: 1~",
+                CHUNKED_HEAD + "|slowly|1~x~",
+                OK_HEAD + "Content-Length: 6000~~|slowly|a\tb\tc\n",
                 "HTTP/1.1 102 Wait~|slowly|X: 1~",
                 "HTTP/1.1 20",
-                HEAD,
-                HEAD + "Content-Le",
-                HEAD + "Content-Length: 12~~a\tb\tc\nd\te",
-                HEAD + "Content-Length: 13~~a\tb\tc\nd\te\tf\n",
-                CHUNKS + "6~a\tb\tc\n~",
-                CHUNKS + "0~"
+                OK_HEAD,
+                OK_HEAD + "Content-Le",
+                OK_HEAD + "Content-Length: 12~~a\tb\tc\nd\te",
+                OK_HEAD + "Content-Length: 13~~a\tb\tc\nd\te\tf\n",
+                CHUNKED_HEAD + "6~a\tb\tc\n~",
+                CHUNKED_HEAD + "0~"
             })
-    void whatStopsOrDribblesCostsTheTimeOfOneCall(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
-            Client client = bench.connectClient().startSession();
-            long from = System.nanoTime();
+    void stalledOrSlowResponseCostsOneCallTimeout(String malformed) throws Exception {
+        try (SpoiltEngine engine =
+                startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
+            Client client = support.connectClient().startSession();
+            long startNanos = System.nanoTime();
             assertEquals(SERVED, client.query(query("load", 1, 9000)));
-            assertTrue(System.nanoTime() - from < 6 * SECOND_NS);
-            assertEquals(1, e.countCalls("POST"));
+            assertTrue(System.nanoTime() - startNanos < 6 * SECOND_NANOS);
+            assertEquals(1, engine.countCalls("POST"));
         }
     }
 
@@ -166,22 +173,23 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                HEAD + "Content-Length: 12~~a\tb\tc\n|end",
-                CHUNKS + "6~a\tb\tc\n~|end",
-                HEAD + "|end",
-                HEAD + "~a\tb\tc\n|end",
-                HEAD + "Content-Length: 6~~a\tb\tc\nd\te\tf\n",
-                HEAD + "Content-Length: 9~~a\tb\tc\nd\te\tf\n",
-                HEAD + "Content-Length: 0~~a\tb\tc\nd\te\tf\n",
-                HEAD + "Content-Length: 11~~a\tb\tc\nd\te\tf\n",
-                HEAD + "Content-Length: 6~Content-Length: 12~~a\tb\tc\n",
-                CHUNKS + "6~a\tb\tc\n~0~~d\te\tf\n"
+                OK_HEAD + "Content-Length: 12~~a\tb\tc\n|end",
+                CHUNKED_HEAD + "6~a\tb\tc\n~|end",
+                OK_HEAD + "|end",
+                OK_HEAD + "~a\tb\tc\n|end",
+                OK_HEAD + "Content-Length: 6~~a\tb\tc\nd\te\tf\n",
+                OK_HEAD + "Content-Length: 9~~a\tb\tc\nd\te\tf\n",
+                OK_HEAD + "Content-Length: 0~~a\tb\tc\nd\te\tf\n",
+                OK_HEAD + "Content-Length: 11~~a\tb\tc\nd\te\tf\n",
+                OK_HEAD + "Content-Length: 6~Content-Length: 12~~a\tb\tc\n",
+                CHUNKED_HEAD + "6~a\tb\tc\n~0~~d\te\tf\n"
             })
-    void partOfAResultIsNeverToldAsAll(String spoilt) throws Exception {
-        try (SpoiltEngine e = engine(call -> call.startsWith("POST") ? spoilt : TWO_ROWS)) {
+    void truncatedResultIsNeverReturnedAsComplete(String malformed) throws Exception {
+        try (SpoiltEngine engine =
+                startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
             assertEquals(
-                    SERVED, bench.connectClient().startSession().query(query("load", 1, 9000)));
-            assertEquals(1, e.countCalls("POST"));
+                    SERVED, support.connectClient().startSession().query(query("load", 1, 9000)));
+            assertEquals(1, engine.countCalls("POST"));
         }
     }
 
@@ -193,25 +201,29 @@
                 "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 6~~d\te|end",
                 "HTTP/1.1 200 OK~X-Fetch: 1~|X: 1~",
                 "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 0~~d\te\tf\n",
-                FIRST_OF_TWO,
+                FIRST_OF_TWO_PAGES,
                 "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 7~~d\te\tf\n",
                 "HTTP/1.1 202 Accepted~Content-Length: 0~~",
                 "HTTP/1.1 204 No Content~~"
             })
-    void aSpoiltPageIsGotAgain(String spoilt) throws Exception {
-        AtomicLong pages = new AtomicLong();
-        try (SpoiltEngine e =
-                engine(
+    void malformedPageIsFetchedAgain(String malformed) throws Exception {
+        AtomicLong pageRequests = new AtomicLong();
+        try (SpoiltEngine engine =
+                startEngine(
                         call ->
                                 call.startsWith("POST")
-                                        ? FIRST_OF_TWO
-                                        : pages.incrementAndGet() == 1 ? spoilt : SECOND)) {
-            Client client = bench.connectClient().startSession();
-            long from = System.nanoTime();
+                                        ? FIRST_OF_TWO_PAGES
+                                        : pageRequests.incrementAndGet() == 1
+                                                ? malformed
+                                                : SECOND_PAGE)) {
+            Client client = support.connectClient().startSession();
+            long startNanos = System.nanoTime();
             assertEquals(SERVED, client.query(query("load", 1, 9000)));
-            assertTrue(System.nanoTime() - from < 3 * SECOND_NS);
-            assertEquals(1, e.countCalls("POST"));
-            assertTrue(e.sent.get() < MOST_SENT, "took " + e.sent.get() + " bytes");
+            assertTrue(System.nanoTime() - startNanos < 3 * SECOND_NANOS);
+            assertEquals(1, engine.countCalls("POST"));
+            assertTrue(
+                    engine.sentBytes.get() < MAX_SENT_BYTES,
+                    "took " + engine.sentBytes.get() + " bytes");
         }
     }
 
@@ -225,10 +237,10 @@
         "load,64,5999",
         "check,65,6"
     })
-    void aResultPastItsBoundsIsAnErrorAndNoRow(String kind, int pages, int size) throws Exception {
+    void oversizedResultFailsWithoutRows(String queryClass, int pages, int size) throws Exception {
         String row = "a\tb\t" + "c".repeat(size - 5) + "\n";
-        try (SpoiltEngine e =
-                engine(
+        try (SpoiltEngine engine =
+                startEngine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: "
                                         + size
@@ -239,13 +251,13 @@
                                                         + call.substring(call.lastIndexOf('/') + 1))
                                         + "~~"
                                         + row)) {
-            Client client = bench.connectClient().startSession();
-            String answer = client.query(query(kind, 1, 7000));
+            Client client = support.connectClient().startSession();
+            String answer = client.query(query(queryClass, 1, 7000));
             assertTrue(answer.startsWith("E(5"), answer);
-            assertEquals(0, bench.counters.get(Count.QUERIES_SERVED));
-            assertEquals(0, bench.counters.get(Count.QUERIES_LAST_MOMENT));
+            assertEquals(0, support.counters.get(Count.QUERIES_SERVED));
+            assertEquals(0, support.counters.get(Count.QUERIES_LAST_MOMENT));
             SocketTestSupport.await(
-                    () -> bench.counters.get(Count.ENDS_ERROR) == e.countCalls("POST"));
+                    () -> support.counters.get(Count.ENDS_ERROR) == engine.countCalls("POST"));
         }
     }
 
@@ -253,10 +265,10 @@
      * Large results pass whole up to those bounds, though the protocol's largest has 48,000 bytes.
      */
     @Test
-    void theLargestResultPassesWhole() throws Exception {
+    void largestResultIsReturnedCompletely() throws Exception {
         String row = "a\tb\t" + "c".repeat(5994) + "\n";
-        try (SpoiltEngine e =
-                engine(
+        try (SpoiltEngine engine =
+                startEngine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: 5999~"
                                         + (call.startsWith("POST")
@@ -265,9 +277,9 @@
                                                         + call.substring(call.lastIndexOf('/') + 1))
                                         + "~~"
                                         + row)) {
-            String answer = bench.connectClient().startSession().query(query("load", 1, 9000));
+            String answer = support.connectClient().startSession().query(query("load", 1, 9000));
             assertTrue(answer.endsWith("C(SELECT 8)"), answer.substring(0, 20));
-            assertEquals(1, e.countCalls("POST"));
+            assertEquals(1, engine.countCalls("POST"));
         }
     }
 }
--- a/src/test/java/junipercourse/engine/RepeatsTest.java
+++ b/src/test/java/junipercourse/engine/RepeatsTest.java
@@ -35,7 +35,7 @@
     /** By what may be repeated: always, by key for 12 s and for half a second, and never. */
     private static final List<String> CLASSES = List.of("check", "load", "soon", "move");
 
-    private static final double SOON_S = 0.5;
+    private static final double SHORT_WINDOW_SECONDS = 0.5;
     private static final String CONFIG =
             SocketTestSupport.CONFIG
                     .replace(
@@ -51,21 +51,22 @@
                             "goal_time_s\":[0-9.]+",
                             "goal_time_s\":15.0") // aims are not tested here
                     .replace("\"deadline_s\":7.5", "\"deadline_s\":20.0");
-    private static final String UNRUN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
-    private static final String NONE = "Content-Length: 0\r\n\r\n";
-    private static final String GARBLED = "SSH-2.0 hello\r\n";
-    private static final String CUT =
+    private static final String NEVER_RAN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
+    private static final String NOT_HTTP = "SSH-2.0 hello\r\n";
+    private static final String TRUNCATED =
             "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\nContent-Length: 60\r\n\r\na\tb\t";
 
     /** What engines answer to the first attempt's calls, by row. */
     private static final Map<String, Function<String, String>> FAULTS =
             Map.ofEntries(
                     Map.entry("full", call -> AT_CAPACITY),
-                    Map.entry("over", call -> "HTTP/1.1 504 Late\r\n" + UNRUN),
-                    Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NONE),
-                    Map.entry("over without proof", call -> "HTTP/1.1 504 Late\r\n" + NONE),
+                    Map.entry("over", call -> "HTTP/1.1 504 Late\r\n" + NEVER_RAN),
+                    Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NO_BODY),
+                    Map.entry("over without proof", call -> "HTTP/1.1 504 Late\r\n" + NO_BODY),
                     Map.entry(
-                            "full, proof 0", call -> "HTTP/1.1 503 Full\r\nX-Unrun: 0\r\n" + NONE),
+                            "full, proof 0",
+                            call -> "HTTP/1.1 503 Full\r\nX-Unrun: 0\r\n" + NO_BODY),
                     Map.entry("error", call -> FAILED),
                     Map.entry(
                             "reset, then unknown",
@@ -81,27 +82,34 @@
                                             : SocketTestSupport.CLOSE_CONNECTION),
                     Map.entry(
                             "garbled always",
-                            call -> call.startsWith("DELETE") ? CANCELLED : GARBLED),
-                    Map.entry("cut always", call -> call.startsWith("DELETE") ? CANCELLED : CUT),
+                            call -> call.startsWith("DELETE") ? CANCELLED : NOT_HTTP),
+                    Map.entry(
+                            "cut always",
+                            call -> call.startsWith("DELETE") ? CANCELLED : TRUNCATED),
                     Map.entry(
                             "delete unanswered",
-                            call -> call.startsWith("DELETE") ? NO_RESPONSE : GARBLED),
+                            call -> call.startsWith("DELETE") ? NO_RESPONSE : NOT_HTTP),
                     Map.entry("silent", call -> NO_RESPONSE),
                     Map.entry(
                             "hangs in its work",
                             call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
     /** What was seen of one class. */
-    private record Seen(String kind, String answer, AttemptJudge judge, boolean again) {}
+    private record Seen(
+            String queryClass, String answer, AttemptJudge overlapChecker, boolean wasRepeated) {}
 
-    private static Seen play(String kind, Function<String, String> fault, long timeoutMs)
+    private static Seen observe(
+            String queryClass, Function<String, String> fault, long timeoutMillis)
             throws IOException {
-        AttemptJudge judge = new AttemptJudge(fault);
-        try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512)) {
-            bench.startEngine(1, judge::answer);
-            bench.startEngine(2, judge::answer);
-            String answer = bench.connectClient().startSession().query(query(kind, 1, timeoutMs));
-            return new Seen(kind, answer, judge, judge.posts() > 1);
+        AttemptJudge overlapChecker = new AttemptJudge(fault);
+        try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512)) {
+            support.startEngine(1, overlapChecker::respond);
+            support.startEngine(2, overlapChecker::respond);
+            String answer =
+                    support.connectClient()
+                            .startSession()
+                            .query(query(queryClass, 1, timeoutMillis));
+            return new Seen(queryClass, answer, overlapChecker, overlapChecker.postCount() > 1);
         }
     }
 
@@ -122,29 +130,43 @@
                         "silent | yynn",
                 "hangs in its work | ??nn"
             })
-    void anAttemptIsRepeatedByItsEffectAndByProof(String row, String again) throws Exception {
-        ExecutorService side = Executors.newFixedThreadPool(CLASSES.size());
-        List<Future<Seen>> all = new ArrayList<>();
-        for (String kind : CLASSES) {
-            Callable<Seen> one =
-                    () -> play(kind, FAULTS.get(row), row.startsWith("hangs") ? 7000 : 15_000);
-            all.add(side.submit(one));
+    void attemptIsRepeatedOnlyIfEffectOrProofAllows(String fault, String expectedRepeats)
+            throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(CLASSES.size());
+        List<Future<Seen>> observations = new ArrayList<>();
+        for (String queryClass : CLASSES) {
+            Callable<Seen> task =
+                    () ->
+                            observe(
+                                    queryClass,
+                                    FAULTS.get(fault),
+                                    fault.startsWith("hangs") ? 7000 : 15_000);
+            observations.add(executor.submit(task));
         }
-        side.shutdown();
-        for (int i = 0; i < all.size(); i++) {
-            Seen seen = all.get(i).get();
-            String what = row + ": " + seen;
-            assertFalse(seen.judge.twoOut(), what);
-            boolean may = again.charAt(i) != 'n';
-            assertTrue(may || !seen.again, what);
+        executor.shutdown();
+        for (int i = 0; i < observations.size(); i++) {
+            Seen observation = observations.get(i).get();
+            String description = fault + ": " + observation;
+            assertFalse(observation.overlapChecker.hasOverlap(), description);
+            boolean mayRepeat = expectedRepeats.charAt(i) != 'n';
+            assertTrue(mayRepeat || !observation.wasRepeated, description);
+            assertTrue(
+                    expectedRepeats.charAt(i) != 'y'
+                            || observation.wasRepeated
+                                    && observation.answer.startsWith("T D(a b c)"),
+                    description);
             assertTrue(
-                    again.charAt(i) != 'y' || seen.again && seen.answer.startsWith("T D(a b c)"),
-                    what);
+                    !observation.queryClass.equals("soon")
+                            || fault.equals("full")
+                            || observation.overlapChecker.secondsBetweenPosts()
+                                    < SHORT_WINDOW_SECONDS,
+                    description);
+            boolean reportsNeverRan = observation.answer.startsWith("E(53");
             assertTrue(
-                    !seen.kind.equals("soon") || row.equals("full") || seen.judge.spread() < SOON_S,
-                    what);
-            boolean harmless = seen.answer.startsWith("E(53");
-            assertTrue(!harmless || row.equals("over") || !seen.kind.equals("move"), what);
+                    !reportsNeverRan
+                            || fault.equals("over")
+                            || !observation.queryClass.equals("move"),
+                    description);
         }
     }
 
@@ -161,19 +183,21 @@
         "load,never up",
         "move,never up"
     })
-    void whatWasNeverWrittenGoesElsewhere(String kind, String fault) throws Exception {
-        StubEngine dead = new StubEngine(call -> OK);
-        dead.close();
-        try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512);
-                FullQueue never = new FullQueue()) {
-            bench.updateEndpointAndWait(
-                    1, fault.equals("refused") ? dead : never.listed(), EngineStage.READY);
-            SocketTestSupport.Client client = bench.connectClient().startSession();
-            client.write(SocketTestSupport.Client.queryMessage(query(kind, 1, 7000)));
-            SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_UNREACHABLE) >= 1);
-            StubEngine good = bench.startEngine(2, call -> OK);
+    void unwrittenAttemptMovesToAnotherEngine(String queryClass, String fault) throws Exception {
+        StubEngine closedEngine = new StubEngine(call -> OK);
+        closedEngine.close();
+        try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512);
+                FullQueue unreachableEngine = new FullQueue()) {
+            support.updateEndpointAndWait(
+                    1,
+                    fault.equals("refused") ? closedEngine : unreachableEngine.endpoint(),
+                    EngineStage.READY);
+            SocketTestSupport.Client client = support.connectClient().startSession();
+            client.write(SocketTestSupport.Client.queryMessage(query(queryClass, 1, 7000)));
+            SocketTestSupport.await(() -> support.counters.get(Count.ENDS_UNREACHABLE) >= 1);
+            StubEngine workingEngine = support.startEngine(2, call -> OK);
             assertEquals("T D(a b c) C(SELECT 1)", client.readAnswer());
-            assertEquals(1, good.countCalls("POST"));
+            assertEquals(1, workingEngine.countCalls("POST"));
         }
     }
 }
