--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -68,11 +68,13 @@
 
     private void sendDelete() {
         connections.makeCall(
-                EngineRequestEncoder.encodeWithoutBody("DELETE", query, ""), new Delete(), false);
+                EngineRequestEncoder.encodeWithoutBody("DELETE", query, ""),
+                new DeleteListener(),
+                false);
     }
 
-    private final class Delete extends AttemptConnections.Step {
-        Delete() {
+    private final class DeleteListener extends AttemptConnections.CallListener {
+        DeleteListener() {
             super(connections);
         }
 
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -25,7 +25,7 @@
     private final EnginePool pool;
     private final AttemptLiveness liveness;
     private HttpCall call;
-    private Step listener;
+    private CallListener listener;
     private HttpCall ignoredCall;
     private EngineConnection idleConnection;
     private boolean isClosed;
@@ -38,7 +38,7 @@
     }
 
     /** Makes a call on the connection that is kept, if that is usable, or on a new one. */
-    void makeCall(byte[] request, Step callListener, boolean startsQuery) {
+    void makeCall(byte[] request, CallListener callListener, boolean startsQuery) {
         makeCall(() -> request, callListener, startsQuery);
     }
 
@@ -46,11 +46,12 @@
      * Makes the call that starts the query, whose bytes tell of the moment when the first of them
      * leaves.
      */
-    void makeStartCall(Supplier<byte[]> request, Step callListener) {
+    void makeStartCall(Supplier<byte[]> request, CallListener callListener) {
         makeCall(request, callListener, true);
     }
 
-    private void makeCall(Supplier<byte[]> request, Step callListener, boolean startsQuery) {
+    private void makeCall(
+            Supplier<byte[]> request, CallListener callListener, boolean startsQuery) {
         HttpCall newCall = new HttpCall(request, callListener);
         call = newCall;
         listener = callListener;
@@ -75,7 +76,7 @@
      */
     private void armResponseTimer(double seconds) {
         HttpCall timedCall = call;
-        Step timedListener = listener;
+        CallListener timedListener = listener;
         schedule(
                 seconds,
                 () -> {
@@ -151,12 +152,12 @@
     }
 
     /** What all calls have in common. */
-    abstract static class Step implements HttpCall.Listener {
+    abstract static class CallListener implements HttpCall.Listener {
         private final AttemptConnections connections;
         private boolean isInTransit;
         private double writeStartedAt;
 
-        Step(AttemptConnections connections) {
+        CallListener(AttemptConnections connections) {
             this.connections = connections;
         }
 
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -39,7 +39,7 @@
     private final EnginePool pool;
     private final Query query;
     private final double deadlineAt;
-    private final EngineClient.GaugeReader loadReports;
+    private final EngineClient.LoadReportReader loadReports;
     private final Counters counters;
     private final AttemptListener listener;
     private final ResultPages pages = new ResultPages();
@@ -57,7 +57,7 @@
             EnginePool pool,
             Query query,
             double deadlineAt,
-            EngineClient.GaugeReader loadReports,
+            EngineClient.LoadReportReader loadReports,
             Counters counters,
             AttemptListener listener) {
         this.loop = loop;
@@ -84,13 +84,13 @@
                             EngineRequestEncoder.encodePost(
                                     query,
                                     Math.max(1, Math.round((deadlineAt - loop.now()) * 1000))),
-                    new Start());
+                    new StartListener());
         }
     }
 
     /** A call that is answered with news. */
-    private abstract class Asking extends AttemptConnections.Step {
-        Asking() {
+    private abstract class StateListener extends AttemptConnections.CallListener {
+        StateListener() {
             super(connections);
         }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    private final class Start extends Asking {
+    private final class StartListener extends StateListener {
         /**
          * Guards against sends on facts that have changed since; reading the client's may change
          * others.
@@ -141,7 +141,7 @@
         }
     }
 
-    private final class Poll extends Asking {
+    private final class PollListener extends StateListener {
         @Override
         void handleFailure() {
             retryPoll();
@@ -190,7 +190,9 @@
 
     private void poll() {
         connections.makeCall(
-                EngineRequestEncoder.encodeWithoutBody("GET", query, "/0"), new Poll(), false);
+                EngineRequestEncoder.encodeWithoutBody("GET", query, "/0"),
+                new PollListener(),
+                false);
     }
 
     /**
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -25,7 +25,7 @@
     private final EventLoop loop;
     private final double dialTimeoutSeconds;
     private final Counters counters;
-    private final GaugeReader loadReports;
+    private final LoadReportReader loadReports;
     private final EnginePool.Budget budget;
     private final Map<EngineId, EnginePool> pools = new HashMap<>();
 
@@ -42,7 +42,7 @@
                         ? settings.limits().connectTimeoutSeconds()
                         : 1;
         this.counters = counters;
-        this.loadReports = new GaugeReader(settings.loadMetrics());
+        this.loadReports = new LoadReportReader(settings.loadMetrics());
     }
 
     @Override
@@ -101,11 +101,11 @@
     /**
      * Reads load reports such as {@code inflight:7;util:0.61} in the order that the settings name.
      */
-    static final class GaugeReader {
+    static final class LoadReportReader {
         private static final float[] EMPTY = {};
         private final List<LoadMetric> metrics;
 
-        GaugeReader(List<LoadMetric> metrics) {
+        LoadReportReader(List<LoadMetric> metrics) {
             this.metrics = metrics;
         }
 
--- a/src/main/java/junipercourse/engine/HttpResponseParser.java
+++ b/src/main/java/junipercourse/engine/HttpResponseParser.java
@@ -21,10 +21,10 @@
     static final int MAX_RESPONSE_BYTES = 2 * MAX_BODY_BYTES;
 
     /** Bytes that are no HTTP response. */
-    static final class GarbledException extends Exception {
+    static final class MalformedResponseException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        GarbledException(String message) {
+        MalformedResponseException(String message) {
             super(message);
         }
     }
@@ -55,14 +55,15 @@
     }
 
     /** Takes bytes until a response is whole, and returns it; null if more are needed. */
-    HttpResponse read(ByteBuffer input) throws GarbledException {
+    HttpResponse read(ByteBuffer input) throws MalformedResponseException {
         int startPosition = input.position();
         HttpResponse response = parse(input);
         responseBytes += input.position() - startPosition;
         if (response != null) {
             responseBytes = 0;
         } else if (responseBytes > MAX_RESPONSE_BYTES) {
-            throw new GarbledException("an answer of over " + MAX_RESPONSE_BYTES + " bytes");
+            throw new MalformedResponseException(
+                    "an answer of over " + MAX_RESPONSE_BYTES + " bytes");
         }
         return response;
     }
@@ -77,7 +78,7 @@
         return text.indexOf('\t') >= 0 && !text.startsWith("HTTP/");
     }
 
-    private HttpResponse parse(ByteBuffer input) throws GarbledException {
+    private HttpResponse parse(ByteBuffer input) throws MalformedResponseException {
         while (true) {
             if (state == State.BODY || state == State.CHUNK) {
                 int length = Math.min(remaining, input.remaining());
@@ -104,7 +105,7 @@
         }
     }
 
-    private String readLine(ByteBuffer input) throws GarbledException {
+    private String readLine(ByteBuffer input) throws MalformedResponseException {
         while (input.hasRemaining()) {
             byte b = input.get();
             if (b == '\n') {
@@ -113,14 +114,14 @@
                 return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             }
             if (lineBuffer.size() >= MAX_LINE_BYTES) {
-                throw new GarbledException("a line of over " + MAX_LINE_BYTES + " bytes");
+                throw new MalformedResponseException("a line of over " + MAX_LINE_BYTES + " bytes");
             }
             lineBuffer.write(b);
         }
         return null;
     }
 
-    private HttpResponse handleLine(String text) throws GarbledException {
+    private HttpResponse handleLine(String text) throws MalformedResponseException {
         switch (state) {
             case STATUS -> parseStatusLine(text);
             case HEADERS -> {
@@ -135,7 +136,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new GarbledException("a chunk that is longer than its size");
+                    throw new MalformedResponseException("a chunk that is longer than its size");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -149,35 +150,36 @@
         return null;
     }
 
-    private void parseStatusLine(String text) throws GarbledException {
+    private void parseStatusLine(String text) throws MalformedResponseException {
         if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
-            throw new GarbledException("no status line");
+            throw new MalformedResponseException("no status line");
         }
         isHttp10 = text.charAt(7) == '0';
         status = Integer.parseInt(text.substring(9, 12));
         state = State.HEADERS;
     }
 
-    private void parseHeader(String text) throws GarbledException {
+    private void parseHeader(String text) throws MalformedResponseException {
         int colon = text.indexOf(':');
         if (colon <= 0 || headers.size() >= MAX_HEADERS) {
-            throw new GarbledException(colon <= 0 ? "a header without a name" : "too many headers");
+            throw new MalformedResponseException(
+                    colon <= 0 ? "a header without a name" : "too many headers");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
         String previous = headers.put(name, value);
         if (previous != null && name.equals("content-length") && !previous.equals(value)) {
-            throw new GarbledException("two lengths");
+            throw new MalformedResponseException("two lengths");
         }
     }
 
-    private HttpResponse finishHeaders() throws GarbledException {
+    private HttpResponse finishHeaders() throws MalformedResponseException {
         String transferCoding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
         if (status < 200) { // an interim response: the real one follows
             interimResponses++;
             if (interimResponses > MAX_INTERIM_RESPONSES) {
-                throw new GarbledException("interim responses without end");
+                throw new MalformedResponseException("interim responses without end");
             }
             headers = new HashMap<>();
             state = State.STATUS;
@@ -188,31 +190,31 @@
         }
         if (transferCoding != null) {
             if (!transferCoding.equalsIgnoreCase("chunked")) {
-                throw new GarbledException("transfer coding " + transferCoding);
+                throw new MalformedResponseException("transfer coding " + transferCoding);
             }
             state = State.CHUNK_SIZE;
             return null;
         }
         if (length == null) {
-            throw new GarbledException("no length");
+            throw new MalformedResponseException("no length");
         }
         remaining = parseSize(length, 10);
         state = State.BODY;
         return remaining == 0 ? completeResponse() : null;
     }
 
-    private int parseSize(String text, int radix) throws GarbledException {
+    private int parseSize(String text, int radix) throws MalformedResponseException {
         int size;
         try {
             size = Integer.parseInt(text, radix);
         } catch (NumberFormatException e) {
-            throw new GarbledException("not a length: " + text);
+            throw new MalformedResponseException("not a length: " + text);
         }
         if (size < 0 || Character.digit(text.charAt(0), radix) < 0) { // a sign is no digit
-            throw new GarbledException("not a length: " + text);
+            throw new MalformedResponseException("not a length: " + text);
         }
         if (size > MAX_BODY_BYTES - body.size()) {
-            throw new GarbledException("a length out of range: " + text);
+            throw new MalformedResponseException("a length out of range: " + text);
         }
         return size;
     }
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -19,11 +19,11 @@
     private final AttemptConnections connections;
     private final AttemptLiveness liveness;
     private final Counters counters;
-    private final Done listener;
+    private final CompletionListener listener;
     private int failures;
 
     /** Is told once, when all pages are there or one is lost. */
-    interface Done {
+    interface CompletionListener {
         void onFinished(boolean isComplete);
     }
 
@@ -33,7 +33,7 @@
             AttemptConnections connections,
             AttemptLiveness liveness,
             Counters counters,
-            Done listener) {
+            CompletionListener listener) {
         this.query = query;
         this.pages = pages;
         this.connections = connections;
@@ -52,13 +52,13 @@
                             connections.makeCall(
                                     EngineRequestEncoder.encodeWithoutBody(
                                             "GET", query, "/" + pages.nextNumber()),
-                                    new Page(),
+                                    new PageListener(),
                                     false));
         }
     }
 
-    private final class Page extends AttemptConnections.Step {
-        Page() {
+    private final class PageListener extends AttemptConnections.CallListener {
+        PageListener() {
             super(connections);
         }
 
--- a/src/test/java/junipercourse/engine/RepeatsTest.java
+++ b/src/test/java/junipercourse/engine/AttemptRetryTest.java
@@ -31,7 +31,7 @@
  * PROTOCOL's list of proofs that an attempt never ran, against what is none, for each effect: what
  * is sent again, and that there are never two out.
  */
-class RepeatsTest {
+class AttemptRetryTest {
     /** By what may be repeated: always, by key for 12 s and for half a second, and never. */
     private static final List<String> CLASSES = List.of("check", "load", "soon", "move");
 
@@ -95,13 +95,16 @@
                             call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
     /** What was seen of one class. */
-    private record Seen(
-            String queryClass, String answer, AttemptJudge overlapChecker, boolean wasRepeated) {}
+    private record Observation(
+            String queryClass,
+            String answer,
+            AttemptOverlapChecker overlapChecker,
+            boolean wasRepeated) {}
 
-    private static Seen observe(
+    private static Observation observe(
             String queryClass, Function<String, String> fault, long timeoutMillis)
             throws IOException {
-        AttemptJudge overlapChecker = new AttemptJudge(fault);
+        AttemptOverlapChecker overlapChecker = new AttemptOverlapChecker(fault);
         try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512)) {
             support.startEngine(1, overlapChecker::respond);
             support.startEngine(2, overlapChecker::respond);
@@ -109,7 +112,8 @@
                     support.connectClient()
                             .startSession()
                             .query(query(queryClass, 1, timeoutMillis));
-            return new Seen(queryClass, answer, overlapChecker, overlapChecker.postCount() > 1);
+            return new Observation(
+                    queryClass, answer, overlapChecker, overlapChecker.postCount() > 1);
         }
     }
 
@@ -133,9 +137,9 @@
     void attemptIsRepeatedOnlyIfEffectOrProofAllows(String fault, String expectedRepeats)
             throws Exception {
         ExecutorService executor = Executors.newFixedThreadPool(CLASSES.size());
-        List<Future<Seen>> observations = new ArrayList<>();
+        List<Future<Observation>> observations = new ArrayList<>();
         for (String queryClass : CLASSES) {
-            Callable<Seen> task =
+            Callable<Observation> task =
                     () ->
                             observe(
                                     queryClass,
@@ -145,7 +149,7 @@
         }
         executor.shutdown();
         for (int i = 0; i < observations.size(); i++) {
-            Seen observation = observations.get(i).get();
+            Observation observation = observations.get(i).get();
             String description = fault + ": " + observation;
             assertFalse(observation.overlapChecker.hasOverlap(), description);
             boolean mayRepeat = expectedRepeats.charAt(i) != 'n';
@@ -187,7 +191,7 @@
         StubEngine closedEngine = new StubEngine(call -> OK);
         closedEngine.close();
         try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512);
-                FullQueue unreachableEngine = new FullQueue()) {
+                FullAcceptQueue unreachableEngine = new FullAcceptQueue()) {
             support.updateEndpointAndWait(
                     1,
                     fault.equals("refused") ? closedEngine : unreachableEngine.endpoint(),
--- a/src/test/java/junipercourse/engine/DuplicateResponseTest.java
+++ b/src/test/java/junipercourse/engine/DuplicateResponseTest.java
@@ -86,8 +86,8 @@
     void duplicateOfFirstResponseLeavesRowsUnchanged(int status, long duplicateDelayMillis)
             throws Exception {
         AtomicInteger postCount = new AtomicInteger();
-        EchoEngine engine =
-                new EchoEngine(
+        DuplicatingEngine engine =
+                new DuplicatingEngine(
                         call -> {
                             boolean isFirstPost =
                                     call.startsWith("POST") && postCount.incrementAndGet() == 1;
@@ -137,10 +137,10 @@
         long seed = 20261202;
         Map<String, Long> completionTimes = new ConcurrentHashMap<>();
         Random random = new Random(seed);
-        List<EchoEngine> engines = new ArrayList<>();
+        List<DuplicatingEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            EchoEngine engine =
-                    new EchoEngine(
+            DuplicatingEngine engine =
+                    new DuplicatingEngine(
                             call -> {
                                 if (call.startsWith("DELETE")
                                         || call.startsWith("GET") && !call.endsWith("/0")) {
@@ -215,7 +215,7 @@
                         + served);
         assertEquals(List.of(), violations, "seed " + seed);
         assertTrue(served.get() >= 30, "seed " + seed + ": served " + served);
-        for (EchoEngine engine : engines) {
+        for (DuplicatingEngine engine : engines) {
             engine.close();
         }
     }
--- a/src/test/java/junipercourse/engine/EchoEngine.java
+++ b/src/test/java/junipercourse/engine/DuplicatingEngine.java
@@ -13,12 +13,12 @@
  * An engine that sends answers twice: the second copy goes out after a delay or, if the answer to
  * another call on the connection comes before, right before that.
  */
-final class EchoEngine extends SocketTestSupport.StubEngine {
+final class DuplicatingEngine extends SocketTestSupport.StubEngine {
     private final Map<Socket, Copy> pendingCopies = new ConcurrentHashMap<>();
     private final ToLongFunction<String> duplicateDelayMillis;
 
     /** {@code echoMs}: by call, when the copy goes out at the latest; none below 0. */
-    EchoEngine(Function<String, String> script, ToLongFunction<String> duplicateDelayMillis)
+    DuplicatingEngine(Function<String, String> script, ToLongFunction<String> duplicateDelayMillis)
             throws IOException {
         super(script);
         this.duplicateDelayMillis = duplicateDelayMillis;
--- a/src/test/java/junipercourse/engine/HttpResponseParserTest.java
+++ b/src/test/java/junipercourse/engine/HttpResponseParserTest.java
@@ -34,7 +34,7 @@
                 "HTTP/1.1 202 A~Content-Length: 0~~HTTP/1.1 204 B~~ | 202 '' true 204 '' true"
             })
     void responsesAreReadFromPiecesOfAnySize(String text, String expected)
-            throws HttpResponseParser.GarbledException {
+            throws HttpResponseParser.MalformedResponseException {
         byte[] bytes = unescaped(text).getBytes(StandardCharsets.ISO_8859_1);
         for (int pieceSize = 1; pieceSize <= bytes.length; pieceSize++) {
             HttpResponseParser parser = new HttpResponseParser();
@@ -85,7 +85,7 @@
     void malformedResponseIsRejected(String text) {
         ByteBuffer input = ByteBuffer.wrap(unescaped(text).getBytes(StandardCharsets.ISO_8859_1));
         assertThrows(
-                HttpResponseParser.GarbledException.class,
+                HttpResponseParser.MalformedResponseException.class,
                 () -> new HttpResponseParser().read(input));
     }
 
@@ -116,7 +116,7 @@
         parser.read(ByteBuffer.wrap(unescaped(start).getBytes(StandardCharsets.ISO_8859_1)));
         int[] bytesFed = {start.length()};
         assertThrows(
-                HttpResponseParser.GarbledException.class,
+                HttpResponseParser.MalformedResponseException.class,
                 () -> {
                     for (int i = 0; bytesFed[0] < 2 * HttpResponseParser.MAX_RESPONSE_BYTES; i++) {
                         byte[] more =
@@ -163,7 +163,7 @@
             })
     void loadReportIsReadOnlyIfComplete(String text, String expected) {
         float[] values =
-                new EngineClient.GaugeReader(List.of(LoadMetric.QUEUED, LoadMetric.BUSY))
+                new EngineClient.LoadReportReader(List.of(LoadMetric.QUEUED, LoadMetric.BUSY))
                         .read(text);
         float[] expectedValues = new float[expected.isEmpty() ? 0 : 2];
         for (int i = 0; i < expectedValues.length; i++) {
--- a/src/test/java/junipercourse/engine/LateConnectionTest.java
+++ b/src/test/java/junipercourse/engine/LateConnectionTest.java
@@ -33,7 +33,7 @@
     @Test
     void connectionOpenedWithinDialTimeoutCarriesItsQuery() throws Exception {
         try (SocketTestSupport support = createSupport("\"dial_timeout_s\":3.0");
-                FullQueue lateEngine = new FullQueue()) {
+                FullAcceptQueue lateEngine = new FullAcceptQueue()) {
             support.updateEndpointAndWait(1, lateEngine.endpoint(), EngineStage.READY);
             Client client = support.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
@@ -69,7 +69,7 @@
     @Test
     void dialTimeoutMovesQueryToAnotherEngine() throws Exception {
         try (SocketTestSupport support = createSupport("\"dial_timeout_s\":0.8");
-                FullQueue unreachableEngine = new FullQueue()) {
+                FullAcceptQueue unreachableEngine = new FullAcceptQueue()) {
             support.updateEndpointAndWait(1, unreachableEngine.endpoint(), EngineStage.READY);
             Client client = support.connectClient().startSession();
             client.write(Client.queryMessage(query("check", 1, 7000)));
--- a/src/test/java/junipercourse/engine/MalformedResponseTest.java
+++ b/src/test/java/junipercourse/engine/MalformedResponseTest.java
@@ -61,10 +61,10 @@
      * One whose answers are spoilt by a word before them: {@code end} closes, the others go on for
      * good.
      */
-    private static final class SpoiltEngine extends StubEngine {
+    private static final class MalformedEngine extends StubEngine {
         private final AtomicLong sentBytes = new AtomicLong();
 
-        SpoiltEngine(Function<String, String> script) throws IOException {
+        MalformedEngine(Function<String, String> script) throws IOException {
             super(script);
         }
 
@@ -97,9 +97,9 @@
         }
     }
 
-    private SpoiltEngine startEngine(Function<String, String> script) throws IOException {
-        SpoiltEngine engine =
-                new SpoiltEngine(
+    private MalformedEngine startEngine(Function<String, String> script) throws IOException {
+        MalformedEngine engine =
+                new MalformedEngine(
                         call -> call.startsWith("DELETE") ? CANCELLED : script.apply(call));
         support.updateEndpointAndWait(1, engine, EngineStage.READY);
         return engine;
@@ -122,7 +122,7 @@
                 OK_HEAD + "Content-Length: +12~~a\tb\tc\nd\te\tf\n"
             })
     void endlessResponseIsRejectedAtLimitAndPolledAgain(String malformed) throws Exception {
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
             assertEquals(
                     SERVED, support.connectClient().startSession().query(query("load", 1, 9000)));
@@ -157,7 +157,7 @@
                 CHUNKED_HEAD + "0~"
             })
     void stalledOrSlowResponseCostsOneCallTimeout(String malformed) throws Exception {
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
             Client client = support.connectClient().startSession();
             long startNanos = System.nanoTime();
@@ -185,7 +185,7 @@
                 CHUNKED_HEAD + "6~a\tb\tc\n~0~~d\te\tf\n"
             })
     void truncatedResultIsNeverReturnedAsComplete(String malformed) throws Exception {
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(call -> call.startsWith("POST") ? malformed : TWO_ROWS)) {
             assertEquals(
                     SERVED, support.connectClient().startSession().query(query("load", 1, 9000)));
@@ -208,7 +208,7 @@
             })
     void malformedPageIsFetchedAgain(String malformed) throws Exception {
         AtomicLong pageRequests = new AtomicLong();
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(
                         call ->
                                 call.startsWith("POST")
@@ -239,7 +239,7 @@
     })
     void oversizedResultFailsWithoutRows(String queryClass, int pages, int size) throws Exception {
         String row = "a\tb\t" + "c".repeat(size - 5) + "\n";
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: "
@@ -267,7 +267,7 @@
     @Test
     void largestResultIsReturnedCompletely() throws Exception {
         String row = "a\tb\t" + "c".repeat(5994) + "\n";
-        try (SpoiltEngine engine =
+        try (MalformedEngine engine =
                 startEngine(
                         call ->
                                 "HTTP/1.1 200 OK~Content-Length: 5999~"
