--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -5,7 +5,7 @@
 import junipercourse.net.DeadlineQueue;
 import junipercourse.net.EventLoop;
 
-/** Gives an attempt up: has its engine delete the query, and waits until that is proven. */
+/** Cancels an attempt: sends DELETE to its engine until the query is proven not to run any more. */
 final class AttemptCancellation {
     private static final double RETRY_DELAY_SECONDS = 0.1;
     private static final int STATUS_DELETED = 204;
@@ -17,7 +17,7 @@
     private final Runnable onQueryStopped;
     private DeadlineQueue.Entry expiryTimer;
 
-    /** {@code done} is run once the engine surely does not run the query any more. */
+    /** {@code onQueryStopped} runs once the engine certainly does not run the query any more. */
     AttemptCancellation(
             EventLoop loop,
             Query query,
@@ -32,33 +32,35 @@
     }
 
     /**
-     * Begins, after something was written. {@code overtake} is what a call that is reset may still
-     * need.
+     * Starts the cancellation of an attempt of which something was written.
+     *
+     * @param deliveryMarginSeconds for bytes of a reset call to arrive before the DELETE
      */
     void begin(double deliveryMarginSeconds) {
-        if (liveness
-                .hasEngineResponded()) { // a silent engine's connection is not kept for its answer
+        if (liveness.hasEngineResponded()) {
             connections.abortIgnored(AttemptConnections.RESPONSE_TIMEOUT_SECONDS);
             sendDelete();
-        } else { // guards against a DELETE that overtakes its POST and leaves the query running
+        } else {
+            // Does not await a response of a silent engine. The delay prevents that the DELETE
+            // overtakes its POST and leaves the query running.
             connections.abortIgnored(0);
             connections.schedule(deliveryMarginSeconds, this::sendDelete);
         }
         waitForExpiry();
     }
 
-    /** The attempt is over. */
+    /** Stops waiting: the attempt has completed. */
     void stop() {
         loop.cancel(expiryTimer);
     }
 
-    /** If nobody answers, the query is surely gone once it has not been asked for long enough. */
+    /** Without any response, the query has expired once it has not been polled for long enough. */
     private void waitForExpiry() {
         double now = loop.now();
         double expiresAt = liveness.latestExpiryTime();
         if (expiresAt <= now) {
             onQueryStopped.run();
-        } else { // a call that is on its way is dropped within the time for its answer
+        } else { // a call in transit is aborted within its response timeout
             expiryTimer =
                     loop.scheduleAt(
                             Math.min(expiresAt, now + AttemptConnections.RESPONSE_TIMEOUT_SECONDS),
@@ -68,7 +70,7 @@
 
     private void sendDelete() {
         connections.makeCall(
-                EngineRequestEncoder.encodeWithoutBody("DELETE", query, ""),
+                EngineRequestEncoder.encodeBodiless("DELETE", query, ""),
                 new DeleteListener(),
                 false);
     }
@@ -78,7 +80,7 @@
             super(connections);
         }
 
-        /** Asking the engine to forget a query does not keep it alive. */
+        /** Does not record a poll: a DELETE does not keep the query alive. */
         @Override
         public boolean mayWrite() {
             markWriteStarted();
@@ -90,7 +92,9 @@
             return response.status() == STATUS_DELETED;
         }
 
-        /** Nothing but its 204 proves it: another answer may be a copy of an earlier one. */
+        /**
+         * Only a 204 proves the deletion: another response may be a duplicate of an earlier one.
+         */
         @Override
         void handleResponse(HttpResponse response, boolean isUnambiguous) {
             if (response.status() == STATUS_DELETED) {
@@ -101,15 +105,15 @@
             }
         }
 
-        /** Tried until it is answered or the query is forgotten: until then it may run. */
+        /** Retries until the DELETE is answered or the query expires: until then it may run. */
         @Override
         void handleFailure() {
             connections.schedule(RETRY_DELAY_SECONDS, AttemptCancellation.this::sendDelete);
         }
 
         /**
-         * Guards against a second attempt beside one at an engine that merely takes no more
-         * connections.
+         * Retries, since the engine may merely accept no more connections: completing here would
+         * allow a second attempt beside a running one.
          */
         @Override
         public void onUnreachable(boolean refused) {
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -6,18 +6,18 @@
 import junipercourse.net.EventLoop;
 
 /**
- * The calls of one attempt, one after the other, each with the time it has for its answer, and
- * their connections: at most two, the second one for a DELETE beside a call that the engine holds.
- * No other attempt ever uses them, so that all that comes there is about this query; its end closes
- * them.
+ * Makes the calls of one attempt one after the other, each with a response timeout, and owns their
+ * connections: at most two, the second one for a DELETE beside a call that the engine holds. No
+ * other attempt uses them, so that everything received on them concerns this query. They are closed
+ * when the attempt completes.
  */
 final class AttemptConnections implements EngineConnection.Owner {
-    /** The engine answers each call within a quarter of a second; one this late is lost. */
+    /** The engine answers each call within 0.25 s; one unanswered after this time is lost. */
     static final double RESPONSE_TIMEOUT_SECONDS = 0.6;
 
     /**
-     * Before a connection is used again: what an engine sends right behind an answer has come by
-     * then.
+     * Delay before a connection is reused: bytes that an engine sends right behind a response have
+     * arrived by then.
      */
     static final double REUSE_DELAY_SECONDS = 0.002;
 
@@ -37,14 +37,14 @@
         this.liveness = liveness;
     }
 
-    /** Makes a call on the connection that is kept, if that is usable, or on a new one. */
+    /** Makes a call on the idle connection if that can be reused, otherwise on a new one. */
     void makeCall(byte[] request, CallListener callListener, boolean startsQuery) {
         makeCall(() -> request, callListener, startsQuery);
     }
 
     /**
-     * Makes the call that starts the query, whose bytes tell of the moment when the first of them
-     * leaves.
+     * Makes the call that starts the query. Its bytes are created when the first one is written,
+     * since they contain the time left.
      */
     void makeStartCall(Supplier<byte[]> request, CallListener callListener) {
         makeCall(request, callListener, true);
@@ -55,8 +55,8 @@
         HttpCall newCall = new HttpCall(request, callListener);
         call = newCall;
         listener = callListener;
-        // A new query's connection comes up within the settings' time or never; then it goes
-        // elsewhere.
+        // A connection for a new query is established within the configured timeout, or the query
+        // goes to another engine.
         armResponseTimer(
                 startsQuery
                         ? RESPONSE_TIMEOUT_SECONDS + pool.dialTimeoutSeconds()
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Waits so long for the call that is out; its first byte begins that anew, as its answer's
-     * time.
+     * Limits the time until the current call has a response; restarted when its first byte is
+     * written.
      */
     private void armResponseTimer(double seconds) {
         HttpCall timedCall = call;
@@ -94,9 +94,7 @@
         }
     }
 
-    /**
-     * Resets the connection that is kept: what came there last may be no answer to the last call.
-     */
+    /** Resets the idle connection: the last response on it may not belong to the last call. */
     void resetIdle() {
         if (idleConnection != null) {
             idleConnection.abort();
@@ -104,13 +102,13 @@
         }
     }
 
-    /** Does something later instead of waiting for an answer. */
+    /** Schedules a task in place of the response timer. */
     void schedule(double delaySeconds, Runnable task) {
         loop.cancel(timer);
         timer = loop.scheduleAfter(delaySeconds, task);
     }
 
-    /** Waits for nothing any more; the last call, if there was one, hears no more of its answer. */
+    /** Stops the timer and ignores the response to the last call, if there was one. */
     void ignore() {
         loop.cancel(timer);
         if (call != null) {
@@ -119,7 +117,7 @@
         }
     }
 
-    /** Resets the connection of the ignored call, after a delay only if it has no answer then. */
+    /** Resets the connection of the ignored call; after a delay, only if it is unanswered then. */
     void abortIgnored(double delaySeconds) {
         if (delaySeconds > 0) {
             loop.scheduleAfter(delaySeconds, ignoredCall::abort);
@@ -128,15 +126,11 @@
         }
     }
 
-    /** Whether a call was ever made. */
     boolean hasMadeCall() {
         return call != null;
     }
 
-    /**
-     * The attempt is over: closes its connections, with a reset where a call may still be on its
-     * way.
-     */
+    /** Closes all connections, with a reset where a call may still be in transit. */
     void close() {
         isClosed = true;
         loop.cancel(timer);
@@ -151,7 +145,7 @@
         }
     }
 
-    /** What all calls have in common. */
+    /** Restarts the response timer and records in the liveness when a call is in transit. */
     abstract static class CallListener implements HttpCall.Listener {
         private final AttemptConnections connections;
         private boolean isInTransit;
@@ -170,16 +164,13 @@
             return true;
         }
 
-        /**
-         * Its first byte is written now: the time that its connection took to come up was none of
-         * its.
-         */
+        /** Restarts the response timer, which so excludes the time taken to connect. */
         final void markWriteStarted() {
             writeStartedAt = connections.loop.now();
             connections.armResponseTimer(RESPONSE_TIMEOUT_SECONDS);
         }
 
-        /** Seconds since its first byte. */
+        /** Seconds since the first byte of the call was written. */
         final double secondsSinceWrite() {
             return connections.loop.now() - writeStartedAt;
         }
@@ -202,13 +193,13 @@
             handleFailure();
         }
 
-        /** The engine has answered; {@code sure} as in {@link HttpCall.Listener#onResponse}. */
+        /** Handles a response; parameters as in {@link HttpCall.Listener#onResponse}. */
         abstract void handleResponse(HttpResponse response, boolean isUnambiguous);
 
-        /** The call brought nothing readable, and brings nothing more. */
+        /** Handles a call that ended without a readable response. */
         abstract void handleFailure();
 
-        /** No room for a connection: like one that broke. */
+        /** No connection was available: handled like a broken one. */
         @Override
         public void onWithdrawn() {
             handleFailure();
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -1,5 +1,10 @@
 package junipercourse.engine;
 
+import static junipercourse.core.Backend.AttemptCompletion.withOutcome;
+import static junipercourse.decision.api.AttemptOutcome.ERROR;
+import static junipercourse.decision.api.AttemptOutcome.OBSOLETE;
+import static junipercourse.decision.api.AttemptOutcome.REJECTED;
+
 import java.util.List;
 import junipercourse.core.Backend;
 import junipercourse.core.Backend.AttemptCompletion;
@@ -12,33 +17,24 @@
 import junipercourse.net.EventLoop;
 
 /**
- * One attempt of a query at one engine: starts it, asks for its news until it ends, then gets all
- * pages. It is bound to no connection: if one breaks, the news is asked for again on another.
+ * One attempt of a query at one engine: starts the query, polls its state until it completes, then
+ * fetches all result pages. If a connection breaks, polling continues on another one.
  */
 final class EngineAttempt implements Backend.Attempt {
-    private static final double RETRY_DELAY_SECONDS = 0.1;
-    private static final double FIRST_RETRY_DELAY_SECONDS = 0.01;
-
-    /**
-     * Calls in a row that bring nothing readable, before and after the engine has said anything of
-     * it.
-     */
-    private static final int MAX_FAILURES_WITHOUT_RESPONSE = 4;
-
+    private static final double RETRY_SECONDS = 0.1;
+    private static final double FIRST_RETRY_SECONDS = 0.01;
+    // Consecutive failed calls before the engine has first responded, and after.
+    private static final int MAX_INITIAL_FAILURES = 4;
     private static final int MAX_FAILURES = 12;
-
-    /** A 202 that comes sooner was not held by the engine; its clock may be a little fast. */
+    // The engine did not hold a poll whose 202 arrives sooner; its clock may be a little fast.
     private static final double MIN_LONG_POLL_SECONDS = AttemptLiveness.LONG_POLL_SECONDS - 0.01;
-
-    /**
-     * For what had left before its connection was reset to come in before what follows on another.
-     */
-    private static final double DELIVERY_MARGIN_SECONDS = 0.05;
+    // Lets bytes sent before a reset arrive before those sent on the next connection.
+    private static final double DELIVERY_SECONDS = 0.05;
 
     private final EventLoop loop;
     private final EnginePool pool;
     private final Query query;
-    private final double deadlineAt;
+    private final double deadline;
     private final EngineClient.LoadReportReader loadReports;
     private final Counters counters;
     private final AttemptListener listener;
@@ -50,20 +46,20 @@
     private int failures;
     private AttemptOutcome abortOutcome;
     private HttpResponse okResponse;
-    private boolean isCompleted;
+    private boolean isFinished;
 
     EngineAttempt(
             EventLoop loop,
             EnginePool pool,
             Query query,
-            double deadlineAt,
+            double deadline,
             EngineClient.LoadReportReader loadReports,
             Counters counters,
             AttemptListener listener) {
         this.loop = loop;
         this.pool = pool;
         this.query = query;
-        this.deadlineAt = deadlineAt;
+        this.deadline = deadline;
         this.loadReports = loadReports;
         this.counters = counters;
         this.listener = listener;
@@ -74,7 +70,7 @@
                         query,
                         connections,
                         liveness,
-                        () -> complete(AttemptCompletion.withOutcome(abortOutcome)));
+                        () -> finish(withOutcome(abortOutcome)));
     }
 
     void start() {
@@ -82,13 +78,11 @@
             connections.makeStartCall(
                     () ->
                             EngineRequestEncoder.encodePost(
-                                    query,
-                                    Math.max(1, Math.round((deadlineAt - loop.now()) * 1000))),
+                                    query, Math.max(1, Math.round((deadline - loop.now()) * 1000))),
                     new StartListener());
         }
     }
 
-    /** A call that is answered with news. */
     private abstract class StateListener extends AttemptConnections.CallListener {
         StateListener() {
             super(connections);
@@ -106,10 +100,7 @@
     }
 
     private final class StartListener extends StateListener {
-        /**
-         * Guards against sends on facts that have changed since; reading the client's may change
-         * others.
-         */
+        /** Rechecks the state, which {@code maySendRequest} may change as it reads client input. */
         @Override
         public boolean mayWrite() {
             posted =
@@ -127,16 +118,16 @@
 
         @Override
         public void onUnreachable(boolean refused) {
-            complete(AttemptCompletion.withOutcome(AttemptOutcome.UNREACHABLE));
+            finish(withOutcome(AttemptOutcome.UNREACHABLE));
         }
 
-        /** It may have run and may be running: only the engine can tell. */
+        /** The query may have run or be running: only the engine knows. */
         @Override
         void handleFailure() {
             if (posted) {
                 retryPoll();
-            } else { // no room for a connection in all that time, or facts that have changed
-                complete(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT));
+            } else { // no connection was available in time, or the state has changed
+                finish(withOutcome(AttemptOutcome.NOT_SENT));
             }
         }
     }
@@ -149,55 +140,47 @@
 
         @Override
         public void onUnreachable(boolean refused) {
-            retryPoll(); // a process that lives refuses connections, too, past its own limit
+            retryPoll(); // a live process also refuses connections beyond its own limit
         }
     }
 
     /**
-     * The news did not come, or spoilt; after a good end the engine gives it again. One that only
-     * ever closes cannot read this query, or has nothing to tell: it is given up, since it may have
-     * run.
+     * Polls again; the engine repeats a successful result. If it only ever closes, it cannot read
+     * the query or has no state of it: the attempt is aborted, since the query may have run.
      */
     private void retryPoll() {
         counters.increment(Count.ENGINES_ASKED_AGAIN);
         failures++;
         switch (liveness.assessUnansweredCall(loop.now(), loop.responsiveSeconds())) {
-            case ENGINE_LOST -> complete(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
-            case NOT_POLLED -> completeNotPolled();
+            case ENGINE_LOST -> finish(withOutcome(AttemptOutcome.RESET));
+            case NOT_POLLED -> finishNotPolled();
             default -> {
                 if (failures
-                        >= (liveness.hasEngineResponded()
-                                ? MAX_FAILURES
-                                : MAX_FAILURES_WITHOUT_RESPONSE)) {
-                    abort(AttemptOutcome.ERROR);
+                        >= (liveness.hasEngineResponded() ? MAX_FAILURES : MAX_INITIAL_FAILURES)) {
+                    abort(ERROR);
                 } else {
                     double firstDelay =
-                            liveness.hasEngineResponded()
-                                    ? FIRST_RETRY_DELAY_SECONDS
-                                    : DELIVERY_MARGIN_SECONDS;
-                    connections.schedule(
-                            failures == 1 ? firstDelay : RETRY_DELAY_SECONDS, this::poll);
+                            liveness.hasEngineResponded() ? FIRST_RETRY_SECONDS : DELIVERY_SECONDS;
+                    connections.schedule(failures == 1 ? firstDelay : RETRY_SECONDS, this::poll);
                 }
             }
         }
     }
 
-    /** The engine dropped it because we were not there to ask: as if we had called it off. */
-    private void completeNotPolled() {
+    /** The engine dropped the query because this process did not poll: counts as a cancellation. */
+    private void finishNotPolled() {
         counters.increment(Count.ATTEMPTS_LEFT_ALONE);
-        complete(AttemptCompletion.withOutcome(AttemptOutcome.CANCELLED));
+        finish(withOutcome(AttemptOutcome.CANCELLED));
     }
 
     private void poll() {
         connections.makeCall(
-                EngineRequestEncoder.encodeWithoutBody("GET", query, "/0"),
-                new PollListener(),
-                false);
+                EngineRequestEncoder.encodeBodiless("GET", query, "/0"), new PollListener(), false);
     }
 
     /**
-     * What may be a copy is news nevertheless: it is about this query, and only a 202 can be one,
-     * since whatever else is told ends the asking. But then its call is still on its way.
+     * Handles possible duplicates as well: they concern this query, and only a 202 can be one,
+     * since any other response ends polling. The call of a duplicate is still in transit.
      */
     private void handleState(HttpResponse response, boolean isTrusted) {
         boolean mayHaveExpired = liveness.mayHaveExpiredUnpolled();
@@ -205,30 +188,20 @@
         switch (response.status()) {
             case 200 -> handleOk(response);
             case 202 -> handleRunning(isTrusted);
-            case 503 ->
-                    complete(
-                            withLoadReport(
-                                    neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
-                                    response));
-            case 504 ->
-                    complete(
-                            withLoadReport(
-                                    neverRan ? AttemptOutcome.OBSOLETE : AttemptOutcome.ERROR,
-                                    response));
+            case 503 -> finish(withLoadReport(neverRan ? REJECTED : ERROR, response));
+            case 504 -> finish(withLoadReport(neverRan ? OBSOLETE : ERROR, response));
             case 500 -> {
                 if (mayHaveExpired) {
-                    completeNotPolled();
+                    finishNotPolled();
                 } else {
-                    complete(withLoadReport(AttemptOutcome.ERROR, response));
+                    finish(withLoadReport(ERROR, response));
                 }
             }
-            default ->
-                    handleMalformed(); // such as 204, which answers no call for news: no proof of
-                // an end
+            default -> handleMalformed(); // 204, say, never answers a poll and proves no completion
         }
     }
 
-    /** One that came too soon, where another came before: the next call goes elsewhere. */
+    /** After an early 202 that may be a duplicate, the next poll uses another connection. */
     private void handleRunning(boolean isTrusted) {
         if (isTrusted) {
             liveness.recordResponse();
@@ -254,17 +227,16 @@
         liveness.recordResponse();
         okResponse = response;
         if (pages.addFirst(response)) {
-            new ResultPageFetcher(
-                            query, pages, connections, liveness, counters, this::onPagesFetched)
+            new ResultPageFetcher(query, pages, connections, liveness, counters, this::onFetched)
                     .fetchNext();
         } else {
             handleMalformed();
         }
     }
 
-    private void onPagesFetched(boolean isComplete) {
+    private void onFetched(boolean isComplete) {
         if (isComplete) {
-            complete(
+            finish(
                     new AttemptCompletion(
                             AttemptOutcome.OK,
                             loadReports.read(okResponse.header("x-gauges")),
@@ -272,30 +244,30 @@
                             okResponse.decimalHeader("x-footprint"),
                             pages.toList()));
         } else if (liveness.mayHaveExpiredUnpolled()) {
-            completeNotPolled();
+            finishNotPolled();
         } else {
-            complete(withLoadReport(AttemptOutcome.ERROR, okResponse));
+            finish(withLoadReport(ERROR, okResponse));
         }
     }
 
     @Override
     public void abort(AttemptOutcome outcome) {
-        if (isCompleted || abortOutcome != null) {
+        if (isFinished || abortOutcome != null) {
             return;
         }
         abortOutcome = outcome;
         connections.ignore();
         if (!connections.hasMadeCall() || !posted) { // nothing was written
-            loop.execute(() -> complete(AttemptCompletion.withOutcome(AttemptOutcome.NOT_SENT)));
+            loop.execute(() -> finish(withOutcome(AttemptOutcome.NOT_SENT)));
             return;
         }
-        cancellation.begin(DELIVERY_MARGIN_SECONDS);
+        cancellation.begin(DELIVERY_SECONDS);
     }
 
-    /** The one place where an attempt ends. */
-    private void complete(AttemptCompletion completion) {
-        if (!isCompleted) {
-            isCompleted = true;
+    /** Completes the attempt, once. */
+    private void finish(AttemptCompletion completion) {
+        if (!isFinished) {
+            isFinished = true;
             cancellation.stop();
             connections.close();
             listener.onCompleted(completion);
--- a/src/main/java/junipercourse/engine/EngineClient.java
+++ b/src/main/java/junipercourse/engine/EngineClient.java
@@ -20,7 +20,7 @@
 import junipercourse.net.DescriptorBudget;
 import junipercourse.net.EventLoop;
 
-/** The engines by id, each with what opens its connections; starts fetches on them. */
+/** Starts attempts at the listed engines and keeps a connection pool for each of them. */
 public final class EngineClient implements Backend {
     private final EventLoop loop;
     private final double dialTimeoutSeconds;
@@ -29,7 +29,7 @@
     private final EnginePool.Budget budget;
     private final Map<EngineId, EnginePool> pools = new HashMap<>();
 
-    /** {@code share} bounds what is open to all engines together. */
+    /** {@code share} limits the connections open to all engines together. */
     public EngineClient(
             EventLoop loop,
             DecisionSettings settings,
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Fetches that are out keep the pool until they are over; nothing new finds it. */
+    /** Running attempts use the pool until they complete; new ones do not find it. */
     private void retire(EngineId id) {
         EnginePool pool = pools.remove(id);
         if (pool != null) {
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Reads load reports such as {@code inflight:7;util:0.61} in the order that the settings name.
+     * Parses load reports such as {@code inflight:7;util:0.61} into values in the configured order.
      */
     static final class LoadReportReader {
         private static final float[] EMPTY = {};
@@ -109,7 +109,7 @@
             this.metrics = metrics;
         }
 
-        /** The values, or none if one is missing or no number: half a report would mislead. */
+        /** The values; empty if one is missing or invalid, as a partial report would mislead. */
         float[] read(String text) {
             if (text == null) {
                 return EMPTY;
--- a/src/main/java/junipercourse/engine/EngineConnection.java
+++ b/src/main/java/junipercourse/engine/EngineConnection.java
@@ -11,13 +11,14 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to an engine, with at most one call on it. It serves one attempt of one query and
- * is then closed: an answer names no query, and a second copy of it may come at any later time.
+ * One connection to an engine, with at most one call at a time. It serves one attempt of one query
+ * and is then closed: a response names no query, and a duplicate of it may arrive at any later
+ * time.
  */
 final class EngineConnection implements Connection.Handler {
     /** The attempt that a connection serves. */
     interface Owner {
-        /** The call on it is answered, and it can serve another. */
+        /** The call on the connection is answered; it can carry another one. */
         void onReusable(EngineConnection connection);
     }
 
@@ -30,9 +31,7 @@
     private HttpCall call;
     private boolean isWritten;
 
-    /**
-     * Calls of which no answer proves that they have arrived. At most those that one attempt makes.
-     */
+    /** Calls whose arrival no response has proven; bounded by the calls of one attempt. */
     private final List<HttpCall> unconfirmedCalls = new ArrayList<>();
 
     private boolean hasResponded;
@@ -52,8 +51,8 @@
     }
 
     /**
-     * Whether another call can go here. What came since the last answer is to nothing: it is closed
-     * then.
+     * Whether the connection can carry another call. It is closed if bytes have arrived since the
+     * last response, since these belong to no call.
      */
     boolean checkReusable() {
         if (isClosed) {
@@ -67,7 +66,7 @@
         return true;
     }
 
-    /** Whether it has neither been closed nor broken. */
+    /** Whether the connection is neither closed nor broken. */
     boolean isOpen() {
         return !isClosed;
     }
@@ -98,11 +97,11 @@
                 return;
             }
             if (response == null || call == null) {
-                throw new HttpResponseParser.MalformedResponseException("an answer to nothing");
+                throw new HttpResponseParser.MalformedResponseException("response without a call");
             }
             if (bytes.hasRemaining() && HttpResponseParser.containsRows(bytes)) {
                 throw new HttpResponseParser.MalformedResponseException(
-                        "rows behind the length told");
+                        "rows beyond the declared length");
             }
             completeCall(response, bytes.hasRemaining());
         } catch (HttpResponseParser.MalformedResponseException e) {
@@ -110,7 +109,7 @@
             Logger.warn(
                     "engine {}: {}; the connection is closed", pool.engineName(), e.getMessage());
             connection.close();
-            disconnected(); // the call on it is told at once, not when its answer is overdue
+            disconnected(); // fails the call at once, not at its response timeout
         }
     }
 
@@ -119,10 +118,10 @@
         boolean isUnambiguous = !hasResponded || completedCall.matchesOnlyThisCall(response);
         call = null;
         hasResponded = true;
-        if (isUnambiguous) { // an engine takes the calls of a connection in order
+        if (isUnambiguous) { // an engine handles the calls of a connection in order
             endDeliveries();
         }
-        if (hasTrailingBytes) { // a whole answer counts, but what follows it belongs to no call
+        if (hasTrailingBytes) { // a complete response counts, but bytes after it belong to no call
             counters.increment(Count.ENGINES_GARBLED);
             close();
         } else if (response.keepAlive()) {
@@ -145,7 +144,7 @@
         HttpCall brokenCall = call;
         call = null;
         if (brokenCall != null) {
-            connection.abort(); // of a call that is told as broken nothing more may arrive
+            connection.abort(); // no more bytes of a call reported as broken may arrive
             counters.increment(Count.ENGINES_BROKEN);
             endDeliveries();
             brokenCall.failBroken();
@@ -154,11 +153,10 @@
         }
     }
 
-    /** Closes; a call on it hears nothing. */
+    /** Closes the connection without notifying a call on it. */
     void close() {
-        if (!unconfirmedCalls
-                .isEmpty()) { // an orderly close would still deliver what lies in the kernel
-            abort();
+        if (!unconfirmedCalls.isEmpty()) {
+            abort(); // an orderly close would still deliver bytes buffered in the kernel
             return;
         }
         call = null;
@@ -167,15 +165,14 @@
     }
 
     /**
-     * Closes with a reset; a call on it hears nothing, and what has not reached the engine never
-     * does.
+     * Resets the connection without notifying a call on it; bytes that have not reached the engine
+     * never do.
      */
     void abort() {
         call = null;
         connection.abort();
         markClosed();
-        loop.runAfterNextPass(
-                this::endDeliveries); // by then the reset has surely reached the kernel
+        loop.runAfterNextPass(this::endDeliveries); // the reset has reached the kernel by then
     }
 
     private void endDeliveries() {
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -9,17 +9,17 @@
 import junipercourse.net.EventLoop;
 
 /**
- * Opens connections to one engine in one of its lives. A later engine at the same address has a
- * pool of its own, and so has one that was started again under its id: what waits for the old one
- * goes to neither. Nothing is kept for later queries: a late second copy of an answer would be
- * taken for that to another.
+ * Opens connections to one engine process. A later engine at the same address, or one restarted
+ * under the same id, has a pool of its own, so that calls waiting for the old process reach
+ * neither. No connection is reused for later queries: a late duplicate of a response would be taken
+ * for the response to another query.
  */
 final class EnginePool {
-    /** How many connections to all engines may be open or opening. */
+    /** Limits the connections to all engines that are open or being opened. */
     static final class Budget {
         /**
-         * Of the connections, for polls, pages and DELETEs: no new query may keep those from going
-         * out.
+         * One in this many connections is reserved for polls, pages and DELETEs, which new queries
+         * must not block.
          */
         private static final int FOLLOW_UP_DIVISOR = 12;
 
@@ -39,7 +39,7 @@
             return share.available() > reserve && share.tryAcquire();
         }
 
-        /** One is closed; its descriptor is back once the sockets have been looked at again. */
+        /** Releases a closed connection; its descriptor is free after the next selector pass. */
         void release() {
             share.markClosing();
             loop.runAfterNextPass(
@@ -50,7 +50,7 @@
             resumeNextWaiting();
         }
 
-        /** A new query that found no room goes on, in the order come. */
+        /** Resumes the new query that has waited longest for a connection. */
         private void resumeNextWaiting() {
             if (!waitingStarts.isEmpty() && share.available() > followUpReserve) {
                 Runnable longestWaiting = waitingStarts.iterator().next();
@@ -84,18 +84,18 @@
         return String.format("s-%08x", endpoint.engine().id().value());
     }
 
-    /** Whether a listed engine is this one, where it was and not started since. */
+    /** Whether a listed engine is this one: same address and not restarted since. */
     boolean matches(EngineEndpoint other) {
         return endpoint.address().equals(other.address())
                 && endpoint.engine().startedAt() == other.engine().startedAt();
     }
 
-    /** Seconds in which a connection comes up or is given up. */
+    /** Seconds after which a connection attempt fails. */
     double dialTimeoutSeconds() {
         return dialTimeoutSeconds;
     }
 
-    /** Whether new work may go there now. */
+    /** Whether the engine accepts new queries. */
     boolean isReady() {
         return isReady;
     }
@@ -105,11 +105,11 @@
     }
 
     /**
-     * Runs a call on a new connection of its owner's. A call that {@code starts} a query waits for
-     * room.
+     * Writes a call on a new connection for its owner. A call that {@code startsQuery} waits until
+     * a connection is available.
      */
     void callOnNewConnection(HttpCall call, boolean startsQuery, EngineConnection.Owner owner) {
-        if (!call.isPending()) { // given up while it waited for room
+        if (!call.isPending()) { // ignored while it waited for a connection
             budget.resumeNextWaiting();
             return;
         }
@@ -126,10 +126,8 @@
                             EngineConnection connection =
                                     new EngineConnection(loop, stream, this, owner, counters);
                             call.setConnectCanceller(connection::close);
-                            loop.runWhenCaughtUp(
-                                    () -> call.writeOn(connection)); // a cancel or a drain may lie
-                            // unread
-                            // after a stall
+                            // After a stall a cancellation or a drain may still be unread.
+                            loop.runWhenCaughtUp(() -> call.writeOn(connection));
                         },
                         failure -> {
                             budget.release();
@@ -143,7 +141,7 @@
     }
 
     /**
-     * Our own lack of room is told of no engine: a new query waits for it, other calls try again
+     * Handles a full budget, which is no fault of the engine: a new query waits, other calls retry
      * soon.
      */
     private void waitForConnection(
@@ -157,7 +155,7 @@
         }
     }
 
-    /** A connection has been closed; each says so once. */
+    /** Called once by each connection when it closes. */
     void onConnectionClosed() {
         budget.release();
     }
--- a/src/main/java/junipercourse/engine/EngineRequestEncoder.java
+++ b/src/main/java/junipercourse/engine/EngineRequestEncoder.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 import junipercourse.core.Query;
 
-/** The bytes of calls to an engine. */
+/** Encodes the HTTP requests of calls to an engine. */
 final class EngineRequestEncoder {
     private EngineRequestEncoder() {}
 
-    /** Starts a query; {@code waitMs} is how long its news is waited for. */
+    /** The request that starts a query; {@code limitMillis} is how long its outcome is awaited. */
     static byte[] encodePost(Query query, long limitMillis) {
         StringBuilder head =
                 new StringBuilder("POST /fetch HTTP/1.1\r\n")
@@ -32,8 +32,8 @@
         return message;
     }
 
-    /** A call without a body, such as {@code GET} of {@code /0}. */
-    static byte[] encodeWithoutBody(String method, Query query, String pathSuffix) {
+    /** A request without a body, such as a {@code GET} with the path suffix {@code /0}. */
+    static byte[] encodeBodiless(String method, Query query, String pathSuffix) {
         return (method + " /fetch/" + query.id() + pathSuffix + " HTTP/1.1\r\nHost: engine\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/junipercourse/engine/HttpCall.java
+++ b/src/main/java/junipercourse/engine/HttpCall.java
@@ -3,42 +3,45 @@
 import java.util.function.Supplier;
 
 /**
- * One call to an engine, from the moment a connection is isPending for it until its answer is there
- * or it failed. Exactly one of the listener's methods that tell how it went is called, unless it is
- * dropped.
+ * One call to an engine, from the request for a connection until its response or failure. Exactly
+ * one of the listener's outcome methods is called, unless the call is ignored or aborted.
  */
 final class HttpCall {
-    /** Is told how a call went. */
+    /** Receives the progress and outcome of a call. */
     interface Listener {
-        /** Asked right before the first byte: false takes the call back unwritten. */
+        /** Called right before the first byte is written; false withdraws the call unwritten. */
         boolean mayWrite();
 
         /**
-         * Whether an answer can be to this call alone, although its connection has brought others
-         * before, of which it may be a late second copy.
+         * Whether a response can belong to this call only, rather than being a late duplicate of an
+         * earlier response on the same connection.
          */
         boolean matchesOnlyThisCall(HttpResponse response);
 
         /**
-         * Nothing more of the call arrives: it is answered for sure, or reset. May be said twice.
+         * No more bytes of the call can reach the engine: it has certainly been answered, or its
+         * connection is reset. May be called twice.
          */
         void onDeliveryEnded();
 
-        /** {@code sure} unless the answer may be a copy of an earlier one on its connection. */
+        /**
+         * The call was answered; {@code isUnambiguous} unless the response may be a duplicate of an
+         * earlier one on the connection.
+         */
         void onResponse(HttpResponse response, boolean isUnambiguous);
 
-        /** All of the call has been handed to the system. */
+        /** The whole request has been handed to the operating system. */
         default void onWritten() {}
 
-        /** The connection broke with the call on it. */
+        /** The connection broke before the call was answered. */
         void onConnectionBroken();
 
-        /** No connection came up, and nothing was written. */
+        /** No connection was established, and nothing was written. */
         void onUnreachable(boolean refused);
 
         /**
-         * {@link #mayWrite} said no, or a later call found no room for a connection; nothing was
-         * written.
+         * Nothing was written: {@link #mayWrite} returned false, or no connection was available for
+         * a call after the one that starts the query.
          */
         void onWithdrawn();
     }
@@ -49,18 +52,18 @@
     private EngineConnection activeConnection;
     private Runnable connectCanceller;
 
-    /** {@code request} is asked for right before its first byte. */
+    /** {@code request} is called right before the first byte is written. */
     HttpCall(Supplier<byte[]> request, Listener listener) {
         this.request = request;
         this.listener = listener;
     }
 
-    /** Until its first byte it is given up by this. */
+    /** Sets what cancels the call until its first byte is written. */
     void setConnectCanceller(Runnable canceller) {
         connectCanceller = canceller;
     }
 
-    /** Writes the call on a connection, or closes that. */
+    /** Writes the call on a connection, or closes the connection if it may not be written. */
     void writeOn(EngineConnection connection) {
         connectCanceller = connection::close;
         if (!isPending || !connection.isOpen() || !listener.mayWrite()) {
@@ -82,7 +85,8 @@
     }
 
     /**
-     * Told of ignored calls, too: what is still on its way may arrive although nobody waits for it.
+     * Also reported for ignored calls: bytes in transit may arrive although the response is not
+     * awaited.
      */
     void endDelivery() {
         listener.onDeliveryEnded();
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Nothing was written, and nothing is to be. */
+    /** Ends the call unwritten. */
     void withdraw() {
         if (finish()) {
             listener.onWithdrawn();
@@ -113,6 +117,7 @@
         }
     }
 
+    /** Ends the call; returns whether its outcome was still awaited. */
     private boolean finish() {
         boolean wasPending = isPending;
         isPending = false;
@@ -121,12 +126,12 @@
         return wasPending;
     }
 
-    /** Whether somebody still waits for how it goes. */
+    /** Whether the outcome is still awaited. */
     boolean isPending() {
         return isPending;
     }
 
-    /** The listener hears nothing more but {@link Listener#onDeliveryEnded}. */
+    /** From now on only {@link Listener#onDeliveryEnded} of the listener is called. */
     void ignore() {
         isPending = false;
         if (connectCanceller != null) {
@@ -135,10 +140,7 @@
         }
     }
 
-    /**
-     * Ignores the call and, unless it is answered, resets its connection: then no more of it
-     * arrives.
-     */
+    /** Ignores the call and, unless it is answered, resets its connection to stop its delivery. */
     void abort() {
         EngineConnection connection = activeConnection;
         ignore();
--- a/src/main/java/junipercourse/engine/HttpResponse.java
+++ b/src/main/java/junipercourse/engine/HttpResponse.java
@@ -2,13 +2,13 @@
 
 import java.util.Map;
 
-/** A whole answer of an engine. Header names are in lower case. */
+/** A complete response of an engine. Header names are in lower case. */
 record HttpResponse(int status, Map<String, String> headers, byte[] body, boolean keepAlive) {
     String header(String lowerCaseName) {
         return headers.get(lowerCaseName);
     }
 
-    /** A header's number; 0 if there is none or it is below 0 or not finite. */
+    /** The numeric value of a header; 0 if it is missing, malformed, negative or not finite. */
     double decimalHeader(String lowerCaseName) {
         String text = header(lowerCaseName);
         try {
--- a/src/main/java/junipercourse/engine/HttpResponseParser.java
+++ b/src/main/java/junipercourse/engine/HttpResponseParser.java
@@ -7,20 +7,20 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP/1.1 responses from bytes that come in any pieces. Anything else is garbled. */
+/** Parses HTTP/1.1 responses from bytes received in pieces of any size; rejects anything else. */
 final class HttpResponseParser {
     private static final int MAX_LINE_BYTES = 4 * 1024;
     private static final int MAX_HEADERS = 32;
-    private static final int MAX_INTERIM_RESPONSES =
-            16; // 1xx heads before one answer: they may not go on for good
+
+    /** 1xx responses before a final one, which could otherwise go on forever. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
+
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /**
-     * Of one answer with its framing: no head, chunk or trailer may go on for good in small pieces.
-     */
+    /** Limit of a response with its framing: heads, chunks and trailers must not go on forever. */
     static final int MAX_RESPONSE_BYTES = 2 * MAX_BODY_BYTES;
 
-    /** Bytes that are no HTTP response. */
+    /** Thrown for bytes that are not a valid HTTP response. */
     static final class MalformedResponseException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -47,14 +47,14 @@
     private int status;
     private int remaining;
     private int interimResponses;
-    private int responseBytes; // bytes of the answer that is being read
+    private int responseBytes; // bytes read of the current response
 
-    /** True between responses: nothing of a next one has come. */
+    /** Whether nothing of the next response has been read. */
     boolean isBetweenResponses() {
         return state == State.STATUS && lineBuffer.size() == 0;
     }
 
-    /** Takes bytes until a response is whole, and returns it; null if more are needed. */
+    /** Reads bytes until a response is complete and returns it; null if more are needed. */
     HttpResponse read(ByteBuffer input) throws MalformedResponseException {
         int startPosition = input.position();
         HttpResponse response = parse(input);
@@ -63,15 +63,15 @@
             responseBytes = 0;
         } else if (responseBytes > MAX_RESPONSE_BYTES) {
             throw new MalformedResponseException(
-                    "an answer of over " + MAX_RESPONSE_BYTES + " bytes");
+                    "response longer than " + MAX_RESPONSE_BYTES + " bytes");
         }
         return response;
     }
 
     /**
-     * Whether what came right behind an answer is more of its rows: then its length was told too
-     * short, and what it leaves over may look like a whole result. Another answer, or noise, is
-     * none of them.
+     * Whether the bytes right behind a response are more of its rows: then its declared length was
+     * too short, and the response may look like a complete result. Another response or arbitrary
+     * bytes do not count as rows.
      */
     static boolean containsRows(ByteBuffer trailingBytes) {
         String text = StandardCharsets.ISO_8859_1.decode(trailingBytes.duplicate()).toString();
@@ -114,7 +114,8 @@
                 return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             }
             if (lineBuffer.size() >= MAX_LINE_BYTES) {
-                throw new MalformedResponseException("a line of over " + MAX_LINE_BYTES + " bytes");
+                throw new MalformedResponseException(
+                        "line longer than " + MAX_LINE_BYTES + " bytes");
             }
             lineBuffer.write(b);
         }
@@ -136,7 +137,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new MalformedResponseException("a chunk that is longer than its size");
+                    throw new MalformedResponseException("chunk longer than its size");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -152,7 +153,7 @@
 
     private void parseStatusLine(String text) throws MalformedResponseException {
         if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
-            throw new MalformedResponseException("no status line");
+            throw new MalformedResponseException("invalid status line");
         }
         isHttp10 = text.charAt(7) == '0';
         status = Integer.parseInt(text.substring(9, 12));
@@ -163,23 +164,24 @@
         int colon = text.indexOf(':');
         if (colon <= 0 || headers.size() >= MAX_HEADERS) {
             throw new MalformedResponseException(
-                    colon <= 0 ? "a header without a name" : "too many headers");
+                    colon <= 0 ? "header without a name" : "more than " + MAX_HEADERS + " headers");
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
         String previous = headers.put(name, value);
         if (previous != null && name.equals("content-length") && !previous.equals(value)) {
-            throw new MalformedResponseException("two lengths");
+            throw new MalformedResponseException("conflicting Content-Length headers");
         }
     }
 
     private HttpResponse finishHeaders() throws MalformedResponseException {
         String transferCoding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
-        if (status < 200) { // an interim response: the real one follows
+        if (status < 200) { // an interim response: the final one follows
             interimResponses++;
             if (interimResponses > MAX_INTERIM_RESPONSES) {
-                throw new MalformedResponseException("interim responses without end");
+                throw new MalformedResponseException(
+                        "more than " + MAX_INTERIM_RESPONSES + " interim responses");
             }
             headers = new HashMap<>();
             state = State.STATUS;
@@ -190,13 +192,15 @@
         }
         if (transferCoding != null) {
             if (!transferCoding.equalsIgnoreCase("chunked")) {
-                throw new MalformedResponseException("transfer coding " + transferCoding);
+                throw new MalformedResponseException(
+                        "unsupported transfer coding: " + transferCoding);
             }
             state = State.CHUNK_SIZE;
             return null;
         }
         if (length == null) {
-            throw new MalformedResponseException("no length");
+            throw new MalformedResponseException(
+                    "response without Content-Length or chunked coding");
         }
         remaining = parseSize(length, 10);
         state = State.BODY;
@@ -208,13 +212,13 @@
         try {
             size = Integer.parseInt(text, radix);
         } catch (NumberFormatException e) {
-            throw new MalformedResponseException("not a length: " + text);
+            throw new MalformedResponseException("invalid length: " + text);
         }
-        if (size < 0 || Character.digit(text.charAt(0), radix) < 0) { // a sign is no digit
-            throw new MalformedResponseException("not a length: " + text);
+        if (size < 0 || Character.digit(text.charAt(0), radix) < 0) { // parseInt accepts a sign
+            throw new MalformedResponseException("invalid length: " + text);
         }
         if (size > MAX_BODY_BYTES - body.size()) {
-            throw new MalformedResponseException("a length out of range: " + text);
+            throw new MalformedResponseException("length out of range: " + text);
         }
         return size;
     }
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -5,11 +5,11 @@
 import junipercourse.core.Query;
 import junipercourse.liveness.AttemptLiveness;
 
-/** Gets the further pages of a result, after its good end was told with page 0. */
+/** Fetches the pages of a result after page 0, which reported the success of the query. */
 final class ResultPageFetcher {
     private static final double RETRY_DELAY_SECONDS = 0.1;
 
-    /** Calls in a row that do not bring the page. */
+    /** Consecutive calls that may fail to return the page. */
     private static final int MAX_FAILURES = 4;
 
     private static final int FIRST_ERROR_STATUS = 400;
@@ -22,7 +22,7 @@
     private final CompletionListener listener;
     private int failures;
 
-    /** Is told once, when all pages are there or one is lost. */
+    /** Called once, when all pages are fetched or one is lost. */
     interface CompletionListener {
         void onFinished(boolean isComplete);
     }
@@ -50,7 +50,7 @@
                     failures > 1 ? RETRY_DELAY_SECONDS : AttemptConnections.REUSE_DELAY_SECONDS,
                     () ->
                             connections.makeCall(
-                                    EngineRequestEncoder.encodeWithoutBody(
+                                    EngineRequestEncoder.encodeBodiless(
                                             "GET", query, "/" + pages.nextNumber()),
                                     new PageListener(),
                                     false));
@@ -62,7 +62,7 @@
             super(connections);
         }
 
-        /** A page bears its number; an error is told of no query whose pages are got after it. */
+        /** A page carries its number; an error is no duplicate, as no page is fetched after one. */
         @Override
         public boolean matchesOnlyThisCall(HttpResponse response) {
             return pages.isNextPage(response) || response.status() >= FIRST_ERROR_STATUS;
@@ -75,9 +75,9 @@
                 failures = 0;
                 fetchNext();
             } else if (response.status() >= FIRST_ERROR_STATUS) {
-                listener.onFinished(
-                        false); // pages end with their engine, or when nobody asks for them
-            } else { // spoilt, or a copy of a 202 or of another page: the engine still has this one
+                listener.onFinished(false); // pages are lost with their engine, or expire unpolled
+            } else { // malformed, or a duplicate of a 202 or of another page: the engine has this
+                // one
                 counters.increment(Count.ENGINES_GARBLED);
                 connections.resetIdle();
                 handleFailure();
@@ -88,8 +88,7 @@
         void handleFailure() {
             failures++;
             if (failures >= MAX_FAILURES) {
-                liveness.recordResponse(); // it is known to have ended well: nobody has left it
-                // alone
+                liveness.recordResponse(); // known to have succeeded, so not expired unpolled
                 listener.onFinished(false);
             } else {
                 fetchNext();
--- a/src/main/java/junipercourse/engine/ResultPages.java
+++ b/src/main/java/junipercourse/engine/ResultPages.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The pages of one result, taken in order. Bounds: 64 pages and 256 KB in all; a result has 48,000
- * bytes.
+ * The pages of one result, added in order. At most 64 pages and 256 KB in all; a result has at most
+ * 48,000 bytes.
  */
 final class ResultPages {
     private static final int COLUMNS = 3;
@@ -16,10 +16,7 @@
     private int pageCount;
     private int totalBytes;
 
-    /**
-     * Takes page 0, which tells the number of all pages; false if it is a further page's, or
-     * spoilt.
-     */
+    /** Adds page 0, which gives the number of pages; false if it is another page or malformed. */
     boolean addFirst(HttpResponse response) {
         String pageCountHeader = response.header("x-fetches");
         pageCount = pageCountHeader == null ? 1 : parseNumber(pageCountHeader);
@@ -33,12 +30,12 @@
         return true;
     }
 
-    /** Whether an answer says that it is the next page. */
+    /** Whether a response carries the number of the next page. */
     boolean isNextPage(HttpResponse response) {
         return response.status() == 200 && parseNumber(response.header("x-fetch")) == pages.size();
     }
 
-    /** Takes the next page; false if this is another one, or spoilt. */
+    /** Adds the next page; false if the response is another page or malformed. */
     boolean addNext(HttpResponse response) {
         boolean isValid =
                 isNextPage(response)
@@ -55,7 +52,7 @@
         pages.add(page);
     }
 
-    /** The number of the next page. */
+    /** The number of the next page to fetch. */
     int nextNumber() {
         return pages.size();
     }
@@ -69,8 +66,8 @@
     }
 
     /**
-     * Whether a page holds whole rows of three columns: no client is to get part of a result as
-     * all.
+     * Whether a page consists of complete rows of three columns: no client may receive a truncated
+     * result as complete.
      */
     private static boolean hasOnlyWholeRows(byte[] page) {
         int tabs = 0;
--- a/src/test/java/junipercourse/engine/EngineRequestEncoderTest.java
+++ b/src/test/java/junipercourse/engine/EngineRequestEncoderTest.java
@@ -52,9 +52,9 @@
     void getAndDeleteHaveNoBody() {
         assertEquals(
                 "GET /fetch/00000000000000ab/0 HTTP/1.1\r\nHost: engine\r\n\r\n",
-                text(EngineRequestEncoder.encodeWithoutBody("GET", query(null), "/0")));
+                text(EngineRequestEncoder.encodeBodiless("GET", query(null), "/0")));
         assertEquals(
                 "DELETE /fetch/00000000000000ab HTTP/1.1\r\nHost: engine\r\n\r\n",
-                text(EngineRequestEncoder.encodeWithoutBody("DELETE", query(null), "")));
+                text(EngineRequestEncoder.encodeBodiless("DELETE", query(null), "")));
     }
 }
