--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -44,7 +44,7 @@
     private final AttemptCancellation cancellation;
     private boolean posted;
     private int failures;
-    private AttemptOutcome abortOutcome;
+    private AttemptOutcome abortResult;
     private HttpResponse okResponse;
     private boolean isFinished;
 
@@ -66,15 +66,11 @@
         connections = new AttemptConnections(loop, pool, liveness);
         cancellation =
                 new AttemptCancellation(
-                        loop,
-                        query,
-                        connections,
-                        liveness,
-                        () -> finish(withOutcome(abortOutcome)));
+                        loop, query, connections, liveness, () -> finish(withOutcome(abortResult)));
     }
 
     void start() {
-        if (abortOutcome == null) {
+        if (abortResult == null) {
             connections.makeStartCall(
                     () ->
                             EngineRequestEncoder.encodePost(
@@ -106,7 +102,7 @@
             posted =
                     listener.maySendRequest()
                             && pool.isReady()
-                            && abortOutcome == null
+                            && abortResult == null
                             && super.mayWrite();
             return posted;
         }
@@ -252,10 +248,10 @@
 
     @Override
     public void abort(AttemptOutcome outcome) {
-        if (isFinished || abortOutcome != null) {
+        if (isFinished || abortResult != null) {
             return;
         }
-        abortOutcome = outcome;
+        abortResult = outcome;
         connections.ignore();
         if (!connections.hasMadeCall() || !posted) { // nothing was written
             loop.execute(() -> finish(withOutcome(AttemptOutcome.NOT_SENT)));
--- a/src/test/java/junipercourse/engine/AttemptOverlapChecker.java
+++ b/src/test/java/junipercourse/engine/AttemptOverlapChecker.java
@@ -6,9 +6,9 @@
 import junipercourse.SocketTestSupport;
 
 /**
- * What engines of one query know: when it was posted and whether an attempt before was still out
- * then, by PROTOCOL: until its end is written, it is deleted, or nobody has asked for it for 2 s.
- * The first attempt meets a fault, later ones are answered.
+ * Script of the engines of one query. Records each POST and whether it arrived while an earlier
+ * attempt could still run; by PROTOCOL an attempt ends when its outcome is written, it is deleted
+ * or it is not polled for 2 s. The first attempt meets a fault, later ones succeed.
  */
 final class AttemptOverlapChecker {
     private static final double QUERY_EXPIRY_SECONDS = 2.0;
@@ -24,7 +24,7 @@
         this.fault = fault;
     }
 
-    /** The engine's script: the id tells nothing, as engines of a bench serve one query. */
+    /** Answers a call; its query id is ignored, as the engines of a test serve one query. */
     String respond(String call) {
         boolean isFirstAttempt;
         synchronized (this) {
@@ -59,7 +59,7 @@
         return hasOverlap;
     }
 
-    /** Seconds from the first attempt's arrival to the last one's. */
+    /** Seconds from the first POST to the last one. */
     synchronized double secondsBetweenPosts() {
         return postTimes.isEmpty() ? 0 : postTimes.get(postTimes.size() - 1) - postTimes.get(0);
     }
--- a/src/test/java/junipercourse/engine/AttemptRetryTest.java
+++ b/src/test/java/junipercourse/engine/AttemptRetryTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * PROTOCOL's list of proofs that an attempt never ran, against what is none, for each effect: what
- * is sent again, and that there are never two out.
+ * Outcomes that by PROTOCOL prove that an attempt never ran, and others, for each effect: which
+ * attempts are repeated, and that two attempts never overlap.
  */
 class AttemptRetryTest {
-    /** By what may be repeated: always, by key for 12 s and for half a second, and never. */
+    /** Repeatable always, by idempotency key for 12 s, by key for 0.5 s, and never. */
     private static final List<String> CLASSES = List.of("check", "load", "soon", "move");
 
     private static final double SHORT_WINDOW_SECONDS = 0.5;
@@ -49,7 +49,7 @@
                             """)
                     .replaceAll(
                             "goal_time_s\":[0-9.]+",
-                            "goal_time_s\":15.0") // aims are not tested here
+                            "goal_time_s\":15.0") // latency objectives are not tested here
                     .replace("\"deadline_s\":7.5", "\"deadline_s\":20.0");
     private static final String NEVER_RAN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
     private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
@@ -57,13 +57,13 @@
     private static final String TRUNCATED =
             "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\nContent-Length: 60\r\n\r\na\tb\t";
 
-    /** What engines answer to the first attempt's calls, by row. */
+    /** Responses to the calls of the first attempt, by name of the fault. */
     private static final Map<String, Function<String, String>> FAULTS =
             Map.ofEntries(
                     Map.entry("full", call -> AT_CAPACITY),
-                    Map.entry("over", call -> "HTTP/1.1 504 Late\r\n" + NEVER_RAN),
+                    Map.entry("expired", call -> "HTTP/1.1 504 Late\r\n" + NEVER_RAN),
                     Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NO_BODY),
-                    Map.entry("over without proof", call -> "HTTP/1.1 504 Late\r\n" + NO_BODY),
+                    Map.entry("expired without proof", call -> "HTTP/1.1 504 Late\r\n" + NO_BODY),
                     Map.entry(
                             "full, proof 0",
                             call -> "HTTP/1.1 503 Full\r\nX-Unrun: 0\r\n" + NO_BODY),
@@ -81,20 +81,20 @@
                                             ? CANCELLED
                                             : SocketTestSupport.CLOSE_CONNECTION),
                     Map.entry(
-                            "garbled always",
+                            "malformed always",
                             call -> call.startsWith("DELETE") ? CANCELLED : NOT_HTTP),
                     Map.entry(
-                            "cut always",
+                            "truncated always",
                             call -> call.startsWith("DELETE") ? CANCELLED : TRUNCATED),
                     Map.entry(
                             "delete unanswered",
                             call -> call.startsWith("DELETE") ? NO_RESPONSE : NOT_HTTP),
                     Map.entry("silent", call -> NO_RESPONSE),
                     Map.entry(
-                            "hangs in its work",
+                            "hangs while running",
                             call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
-    /** What was seen of one class. */
+    /** The observed result of one query class. */
     private record Observation(
             String queryClass,
             String answer,
@@ -118,21 +118,21 @@
     }
 
     /**
-     * {@code again}: y or n for each class, ? where its time decides: the half second's window is
-     * judged by itself, and one that hangs in its work after it was heard is waited for, past some
-     * clients' time.
+     * {@code expectedRepeats} is y or n for each class, or ? where timing decides: the window of
+     * 0.5 s has an assertion of its own, and a query that hangs after the engine has responded is
+     * awaited beyond the timeout of some clients.
      */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "full | yyyy", "over | nnnn", "full without proof | yy?n",
-                        "over without proof | yy?n",
+                "full | yyyy", "expired | nnnn", "full without proof | yy?n",
+                        "expired without proof | yy?n",
                 "full, proof 0 | yy?n", "error | yy?n", "reset, then unknown | yy?n",
                         "reset always | yy?n",
-                "garbled always | yy?n", "cut always | yynn", "delete unanswered | yynn",
+                "malformed always | yy?n", "truncated always | yynn", "delete unanswered | yynn",
                         "silent | yynn",
-                "hangs in its work | ??nn"
+                "hangs while running | ??nn"
             })
     void attemptIsRepeatedOnlyIfEffectOrProofAllows(String fault, String expectedRepeats)
             throws Exception {
@@ -168,24 +168,24 @@
             boolean reportsNeverRan = observation.answer.startsWith("E(53");
             assertTrue(
                     !reportsNeverRan
-                            || fault.equals("over")
+                            || fault.equals("expired")
                             || !observation.queryClass.equals("move"),
                     description);
         }
     }
 
     /**
-     * Proofs without a byte: a refused connection, and one that never comes up. Every effect goes
-     * on.
+     * No byte was written, as the connection was refused or never established: queries of every
+     * effect go to another engine.
      */
     @ParameterizedTest
     @CsvSource({
         "check,refused",
         "load,refused",
         "move,refused",
-        "check,never up",
-        "load,never up",
-        "move,never up"
+        "check,never established",
+        "load,never established",
+        "move,never established"
     })
     void unwrittenAttemptMovesToAnotherEngine(String queryClass, String fault) throws Exception {
         StubEngine closedEngine = new StubEngine(call -> OK);
--- a/src/test/java/junipercourse/engine/CancellationTest.java
+++ b/src/test/java/junipercourse/engine/CancellationTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An attempt that is given up is out until that is proven, and what still comes of it goes to
- * nobody.
+ * A cancelled attempt counts as running until its end is proven, and a response that it still
+ * receives reaches no client.
  */
 class CancellationTest {
     private static final String CANCELLED = "E(57014 canceling statement due to user request)";
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The engine reads each DELETE and says nothing, says what is no proof, or breaks: it may run
-     * on.
+     * The engine reads each DELETE but does not answer it, answers without proof of the deletion or
+     * breaks the connection: the query may still be running.
      */
     @ParameterizedTest
     @CsvSource({
@@ -83,13 +83,13 @@
         assertTrue(
                 secondPostNanos.get() - lastPollNanos.get() >= QUERY_EXPIRY_NANOS,
                 "after " + (secondPostNanos.get() - lastPollNanos.get()));
-        assertTrue(engine.countCalls("DELETE") >= 2, "tried again: " + engine.calls);
+        assertTrue(engine.countCalls("DELETE") >= 2, "DELETE was not retried: " + engine.calls);
         assertEquals(1, engine.countCalls("POST /fetch 0000000000000001"));
     }
 
     /**
-     * The last answer of a query crosses its DELETE, in either order: its client has had its one
-     * answer.
+     * The final response of a query crosses its DELETE, in either order, after its client has
+     * received the cancellation.
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
@@ -109,12 +109,11 @@
                                 } else {
                                     deleteReceived.countDown();
                                     SocketTestSupport.sleepMillis(
-                                            50); // the answer leaves on its own connection
-                                    // meanwhile
+                                            50); // the response is sent on its own connection
                                 }
                                 return CANCELLED;
                             }
-                            if (call.startsWith("GET")) { // held until the DELETE has come
+                            if (call.startsWith("GET")) { // held until the DELETE has arrived
                                 SocketTestSupport.await(
                                         () ->
                                                 (deleteFirst ? deleteAnswered : deleteReceived)
@@ -136,10 +135,7 @@
         assertEquals(0, support.counters.get(Count.INTERNAL_ERRORS));
     }
 
-    /**
-     * Neither a held call nor a DELETE without an answer leaves a connection or a descriptor
-     * behind.
-     */
+    /** Neither a held poll nor an unanswered DELETE leaves a connection or a descriptor open. */
     @Test
     void cancelledAttemptClosesAllConnections() throws Exception {
         CountDownLatch attemptCompleted = new CountDownLatch(1);
@@ -158,7 +154,7 @@
         SocketTestSupport.await(() -> engine.countCalls("GET") >= 1);
         client.cancel();
         SocketTestSupport.await(() -> support.counters.get(Count.ENDS_CANCELLED) == 1);
-        assertTrue(engine.countCalls("DELETE") >= 2, "tried again: " + engine.calls);
+        assertTrue(engine.countCalls("DELETE") >= 2, "DELETE was not retried: " + engine.calls);
         attemptCompleted.countDown();
         SocketTestSupport.await(
                 () ->
--- a/src/test/java/junipercourse/engine/ConnectRaceTest.java
+++ b/src/test/java/junipercourse/engine/ConnectRaceTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What happens to an attempt in the very turn of the loop in which its connection has come up,
- * before the loop has seen that: the turn is held until the engine has accepted.
+ * Events of an attempt in the loop iteration in which its connection is established, before the
+ * loop has noticed that: the test blocks the iteration until the engine has accepted.
  */
 class ConnectRaceTest {
     private static final int TIMEOUT_MILLIS = 3000;
@@ -86,7 +86,7 @@
         return engineClient.startAttempt(new EngineId(1), query, now + 5, completions::add);
     }
 
-    /** What the engine reads before the connection ends, or until it has a call. */
+    /** The HTTP method of the first call; empty if the connection ends before one. */
     private static String readMethod(Socket socket) throws Exception {
         socket.setSoTimeout(TIMEOUT_MILLIS);
         byte[] buffer = new byte[4096];
@@ -100,12 +100,12 @@
 
     @ParameterizedTest
     @CsvSource({
-        "given up,NOT_SENT",
+        "aborted,NOT_SENT",
         "drained,NOT_SENT",
         "gone,NOT_SENT",
-        "drained and given up,NOT_SENT",
-        "nothing,OK",
-        "held past the dial's time,"
+        "drained and aborted,NOT_SENT",
+        "no event,OK",
+        "blocked past the dial timeout,"
     })
     void connectionOpenedInSameIterationCarriesNoObsoleteRequest(
             String event, AttemptOutcome expected) throws Exception {
@@ -122,14 +122,15 @@
                                 } catch (java.io.IOException e) {
                                     failure.set(e);
                                 }
-                                SocketTestSupport.sleepMillis(event.startsWith("held") ? 400 : 20);
+                                SocketTestSupport.sleepMillis(
+                                        event.startsWith("blocked") ? 400 : 20);
                                 if (event.startsWith("drained") || event.equals("gone")) {
                                     updateEngine(
                                             event.equals("gone")
                                                     ? EngineStage.GONE
                                                     : EngineStage.DRAINING);
                                 }
-                                if (event.endsWith("given up")) {
+                                if (event.endsWith("aborted")) {
                                     attempt.abort(AttemptOutcome.CANCELLED);
                                 }
                             });
@@ -143,11 +144,12 @@
             }
             SocketTestSupport.await(() -> !completions.isEmpty());
             AttemptOutcome outcome = completions.get(0).outcome();
-            assertTrue(expected == null || expected == outcome, "ended as " + outcome);
-            assertEquals(outcome == AttemptOutcome.OK ? "POST" : "", call, "ended as " + outcome);
+            assertTrue(expected == null || expected == outcome, "completed as " + outcome);
+            assertEquals(
+                    outcome == AttemptOutcome.OK ? "POST" : "", call, "completed as " + outcome);
         }
         SocketTestSupport.await(
-                () -> share.available() == 16); // whoever closed it, its descriptor came back once
+                () -> share.available() == 16); // each descriptor is released exactly once
         assertEquals(1, completions.size());
         assertEquals(0, counters.get(Count.INTERNAL_ERRORS));
     }
--- a/src/test/java/junipercourse/engine/DuplicateResponseTest.java
+++ b/src/test/java/junipercourse/engine/DuplicateResponseTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Engines that send answers twice: no answer, page or proof is taken from the wrong call. */
+/**
+ * Engines that send responses twice: a duplicate is never taken for the response to another call.
+ */
 class DuplicateResponseTest {
     private static final String NEVER_RAN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
     private static final int PAGE_COUNT = 3;
@@ -57,9 +59,10 @@
     }
 
     /**
-     * What an engine that runs each query until {@code news} is no 202 answers; it knows the truth.
+     * The response of an engine that runs each query until {@code stateResponse} is not a 202;
+     * records attempts that overlap.
      */
-    private String answer(String call, String stateResponse) {
+    private String respond(String call, String stateResponse) {
         String id = queryId(call);
         if (call.startsWith("DELETE")) {
             runningQueries.remove(id);
@@ -77,7 +80,7 @@
         return stateResponse.isEmpty() ? page(id, 0) : stateResponse;
     }
 
-    /** By kind of the first answer, a copy of which meets the next call, whoever's it is. */
+    /** A duplicate of the first response, of each status, meets the next call of any query. */
     @ParameterizedTest
     @CsvSource({
         "200,100", "202,100", "500,100", "503,100", "504,100", "204,100", "200,3", "202,3", "500,3",
@@ -93,7 +96,7 @@
                                     call.startsWith("POST") && postCount.incrementAndGet() == 1;
                             boolean isPoll = call.endsWith("/0");
                             SocketTestSupport.sleepMillis(isPoll ? 20 : 0);
-                            return answer(
+                            return respond(
                                     call,
                                     status == 204 && queryId(call).endsWith("1")
                                             ? SocketTestSupport.RUNNING
@@ -129,8 +132,8 @@
     }
 
     /**
-     * Random copies, delays, ends, cancels: rows are the query's, and no attempt has another beside
-     * it.
+     * Random duplicates, delays, outcomes and cancellations: each client gets the rows of its own
+     * query, and no two attempts of a query overlap.
      */
     @Test
     void randomDuplicatesLeaveRowsUnchanged() throws Exception {
@@ -144,7 +147,7 @@
                             call -> {
                                 if (call.startsWith("DELETE")
                                         || call.startsWith("GET") && !call.endsWith("/0")) {
-                                    return answer(call, "");
+                                    return respond(call, "");
                                 }
                                 long nowNanos = System.nanoTime();
                                 long completionNanos =
@@ -155,14 +158,14 @@
                                         Math.max(0, (completionNanos - nowNanos) / 1_000_000);
                                 if (call.startsWith("POST") && random.nextInt(5) == 0) {
                                     completionTimes.remove(queryId(call));
-                                    return answer(
+                                    return respond(
                                             call,
                                             random.nextBoolean()
                                                     ? SocketTestSupport.AT_CAPACITY
                                                     : SocketTestSupport.FAILED);
                                 }
                                 SocketTestSupport.sleepMillis(Math.min(remainingMillis, 250));
-                                return answer(
+                                return respond(
                                         call,
                                         remainingMillis >= 250 ? SocketTestSupport.RUNNING : "");
                             },
--- a/src/test/java/junipercourse/engine/DuplicatingEngine.java
+++ b/src/test/java/junipercourse/engine/DuplicatingEngine.java
@@ -10,14 +10,14 @@
 import junipercourse.SocketTestSupport;
 
 /**
- * An engine that sends answers twice: the second copy goes out after a delay or, if the answer to
- * another call on the connection comes before, right before that.
+ * An engine that sends responses twice: the duplicate is sent after a delay, or right before the
+ * response to the next call on the connection if that comes sooner.
  */
 final class DuplicatingEngine extends SocketTestSupport.StubEngine {
     private final Map<Socket, Copy> pendingCopies = new ConcurrentHashMap<>();
     private final ToLongFunction<String> duplicateDelayMillis;
 
-    /** {@code echoMs}: by call, when the copy goes out at the latest; none below 0. */
+    /** {@code duplicateDelayMillis} gives the longest delay for a call; no duplicate below 0. */
     DuplicatingEngine(Function<String, String> script, ToLongFunction<String> duplicateDelayMillis)
             throws IOException {
         super(script);
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A second copy, sent once. */
+    /** A duplicate response, sent once. */
     private static final class Copy {
         private final Socket socket;
         private String text;
--- a/src/test/java/junipercourse/engine/EngineRequestEncoderTest.java
+++ b/src/test/java/junipercourse/engine/EngineRequestEncoderTest.java
@@ -6,7 +6,7 @@
 import junipercourse.core.Query;
 import org.junit.jupiter.api.Test;
 
-/** Holds the bytes of the calls to engines. */
+/** Checks the exact bytes of requests to engines. */
 class EngineRequestEncoderTest {
     private static String text(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1);
--- a/src/test/java/junipercourse/engine/FullAcceptQueue.java
+++ b/src/test/java/junipercourse/engine/FullAcceptQueue.java
@@ -13,8 +13,8 @@
 import junipercourse.SocketTestSupport.StubEngine;
 
 /**
- * An engine's address at which no connection comes up until it is opened: its accept queue is full,
- * and the system answers no further SYN. A client's system tries again a second after its first.
+ * An engine address at which no connection is established until {@link #drainAndAccept}: the accept
+ * queue is full, so the system answers no further SYN. A client's system repeats its SYN after 1 s.
  */
 final class FullAcceptQueue implements Closeable {
     private static final int CONNECT_TIMEOUT_MILLIS = 100;
@@ -41,12 +41,12 @@
         }
     }
 
-    /** For the list of engines. */
+    /** A stub engine with this address, for the endpoint list. */
     StubEngine endpoint() {
         return endpoint;
     }
 
-    /** Takes what was parked out of the queue and gives the next connection that comes up. */
+    /** Empties the accept queue and returns the next connection established. */
     Socket drainAndAccept() throws IOException {
         for (Socket socket : queuedSockets) {
             socket.close();
--- a/src/test/java/junipercourse/engine/HttpResponseParserTest.java
+++ b/src/test/java/junipercourse/engine/HttpResponseParserTest.java
@@ -90,7 +90,8 @@
     }
 
     /**
-     * What never ends, by how it begins and goes on: {@code #} stands for a new number each time.
+     * Each row is the start and the repeated continuation of an endless response; {@code #} is
+     * replaced by the number of the repetition.
      */
     @ParameterizedTest
     @CsvSource(
@@ -128,13 +129,10 @@
                 });
         assertTrue(
                 bytesFed[0] <= HttpResponseParser.MAX_RESPONSE_BYTES + 100,
-                "only after " + bytesFed[0]);
+                "rejected only after " + bytesFed[0]);
     }
 
-    /**
-     * A whole answer counts for itself: what came before on the connection takes nothing from its
-     * bound.
-     */
+    /** Earlier responses on the connection do not count towards the size limit of the next. */
     @Test
     void sizeLimitAppliesToEachResponse() throws Exception {
         HttpResponseParser parser = new HttpResponseParser();
--- a/src/test/java/junipercourse/engine/LateConnectionTest.java
+++ b/src/test/java/junipercourse/engine/LateConnectionTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connections to engines that come up late: the settings' time bounds that, and the answer has its
- * own.
+ * Engine connections that are established late: the dial timeout limits the time to connect, and
+ * the response has a timeout of its own.
  */
 class LateConnectionTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Longer than an answer's time: the connection of a second's age carries the query all the
-     * same.
+     * A connection established after a second, which is longer than the response timeout, still
+     * carries its query.
      */
     @Test
     void connectionOpenedWithinDialTimeoutCarriesItsQuery() throws Exception {
@@ -49,8 +49,7 @@
                                             0,
                                             socket.getInputStream().read(buffer),
                                             StandardCharsets.ISO_8859_1));
-                            SocketTestSupport.sleepMillis(
-                                    250); // as an engine that holds a call for news
+                            SocketTestSupport.sleepMillis(250); // as an engine that holds a poll
                             socket.getOutputStream()
                                     .write(OK.getBytes(StandardCharsets.ISO_8859_1));
                             socket.getInputStream().read(new byte[4096]);
@@ -63,8 +62,8 @@
     }
 
     /**
-     * One that never comes up is told as unreachable when the settings' time is up: the query goes
-     * on.
+     * An engine without connection by the dial timeout counts as unreachable; its query goes to
+     * another one.
      */
     @Test
     void dialTimeoutMovesQueryToAnotherEngine() throws Exception {
--- a/src/test/java/junipercourse/engine/MalformedResponseTest.java
+++ b/src/test/java/junipercourse/engine/MalformedResponseTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers that are cut, lie about their length or never end: what they cost, and what the client is
- * told.
+ * Responses that are truncated, declare a wrong length or never end: what they cost, and what the
+ * client receives.
  */
 class MalformedResponseTest {
     private static final String OK_HEAD = "HTTP/1.1 200 OK~X-Fetches: 1~";
@@ -37,7 +37,7 @@
             "HTTP/1.1 200 OK~X-Fetch: 1~Content-Length: 6~~d\te\tf\n";
     private static final String SERVED = "T D(a b c) D(d e f) C(SELECT 2)";
 
-    /** Of an answer's bound, and what the system holds of a connection on either side. */
+    /** Covers the size limit of a response and the system's socket buffers on both sides. */
     private static final long MAX_SENT_BYTES = 16 << 20;
 
     private static final long SECOND_NANOS = 1_000_000_000L;
@@ -58,8 +58,8 @@
     }
 
     /**
-     * One whose answers are spoilt by a word before them: {@code end} closes, the others go on for
-     * good.
+     * Sends the first section of a scripted response, then closes if the next one is {@code end} or
+     * repeats it forever; {@code slowly} repeats the third section with pauses.
      */
     private static final class MalformedEngine extends StubEngine {
         private final AtomicLong sentBytes = new AtomicLong();
@@ -105,7 +105,9 @@
         return engine;
     }
 
-    /** Told by its bytes, at once, and within a bound; the engine gives the whole answer again. */
+    /**
+     * Rejected by its bytes at once, within the size limit; the engine repeats the full response.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -130,16 +132,14 @@
             assertEquals(
                     1,
                     support.counters.get(Count.ENGINES_GARBLED),
-                    "told by its length, not by time");
+                    "rejected by its length, not by a timeout");
             assertTrue(
                     engine.sentBytes.get() < MAX_SENT_BYTES,
-                    "took " + engine.sentBytes.get() + " bytes");
+                    "sent " + engine.sentBytes.get() + " bytes");
         }
     }
 
-    /**
-     * No byte of an answer gives it more time: what stops or dribbles is lost when its time is up.
-     */
+    /** Bytes received do not extend the response timeout: a stalled or slow response is lost. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -167,9 +167,7 @@
         }
     }
 
-    /**
-     * An answer cut by its connection's end, or of fewer rows than come with it, is no whole one.
-     */
+    /** A response cut by a close, or declared shorter than its rows, is not complete. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -193,7 +191,7 @@
         }
     }
 
-    /** The same in a further page, which the engine still has. */
+    /** The same faults in a later page, which the engine still has. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -223,11 +221,11 @@
             assertEquals(1, engine.countCalls("POST"));
             assertTrue(
                     engine.sentBytes.get() < MAX_SENT_BYTES,
-                    "took " + engine.sentBytes.get() + " bytes");
+                    "sent " + engine.sentBytes.get() + " bytes");
         }
     }
 
-    /** What no engine ever gives whole ends in an error well before the client's time is up. */
+    /** A result that no engine returns complete fails well before the client's timeout. */
     @ParameterizedTest
     @CsvSource({
         "load,65,6",
@@ -261,9 +259,7 @@
         }
     }
 
-    /**
-     * Large results pass whole up to those bounds, though the protocol's largest has 48,000 bytes.
-     */
+    /** Results up to these limits are returned; the largest of the protocol has 48,000 bytes. */
     @Test
     void largestResultIsReturnedCompletely() throws Exception {
         String row = "a\tb\t" + "c".repeat(5994) + "\n";
