--- a/src/main/java/junipercourse/core/AttemptRunner.java
+++ b/src/main/java/junipercourse/core/AttemptRunner.java
@@ -13,148 +13,172 @@
 import junipercourse.net.EventLoop;
 
 /**
- * The attempts that the module asks for: never two of a query at once, and their ends told to the
- * module.
+ * Runs the attempts that the decision module requests, at most one per query at a time, and reports
+ * their results to the module.
  */
 final class AttemptRunner {
-    /** A load report that may be older tells of another time. */
-    private static final double REPORT_AGE_S = 0.5;
+    /**
+     * A load report that may be older is discarded, since it does not describe the present load.
+     */
+    private static final double MAX_LOAD_REPORT_AGE_SECONDS = 0.5;
 
     private final EventLoop loop;
     private final DecisionSettings settings;
     private final Backend backend;
     private final TagsDispatcher module;
-    private final EventBatcher turns;
-    private final OpenQueries answers;
+    private final EventBatcher batcher;
+    private final OpenQueries openQueries;
     private final Counters counters;
-    private final ClassMetrics figures;
+    private final ClassMetrics classMetrics;
 
     AttemptRunner(
             EventLoop loop,
             DecisionSettings settings,
             Backend backend,
             TagsDispatcher module,
-            EventBatcher turns,
-            OpenQueries answers,
+            EventBatcher batcher,
+            OpenQueries openQueries,
             Counters counters,
-            ClassMetrics figures) {
+            ClassMetrics classMetrics) {
         this.loop = loop;
         this.settings = settings;
         this.backend = backend;
         this.module = module;
-        this.turns = turns;
-        this.answers = answers;
+        this.batcher = batcher;
+        this.openQueries = openQueries;
         this.counters = counters;
-        this.figures = figures;
+        this.classMetrics = classMetrics;
     }
 
-    /** Sends the query's next attempt, unless its answer is given, one is out, or none is left. */
-    void send(RequestId id, EngineId engine, double giveUpAfter) {
-        InFlightQuery x = answers.find(id.value());
+    /**
+     * Starts the query's next attempt, unless the query is answered, past its deadline, has an
+     * attempt running or has used up its attempts.
+     */
+    void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
+        InFlightQuery inFlight = openQueries.find(id.value());
         double now = loop.now();
-        boolean spent =
-                x != null
+        boolean attemptsExhausted =
+                inFlight != null
                         && settings.limits().maxAttempts() > 0
-                        && x.sent() >= settings.limits().maxAttempts();
-        if (x == null || x.answered || x.out != null || spent || now >= x.query.deadlineAt()) {
+                        && inFlight.sentAttemptCount() >= settings.limits().maxAttempts();
+        if (inFlight == null
+                || inFlight.isAnswered
+                || inFlight.currentAttempt != null
+                || attemptsExhausted
+                || now >= inFlight.query.deadlineAt()) {
             counters.increment(Count.ATTEMPTS_NOT_SENT);
-            int attempt = x == null ? 0 : x.attempts++;
-            turns.event(
-                    later ->
+            int attempt = inFlight == null ? 0 : inFlight.attemptCount++;
+            batcher.enqueue(
+                    batchTime ->
                             module.attemptEnded(
-                                    later,
+                                    batchTime,
                                     new AttemptResult(
                                             id,
                                             attempt,
                                             engine,
                                             AttemptOutcome.MOOT,
                                             0,
-                                            x == null || x.answered,
+                                            inFlight == null || inFlight.isAnswered,
                                             0,
                                             0,
                                             new float[0])));
             return;
         }
-        int attempt = x.attempts++;
+        int attempt = inFlight.attemptCount++;
         counters.increment(Count.ATTEMPTS_SENT);
-        double until =
-                giveUpAfter > 0
-                        ? Math.min(now + giveUpAfter, x.query.deadlineAt())
-                        : x.query.deadlineAt();
-        x.out =
+        double attemptDeadlineAt =
+                timeoutSeconds > 0
+                        ? Math.min(now + timeoutSeconds, inFlight.query.deadlineAt())
+                        : inFlight.query.deadlineAt();
+        inFlight.currentAttempt =
                 backend.startAttempt(
                         engine,
-                        x.query,
-                        until,
+                        inFlight.query,
+                        attemptDeadlineAt,
                         new AttemptListener() {
                             @Override
-                            public void onCompleted(AttemptCompletion end) {
-                                AttemptRunner.this.ended(x, engine, attempt, now, end);
+                            public void onCompleted(AttemptCompletion completion) {
+                                AttemptRunner.this.onAttemptCompleted(
+                                        inFlight, engine, attempt, now, completion);
                             }
 
                             @Override
                             public boolean maySendRequest() {
-                                return AttemptRunner.this.mayStart(x, attempt);
+                                return AttemptRunner.this.maySendRequest(inFlight, attempt);
                             }
 
                             @Override
                             public void onRequestWritten() {
-                                figures.tried(x.query.queryClass());
+                                classMetrics.recordAttempt(inFlight.query.queryClass());
                             }
                         });
-        x.attemptTimeout = loop.at(until, () -> x.out.abort(AttemptOutcome.TIMEOUT));
+        inFlight.attemptTimer =
+                loop.at(
+                        attemptDeadlineAt,
+                        () -> inFlight.currentAttempt.abort(AttemptOutcome.TIMEOUT));
     }
 
     /**
-     * Guards against a request that is sent for nobody: its client's last bytes may lie unread
-     * while a connection comes up, and time has passed since the attempt was decided.
+     * Checks again right before the request is sent. While a connection was established, time has
+     * passed since the decision, and bytes with which the client ends or cancels its query may have
+     * arrived unread.
      */
-    private boolean mayStart(InFlightQuery x, int attempt) {
-        return x.reply.isClientWaiting()
-                && !x.answered
-                && module.attemptMayStart(loop.now(), new RequestId(x.id), attempt);
+    private boolean maySendRequest(InFlightQuery inFlight, int attempt) {
+        return inFlight.responseHandler.isClientWaiting()
+                && !inFlight.isAnswered
+                && module.attemptMayStart(loop.now(), new RequestId(inFlight.id), attempt);
     }
 
-    /** Calls an attempt off, if it is the one that is out. */
+    /** Cancels an attempt, if it is the running one. */
     void cancel(RequestId id, int attempt) {
-        InFlightQuery x = answers.find(id.value());
-        if (x != null && x.out != null && attempt == x.attempts - 1) {
+        InFlightQuery inFlight = openQueries.find(id.value());
+        if (inFlight != null
+                && inFlight.currentAttempt != null
+                && attempt == inFlight.attemptCount - 1) {
             counters.increment(Count.ATTEMPTS_CALLED_OFF);
-            x.out.abort(AttemptOutcome.CANCELLED);
+            inFlight.currentAttempt.abort(AttemptOutcome.CANCELLED);
         }
     }
 
-    private void ended(
-            InFlightQuery x, EngineId engine, int attempt, double sentAt, AttemptCompletion end) {
-        x.out = null;
-        loop.cancel(x.attemptTimeout);
-        x.attemptTimeout = null;
-        x.unsent += end.outcome() == AttemptOutcome.NOT_SENT ? 1 : 0;
-        counters.increment(Count.endOf(end.outcome()));
-        if (end.outcome() == AttemptOutcome.OK && !x.answered) {
-            answers.served(x, end.pages());
+    private void onAttemptCompleted(
+            InFlightQuery inFlight,
+            EngineId engine,
+            int attempt,
+            double startedAt,
+            AttemptCompletion completion) {
+        inFlight.currentAttempt = null;
+        loop.cancel(inFlight.attemptTimer);
+        inFlight.attemptTimer = null;
+        inFlight.unsentAttemptCount += completion.outcome() == AttemptOutcome.NOT_SENT ? 1 : 0;
+        counters.increment(Count.forOutcome(completion.outcome()));
+        if (completion.outcome() == AttemptOutcome.OK && !inFlight.isAnswered) {
+            openQueries.serve(inFlight, completion.pages());
         }
-        boolean over = x.answered;
-        // An answer that lay unread came earlier: how long we took to read it is no latency of the
-        // engine's.
-        ArrivalInterval read = loop.arrival();
-        boolean late = end.outcome() == AttemptOutcome.OK && !read.isNarrow();
-        double cameAt = Math.max(Math.max(sentAt, read.earliest()), turns.last());
-        float[] report = read.widthSeconds() < REPORT_AGE_S ? end.loadReport() : new float[0];
-        turns.event(
-                now ->
+        boolean queryAnswered = inFlight.isAnswered;
+        // A response that was unread for long arrived earlier than now: the delay of reading it is
+        // not latency of the engine.
+        ArrivalInterval arrival = loop.arrival();
+        boolean readLate = completion.outcome() == AttemptOutcome.OK && !arrival.isNarrow();
+        double earliestArrival =
+                Math.max(Math.max(startedAt, arrival.earliest()), batcher.lastBatchTime());
+        float[] loadReport =
+                arrival.widthSeconds() < MAX_LOAD_REPORT_AGE_SECONDS
+                        ? completion.loadReport()
+                        : new float[0];
+        batcher.enqueue(
+                batchTime ->
                         module.attemptEnded(
-                                late ? cameAt : now,
+                                readLate ? earliestArrival : batchTime,
                                 new AttemptResult(
-                                        new RequestId(x.id),
+                                        new RequestId(inFlight.id),
                                         attempt,
                                         engine,
-                                        end.outcome(),
-                                        (late ? cameAt : now) - sentAt,
-                                        over,
-                                        end.actualCost(),
-                                        end.actualMemoryMb(),
-                                        report)));
-        answers.release(x);
+                                        completion.outcome(),
+                                        (readLate ? earliestArrival : batchTime) - startedAt,
+                                        queryAnswered,
+                                        completion.actualCost(),
+                                        completion.actualMemoryMb(),
+                                        loadReport)));
+        openQueries.releaseIfFinished(inFlight);
     }
 }
--- a/src/main/java/junipercourse/core/Backend.java
+++ b/src/main/java/junipercourse/core/Backend.java
@@ -7,33 +7,33 @@
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
 
-/** What runs queries. */
+/** Runs queries on engines. */
 public interface Backend {
-    /** An engine of the list and where it listens. */
+    /** An engine of the endpoint list with its address. */
     record EngineEndpoint(EngineListing engine, InetSocketAddress address) {}
 
-    /** News of the engine list, as it was told to the module. */
+    /** Applies an update of the endpoint list, the same one that the decision module gets. */
     void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints);
 
     /**
-     * Starts an attempt. Its end is told exactly once, and never before this call has returned. One
-     * of which nothing was written ends as {@link AttemptOutcome#NOT_SENT}, unless its engine could
-     * not be reached.
+     * Starts an attempt. The listener gets its completion exactly once, and never before this
+     * method returns. An attempt of which nothing was written completes as {@link
+     * AttemptOutcome#NOT_SENT}, unless its engine could not be reached.
      *
-     * @param giveUpAt Unix time in seconds until which the attempt is waited for
+     * @param deadlineAt Unix time in seconds until which the attempt may take
      */
     Attempt startAttempt(EngineId engine, Query query, double deadlineAt, AttemptListener listener);
 
-    /** An attempt that is out. */
+    /** A running attempt. */
     interface Attempt {
         /**
-         * Gives the attempt up; unless another end is on its way already, it ends so if it was
-         * written.
+         * Aborts the attempt. If its request was written, it completes with the given outcome,
+         * unless another completion is already on its way.
          */
         void abort(AttemptOutcome outcome);
     }
 
-    /** How an attempt ended. Pages are there with {@link AttemptOutcome#OK} only. */
+    /** The result of an attempt. It has pages only with {@link AttemptOutcome#OK}. */
     record AttemptCompletion(
             AttemptOutcome outcome,
             float[] loadReport,
@@ -42,27 +42,28 @@
             List<byte[]> pages) {
         private static final float[] NO_REPORT = {};
 
-        /** An end without any news but its outcome. */
+        /** Returns a completion that has only an outcome. */
         public static AttemptCompletion withOutcome(AttemptOutcome outcome) {
             return new AttemptCompletion(outcome, NO_REPORT, 0, 0, List.of());
         }
     }
 
-    /** Is told an attempt's end. */
+    /** Receives the events of an attempt. */
     interface AttemptListener {
         void onCompleted(AttemptCompletion completion);
 
         /**
-         * Asked right before the first byte of the attempt's request, however long after {@link
-         * #start} that is: false ends it unwritten, as {@link AttemptOutcome#NOT_SENT}.
+         * Called right before the first byte of the attempt's request is written, however long
+         * after {@link #startAttempt} that is. If it returns false, nothing is written and the
+         * attempt completes as {@link AttemptOutcome#NOT_SENT}.
          */
         default boolean maySendRequest() {
             return true;
         }
 
         /**
-         * The attempt's request has been written whole to its engine; told once at most, before its
-         * end.
+         * Called when the attempt's request has been written completely to its engine: at most
+         * once, and before the completion.
          */
         default void onRequestWritten() {}
     }
--- a/src/main/java/junipercourse/core/ClassMetrics.java
+++ b/src/main/java/junipercourse/core/ClassMetrics.java
@@ -1,55 +1,55 @@
 package junipercourse.core;
 
 /**
- * What operators' staff are told of each class (DAYS, numbers): each count is made at the one place
- * where it happens. Counts start at 0 with the process.
+ * Counts answers and attempts by query class, for operators (DAYS, numbers). Each event is counted
+ * at the one place where it happens. Counts start at 0 with the process.
  */
 public final class ClassMetrics {
-    private final long[] passed;
-    private final long[] dropped;
+    private final long[] served;
+    private final long[] rejected;
     private final long[] failed;
-    private final long[] tries;
+    private final long[] attempts;
 
-    ClassMetrics(int classes) {
-        passed = new long[classes];
-        dropped = new long[classes];
-        failed = new long[classes];
-        tries = new long[classes];
+    ClassMetrics(int classCount) {
+        served = new long[classCount];
+        rejected = new long[classCount];
+        failed = new long[classCount];
+        attempts = new long[classCount];
     }
 
-    void passed(int queryClass) {
-        passed[queryClass]++;
+    void recordServed(int queryClass) {
+        served[queryClass]++;
     }
 
-    void dropped(int queryClass) {
-        dropped[queryClass]++;
+    void recordRejected(int queryClass) {
+        rejected[queryClass]++;
     }
 
-    void failed(int queryClass) {
+    void recordFailed(int queryClass) {
         failed[queryClass]++;
     }
 
-    void tried(int queryClass) {
-        tries[queryClass]++;
+    void recordAttempt(int queryClass) {
+        attempts[queryClass]++;
     }
 
-    /** Requests served whole. */
+    /** Returns the number of queries answered with their complete result. */
     public long servedCount(int queryClass) {
-        return passed[queryClass];
+        return served[queryClass];
     }
 
-    /** Requests refused: trying again is harmless. */
+    /** Returns the number of queries rejected, which are safe to retry. */
     public long rejectedCount(int queryClass) {
-        return dropped[queryClass];
+        return rejected[queryClass];
     }
 
-    /** Requests answered as failed. */
+    /** Returns the number of queries answered as failed. */
     public long failedCount(int queryClass) {
         return failed[queryClass];
     }
 
-    /** Attempts whose POST was written whole to an engine. */
+    /** Returns the number of attempts whose POST request was written completely to an engine. */
     public long attemptCount(int queryClass) {
-        return tries[queryClass];
+        return attempts[queryClass];
     }
 }
--- a/src/main/java/junipercourse/core/Counters.java
+++ b/src/main/java/junipercourse/core/Counters.java
@@ -6,9 +6,9 @@
 import java.util.StringJoiner;
 import junipercourse.decision.api.AttemptOutcome;
 
-/** Counts of what the program takes in, sends and answers. */
+/** Counts events of clients, queries, attempts, engines and the endpoint list. */
 public final class Counters {
-    /** What is counted. */
+    /** The events that are counted. Operators see each under its own name. */
     public enum Count {
         CLIENTS_ACCEPTED,
         CLIENTS_TURNED_AWAY,
@@ -49,8 +49,8 @@
         CONFIG_REJECTED,
         INTERNAL_ERRORS;
 
-        /** Returns the count of attempts that ended with an outcome. */
-        static Count endOf(AttemptOutcome outcome) {
+        /** Returns the count for attempts that completed with an outcome. */
+        static Count forOutcome(AttemptOutcome outcome) {
             return switch (outcome) {
                 case OK -> ENDS_OK;
                 case ERROR -> ENDS_ERROR;
@@ -64,12 +64,12 @@
             };
         }
 
-        /** What the count belongs to, such as clients or ends. */
+        /** Returns the first word of the name, such as clients or ends. */
         public String category() {
             return name().substring(0, name().indexOf('_')).toLowerCase(Locale.ROOT);
         }
 
-        /** What is counted there. */
+        /** Returns the rest of the name, without the category. */
         public String label() {
             return name().substring(name().indexOf('_') + 1).toLowerCase(Locale.ROOT);
         }
@@ -77,13 +77,13 @@
 
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
 
-    /** Adds the table of all counts. */
+    /** Adds the table of all counts to the status tables. */
     public void addTable(StatusTables statusTables) {
         statusTables.add(
                 "counters",
                 rows -> {
-                    for (Count c : Count.values()) {
-                        rows.add(c.category(), c.label(), get(c));
+                    for (Count count : Count.values()) {
+                        rows.add(count.category(), count.label(), get(count));
                     }
                 },
                 "side",
@@ -99,11 +99,12 @@
         return counts.getOrDefault(count, 0L);
     }
 
-    /** All counts above 0 in one line. */
+    /** Returns all counts above 0 in one line. */
     @Override
     public String toString() {
-        StringJoiner out = new StringJoiner(" ");
-        counts.forEach((k, v) -> out.add(k.name().toLowerCase(Locale.ROOT) + "=" + v));
-        return out.toString();
+        StringJoiner joiner = new StringJoiner(" ");
+        counts.forEach(
+                (count, value) -> joiner.add(count.name().toLowerCase(Locale.ROOT) + "=" + value));
+        return joiner.toString();
     }
 }
--- a/src/main/java/junipercourse/core/EngineDirectory.java
+++ b/src/main/java/junipercourse/core/EngineDirectory.java
@@ -13,99 +13,107 @@
 import junipercourse.decision.api.EngineStage;
 
 /**
- * The engines as the event bus lists them, and those that the staff have taken out by hand (DAYS,
- * maintenance of engines). Whatever the bus says, the module and the connections are told that an
- * engine taken out is draining, until the hand that puts it back. The list is the bus's, and so is
- * its length.
+ * The engines that the event bus lists, and those that operators have put into maintenance mode
+ * (DAYS, maintenance of engines). Whatever the event bus reports, the decision module and the back
+ * end see an engine in maintenance mode as draining until an operator ends its maintenance.
+ * Maintenance mode never adds engines to the list or removes them.
  */
 final class EngineDirectory {
     private final Map<EngineId, EngineEndpoint> listed = new HashMap<>();
-    private final Set<EngineId> out = new HashSet<>();
+    private final Set<EngineId> inMaintenance = new HashSet<>();
 
     /**
-     * When an engine was put back, in Unix seconds: it may have been restarted, which no list need
-     * tell.
+     * The Unix time in seconds at which the maintenance of an engine ended. The engine may have
+     * been restarted meanwhile, and the endpoint list need not report that.
      */
-    private final Map<EngineId, Double> putBack = new HashMap<>();
+    private final Map<EngineId, Double> maintenanceEndedAt = new HashMap<>();
 
-    private boolean told;
+    private boolean hasReceivedList;
 
-    /** Takes news in and gives them back as they are to be acted on. */
-    List<EngineEndpoint> news(EndpointUpdateKind kind, List<EngineEndpoint> members) {
-        told |= kind != EndpointUpdateKind.FAILED;
+    /**
+     * Applies an update of the endpoint list and returns the updated engines, with maintenance mode
+     * applied.
+     */
+    List<EngineEndpoint> applyUpdate(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
+        hasReceivedList |= kind != EndpointUpdateKind.FAILED;
         if (kind == EndpointUpdateKind.FULL || kind == EndpointUpdateKind.CACHED) {
             listed.clear();
         }
-        List<EngineEndpoint> acted = new ArrayList<>();
-        for (EngineEndpoint m : members) {
-            if (m.engine().stage() == EngineStage.GONE) {
-                listed.remove(m.engine().id());
+        List<EngineEndpoint> effectiveEndpoints = new ArrayList<>();
+        for (EngineEndpoint endpoint : endpoints) {
+            if (endpoint.engine().stage() == EngineStage.GONE) {
+                listed.remove(endpoint.engine().id());
             } else {
-                listed.put(m.engine().id(), m);
+                listed.put(endpoint.engine().id(), endpoint);
             }
-            acted.add(asActedOn(m));
+            effectiveEndpoints.add(effectiveEndpoint(endpoint));
         }
-        putBack.keySet().retainAll(listed.keySet());
-        return acted;
+        maintenanceEndedAt.keySet().retainAll(listed.keySet());
+        return effectiveEndpoints;
     }
 
     /**
-     * Takes on which engines are out now.
+     * Sets which engines are in maintenance mode.
      *
      * @param now Unix time in seconds
-     * @return the listed engines for which that is news, as they are to be acted on
+     * @return the listed engines whose maintenance mode has changed, with the change applied
      */
-    List<EngineEndpoint> out(Set<EngineId> nowOut, double now) {
-        Set<EngineId> changed = new HashSet<>(out);
-        changed.addAll(nowOut);
-        changed.removeIf(id -> out.contains(id) == nowOut.contains(id));
-        out.clear();
-        out.addAll(nowOut);
-        List<EngineEndpoint> acted = new ArrayList<>();
+    List<EngineEndpoint> setInMaintenance(Set<EngineId> nowInMaintenance, double now) {
+        Set<EngineId> changed = new HashSet<>(inMaintenance);
+        changed.addAll(nowInMaintenance);
+        changed.removeIf(id -> inMaintenance.contains(id) == nowInMaintenance.contains(id));
+        inMaintenance.clear();
+        inMaintenance.addAll(nowInMaintenance);
+        List<EngineEndpoint> effectiveEndpoints = new ArrayList<>();
         for (EngineId id : changed) {
-            EngineEndpoint m = listed.get(id);
-            if (m != null) {
-                if (!out.contains(id)) {
-                    putBack.put(id, now);
+            EngineEndpoint endpoint = listed.get(id);
+            if (endpoint != null) {
+                if (!inMaintenance.contains(id)) {
+                    maintenanceEndedAt.put(id, now);
                 }
-                acted.add(asActedOn(m));
+                effectiveEndpoints.add(effectiveEndpoint(endpoint));
             }
         }
-        return acted;
+        return effectiveEndpoints;
     }
 
-    private EngineEndpoint asActedOn(EngineEndpoint m) {
-        EngineListing e = m.engine();
-        boolean held = e.stage() == EngineStage.READY && out.contains(e.id());
-        double started = Math.max(e.startedAt(), putBack.getOrDefault(e.id(), 0.0));
-        return !held && started == e.startedAt()
-                ? m
+    private EngineEndpoint effectiveEndpoint(EngineEndpoint endpoint) {
+        EngineListing listing = endpoint.engine();
+        boolean drainForMaintenance =
+                listing.stage() == EngineStage.READY && inMaintenance.contains(listing.id());
+        double startedAt =
+                Math.max(listing.startedAt(), maintenanceEndedAt.getOrDefault(listing.id(), 0.0));
+        return !drainForMaintenance && startedAt == listing.startedAt()
+                ? endpoint
                 : new EngineEndpoint(
                         new EngineListing(
-                                e.id(),
-                                e.zone(),
-                                e.kind(),
-                                e.cell(),
-                                held ? EngineStage.DRAINING : e.stage(),
-                                e.rating(),
-                                started),
-                        m.address());
+                                listing.id(),
+                                listing.zone(),
+                                listing.kind(),
+                                listing.cell(),
+                                drainForMaintenance ? EngineStage.DRAINING : listing.stage(),
+                                listing.rating(),
+                                startedAt),
+                        endpoint.address());
     }
 
-    /** Whether any list has come. */
-    boolean told() {
-        return told;
+    /** Returns whether an endpoint list has been received, even an empty one. */
+    boolean hasReceivedList() {
+        return hasReceivedList;
     }
 
-    Set<EngineId> ids() {
+    Set<EngineId> listedIds() {
         return Set.copyOf(listed.keySet());
     }
 
-    /** The listed engines that get nothing new: those taken out by hand and those of the set. */
-    int skipped(Set<EngineId> byChoice) {
-        Set<EngineId> all = new HashSet<>(byChoice);
-        all.addAll(out);
-        all.retainAll(listed.keySet());
-        return all.size();
+    /**
+     * Returns how many listed engines get no new queries: those in maintenance mode and those in
+     * the given set.
+     */
+    int skippedCount(Set<EngineId> ejected) {
+        Set<EngineId> skipped = new HashSet<>(ejected);
+        skipped.addAll(inMaintenance);
+        skipped.retainAll(listed.keySet());
+        return skipped.size();
     }
 }
--- a/src/main/java/junipercourse/core/EngineRegistry.java
+++ b/src/main/java/junipercourse/core/EngineRegistry.java
@@ -11,83 +11,94 @@
 import junipercourse.net.EventLoop;
 
 /**
- * Tells the back end and the module of engines: as the bus lists them, less what the staff took
- * out.
+ * Passes the endpoint list of the event bus, with the engines in maintenance mode as draining, to
+ * the back end and the decision module.
  */
 public final class EngineRegistry {
     private final EventLoop loop;
     private final Backend backend;
     private final TagsDispatcher module;
-    private final EventBatcher turns;
+    private final EventBatcher batcher;
     private final Counters counters;
-    private final EngineDirectory list = new EngineDirectory();
+    private final EngineDirectory directory = new EngineDirectory();
 
     EngineRegistry(
             EventLoop loop,
             Backend backend,
             TagsDispatcher module,
-            EventBatcher turns,
+            EventBatcher batcher,
             Counters counters) {
         this.loop = loop;
         this.backend = backend;
         this.module = module;
-        this.turns = turns;
+        this.batcher = batcher;
         this.counters = counters;
     }
 
-    void roster(EndpointUpdateKind kind, List<EngineEndpoint> members) {
+    void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
         counters.increment(Count.ROSTER_EVENTS);
-        tell(kind, list.news(kind, members));
+        publish(kind, directory.applyUpdate(kind, endpoints));
     }
 
     /**
-     * Which engines the staff have taken out by hand: they are draining here, whatever the list
-     * says.
+     * Sets the engines that operators have put into maintenance mode. They count as draining,
+     * whatever the endpoint list says.
      */
     public void setEnginesInMaintenance(Set<EngineId> inMaintenance) {
-        List<EngineEndpoint> changed = list.out(inMaintenance, loop.now());
+        List<EngineEndpoint> changed = directory.setInMaintenance(inMaintenance, loop.now());
         if (!changed.isEmpty()) {
-            tell(EndpointUpdateKind.DELTA, changed);
+            publish(EndpointUpdateKind.DELTA, changed);
         }
     }
 
-    /** The back end knows of it before anything more is sent. */
-    private void tell(EndpointUpdateKind kind, List<EngineEndpoint> members) {
-        backend.updateEndpoints(kind, members);
-        turns.event(
+    /**
+     * Updates the back end at once, before anything more is sent, and the decision module with the
+     * next batch of events.
+     */
+    private void publish(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
+        backend.updateEndpoints(kind, endpoints);
+        batcher.enqueue(
                 now ->
                         module.endpointsChanged(
                                 now,
                                 kind,
-                                members.stream().map(m -> onLoopTime(m.engine())).toList()));
+                                endpoints.stream()
+                                        .map(endpoint -> withStartInLoopTime(endpoint.engine()))
+                                        .toList()));
     }
 
-    /** The list gives starts in Unix time, which may have stepped since this process began. */
-    private EngineListing onLoopTime(EngineListing e) {
-        return e.startedAt() <= 0
-                ? e
+    /**
+     * Converts the start time of an engine from Unix time to loop time, since the wall clock may
+     * have stepped since this process started.
+     */
+    private EngineListing withStartInLoopTime(EngineListing listing) {
+        return listing.startedAt() <= 0
+                ? listing
                 : new EngineListing(
-                        e.id(),
-                        e.zone(),
-                        e.kind(),
-                        e.cell(),
-                        e.stage(),
-                        e.rating(),
-                        loop.fromUnix(e.startedAt()));
+                        listing.id(),
+                        listing.zone(),
+                        listing.kind(),
+                        listing.cell(),
+                        listing.stage(),
+                        listing.rating(),
+                        loop.fromUnix(listing.startedAt()));
     }
 
-    /** The engines in the list; none before the first list has come. */
+    /** Returns the listed engines; none before the first list was received. */
     public Set<EngineId> listedEngines() {
-        return list.ids();
+        return directory.listedIds();
     }
 
-    /** Whether a list of engines has come, be it an empty one. */
+    /** Returns whether an endpoint list has been received, even an empty one. */
     public boolean hasReceivedList() {
-        return list.told();
+        return directory.hasReceivedList();
     }
 
-    /** How many listed engines get nothing new, whether by hand or by the module's choice. */
+    /**
+     * Returns how many listed engines get no new queries because they are in maintenance mode or
+     * ejected by the decision module.
+     */
     public int skippedEngineCount() {
-        return list.skipped(Set.copyOf(module.ejectedEngines()));
+        return directory.skippedCount(Set.copyOf(module.ejectedEngines()));
     }
 }
--- a/src/main/java/junipercourse/core/EventBatcher.java
+++ b/src/main/java/junipercourse/core/EventBatcher.java
@@ -7,63 +7,64 @@
 import org.tinylog.Logger;
 
 /**
- * Gathers the events for the module: one turn tells all that have come, so that one settle serves
- * them.
+ * Collects events for the decision module and passes all that have arrived in one batch, so that
+ * one decision covers them.
  */
 final class EventBatcher {
-    private static final double AFTER_FAULT_S = 0.05;
+    private static final double FAULT_RETRY_DELAY_SECONDS = 0.05;
 
     private final EventLoop loop;
     private final Counters counters;
-    private final Runnable allTold;
-    private final DoubleConsumer settle;
+    private final Runnable afterEvents;
+    private final DoubleConsumer decide;
     private final ArrayDeque<DoubleConsumer> events = new ArrayDeque<>();
-    private double lastTurn = Double.NEGATIVE_INFINITY;
-    private boolean turnDue;
+    private double lastBatchTime = Double.NEGATIVE_INFINITY;
+    private boolean isBatchScheduled;
 
-    /** After the events of a turn, {@code allTold} and then {@code settle} are run. */
-    EventBatcher(EventLoop loop, Counters counters, Runnable allTold, DoubleConsumer settle) {
+    /** Runs {@code afterEvents} and then {@code decide} after the events of each batch. */
+    EventBatcher(EventLoop loop, Counters counters, Runnable afterEvents, DoubleConsumer decide) {
         this.loop = loop;
         this.counters = counters;
-        this.allTold = allTold;
-        this.settle = settle;
+        this.afterEvents = afterEvents;
+        this.decide = decide;
     }
 
-    /** When the last turn was, in the loop's seconds. */
-    double last() {
-        return lastTurn;
+    /** Returns the time of the last batch, in loop time. */
+    double lastBatchTime() {
+        return lastBatchTime;
     }
 
-    /** Queues an event for the next turn. */
-    void event(DoubleConsumer event) {
+    /** Adds an event to the next batch. */
+    void enqueue(DoubleConsumer event) {
         events.add(event);
-        if (!turnDue) {
-            turnDue = true;
-            loop.execute(this::turn);
+        if (!isBatchScheduled) {
+            isBatchScheduled = true;
+            loop.execute(this::processBatch);
         }
     }
 
-    private void turn() {
-        if (loop.catchingUp()) { // first all that came is read, then the module decides
-            loop.whenCaughtUp(this::turn);
+    private void processBatch() {
+        if (loop.catchingUp()) { // the module decides after everything that arrived is read
+            loop.whenCaughtUp(this::processBatch);
             return;
         }
-        turnDue = false;
+        isBatchScheduled = false;
         double now = loop.now();
-        lastTurn = now;
-        for (DoubleConsumer e = events.poll(); e != null; e = events.poll()) {
-            guarded(e, now);
+        lastBatchTime = now;
+        for (DoubleConsumer event = events.poll(); event != null; event = events.poll()) {
+            runCatching(event, now);
         }
-        allTold.run();
-        if (!guarded(settle, now)) { // it may have lost its timer with its turn
-            loop.after(AFTER_FAULT_S, () -> event(later -> {}));
+        afterEvents.run();
+        if (!runCatching(decide, now)) { // the failed decision may not have set its next timer
+            loop.after(FAULT_RETRY_DELAY_SECONDS, () -> enqueue(batchTime -> {}));
         }
     }
 
     /**
-     * An exception in the module costs the event at hand; a query's last moment still answers it.
+     * Runs a call into the decision module and returns whether it succeeded. An exception affects
+     * only this call; the query involved is still answered at its deadline.
      */
-    boolean guarded(DoubleConsumer call, double now) {
+    boolean runCatching(DoubleConsumer call, double now) {
         try {
             call.accept(now);
             return true;
--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -16,26 +16,27 @@
 import org.tinylog.Logger;
 
 /**
- * Drives the decision module: tells it the events of a turn, lets it decide once, and carries out
- * what it asks for. Every query gets one final answer by {@link OpenQueries}, whatever the module
- * does.
+ * Passes events to the decision module in batches, lets it decide once per batch, and carries out
+ * its actions. {@link OpenQueries} gives each query one final answer, whatever the module does.
  */
 public final class Gateway extends UnsupportedActions {
-    /** The module answers before this; it is the net below it, and still in time for the client. */
-    private static final double LAST_MOMENT_S = 0.012;
+    /**
+     * The module answers before this margin; a failure sent then still reaches the client in time.
+     */
+    private static final double ANSWER_MARGIN_SECONDS = 0.012;
 
     private final EventLoop loop;
     private final DecisionSettings settings;
     private final Counters counters;
     private final TagsDispatcher module;
-    private final ClassMetrics classMetrics;
+    private final ClassMetrics metrics;
     private final EngineRegistry engineRegistry;
-    private final AttemptRunner attempts;
-    private final OpenQueries answers;
-    private final KeyOrderGate keys;
-    private final EventBatcher turns;
+    private final AttemptRunner attemptRunner;
+    private final OpenQueries queries;
+    private final KeyOrderGate keyOrderGate;
+    private final EventBatcher batcher;
 
-    /** Past {@code mostTaken} queries in hand, those that wait for an engine are refused. */
+    /** Beyond {@code maxOpenQueries} open queries, those that wait for an engine are rejected. */
     public Gateway(
             EventLoop loop,
             DecisionSettings settings,
@@ -46,86 +47,89 @@
         this.loop = loop;
         this.settings = settings;
         this.counters = counters;
-        this.classMetrics = new ClassMetrics(settings.queryClasses().size());
-        this.answers = new OpenQueries(loop, counters, classMetrics);
+        this.metrics = new ClassMetrics(settings.queryClasses().size());
+        this.queries = new OpenQueries(loop, counters, metrics);
         this.module = new TagsDispatcher(settings, seed, this);
         module.limitOpenRequests(maxOpenQueries);
-        this.keys = new KeyOrderGate(loop, this::event, this::tellOrFail, (x, now) -> unordered(x));
-        this.turns = new EventBatcher(loop, counters, keys::turnTold, module::decide);
-        this.engineRegistry = new EngineRegistry(loop, backend, module, turns, counters);
-        this.attempts =
+        this.keyOrderGate =
+                new KeyOrderGate(
+                        loop,
+                        this::enqueueEvent,
+                        this::passToModuleOrFail,
+                        (inFlight, now) -> rejectUnordered(inFlight));
+        this.batcher =
+                new EventBatcher(loop, counters, keyOrderGate::onBatchProcessed, module::decide);
+        this.engineRegistry = new EngineRegistry(loop, backend, module, batcher, counters);
+        this.attemptRunner =
                 new AttemptRunner(
-                        loop, settings, backend, module, turns, answers, counters, classMetrics);
-        loop.onStall(this::resumed);
+                        loop, settings, backend, module, batcher, queries, counters, metrics);
+        loop.onStall(this::recheckAttemptsAfterStall);
     }
 
-    // ---- what the fronts and the roster tell ----
-
     /**
-     * Takes a query; its reply is called once, later. The id is good for {@link #abandon}. It is 0
-     * for one that is not taken: engines know queries by the client's id, and one is open or still
-     * out under this.
+     * Submits a query; its handler is called later. Returns the id for {@link #abandon}; 0 if one
+     * of the same client id, by which engines know it, is open or has an attempt running.
      */
     public long submit(Query query, ResponseHandler responseHandler) {
-        InFlightQuery x = answers.take(query, responseHandler);
-        if (x == null) {
+        InFlightQuery inFlight = queries.register(query, responseHandler);
+        if (inFlight == null) {
             return 0;
         }
-        x.lastMoment = loop.at(query.deadlineAt() - LAST_MOMENT_S, () -> lastMoment(x));
-        event(
+        inFlight.deadlineTimer =
+                loop.at(query.deadlineAt() - ANSWER_MARGIN_SECONDS, () -> failAtDeadline(inFlight));
+        enqueueEvent(
                 now -> {
-                    if (ordered(query)) {
-                        keys.admit(x, now);
+                    if (isOrderedByKey(query)) {
+                        keyOrderGate.enqueue(inFlight, now);
                     } else {
-                        tellOrFail(x, now);
+                        passToModuleOrFail(inFlight, now);
                     }
                 });
-        return x.id;
+        return inFlight.id;
     }
 
-    private boolean ordered(Query query) {
+    private boolean isOrderedByKey(Query query) {
         return query.orderKey() != 0
                 && settings.queryClasses().get(query.queryClass()).orderedByKey();
     }
 
-    private void event(DoubleConsumer event) {
-        turns.event(event);
+    private void enqueueEvent(DoubleConsumer event) {
+        batcher.enqueue(event);
     }
 
     /**
-     * It never ran, and trying again is harmless: only that keeps the order where it cannot be
-     * known.
+     * Rejects a query whose order among those of its key is unknown. It never ran and is safe to
+     * retry, so a rejection preserves the order.
      */
-    private void unordered(InFlightQuery x) {
+    private void rejectUnordered(InFlightQuery inFlight) {
         counters.increment(Count.QUERIES_UNORDERED);
-        answers.refused(
-                x,
+        queries.reject(
+                inFlight,
                 settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0,
                 "the order of this key's queries is not known after a pause of the dispatcher");
     }
 
-    private void tellOrFail(InFlightQuery x, double now) {
-        if (!x.answered && !tell(x, now)) {
-            answers.failed(x, "internal error");
+    private void passToModuleOrFail(InFlightQuery inFlight, double now) {
+        if (!inFlight.isAnswered && !passToModule(inFlight, now)) {
+            queries.fail(inFlight, "internal error");
         }
     }
 
     /**
-     * After a stall: whatever engines said meanwhile has been read by now, and what they did not
-     * say proves nothing. The module is told a sign of life for each attempt, so that it counts
-     * silence from now on.
+     * Reports progress of each running attempt after a stall, so that the module measures silence
+     * from now on. What engines sent during the stall has been read; silence in it proves nothing.
      */
-    private void resumed(StallDetector.Stall stall) {
+    private void recheckAttemptsAfterStall(StallDetector.Stall stall) {
         counters.increment(Count.STALLS_SEEN);
-        for (InFlightQuery x : answers.all()) {
-            if (x.out != null) {
+        for (InFlightQuery inFlight : queries.all()) {
+            if (inFlight.currentAttempt != null) {
                 counters.increment(Count.STALLS_REEXAMINED);
-                int attempt = x.attempts - 1;
-                event(
+                int attempt = inFlight.attemptCount - 1;
+                enqueueEvent(
                         now ->
                                 module.attemptProgressed(
                                         now,
-                                        new RequestId(x.id),
+                                        new RequestId(inFlight.id),
                                         attempt,
                                         ProgressKind.PROGRESS,
                                         0));
@@ -133,15 +137,15 @@
         }
     }
 
-    /** False if the module failed at it: that costs this query, and no other. */
-    private boolean tell(InFlightQuery x, double now) {
-        Query query = x.query;
-        return turns.guarded(
-                at ->
+    /** Returns false if the module failed with an exception, which affects no other query. */
+    private boolean passToModule(InFlightQuery inFlight, double now) {
+        Query query = inFlight.query;
+        return batcher.runCatching(
+                batchTime ->
                         module.requestReceived(
-                                at,
+                                batchTime,
                                 new QueryRequest(
-                                        new RequestId(x.id),
+                                        new RequestId(inFlight.id),
                                         query.queryClass(),
                                         query.tenant(),
                                         query.deadlineAt(),
@@ -153,97 +157,93 @@
                 now);
     }
 
-    /** The client has left: no answer is owed any more. */
+    /** Abandons a query whose client has left: it needs no answer any more. */
     public void abandon(long id) {
-        InFlightQuery x = answers.find(id);
-        if (x != null && !x.answered) {
-            answers.left(x);
-            abandonInModule(x);
+        InFlightQuery inFlight = queries.find(id);
+        if (inFlight != null && !inFlight.isAnswered) {
+            queries.recordClientLeft(inFlight);
+            abandonInModule(inFlight);
         }
     }
 
-    /** News of the engine list. */
+    /** Applies an update of the endpoint list. */
     public void updateEndpoints(EndpointUpdateKind kind, List<EngineEndpoint> endpoints) {
-        engineRegistry.roster(kind, endpoints);
+        engineRegistry.updateEndpoints(kind, endpoints);
     }
 
-    /** The engines as the list and the staff have them. */
+    /** Returns the engines as the endpoint list and the operators' maintenance mode define them. */
     public EngineRegistry engineRegistry() {
         return engineRegistry;
     }
 
-    /** Bounds the queries in hand from now on, as the constructor does. */
+    /** Changes the limit that was given to the constructor. */
     public void limitOpenQueries(int maxOpenQueries) {
         module.limitOpenRequests(maxOpenQueries);
     }
 
-    /** What was answered and tried, by class. */
+    /** Returns the counts of answers and attempts by query class. */
     public ClassMetrics classMetrics() {
-        return classMetrics;
+        return metrics;
     }
 
-    /** Queries without a final answer. */
+    /** Returns the number of queries without a final answer. */
     public int openQueryCount() {
-        return answers.open();
+        return queries.openCount();
     }
 
     /** Runs a task as soon as no query is open. */
     public void runWhenIdle(Runnable task) {
-        answers.whenIdle(task);
-        event(now -> answers.checkIdle());
+        queries.runWhenIdle(task);
+        enqueueEvent(now -> queries.runIdleTaskIfIdle());
     }
 
-    /** The answers at the end of this process. */
+    /** Returns the responder for open queries at the shutdown of this process. */
     public ShutdownResponder shutdownResponder() {
-        return new ShutdownResponder(settings, answers, this::abandonInModule);
+        return new ShutdownResponder(settings, queries, this::abandonInModule);
     }
 
-    // ---- answers ----
-
-    private void lastMoment(InFlightQuery x) {
-        x.lastMoment = null;
-        if (!x.answered) {
+    private void failAtDeadline(InFlightQuery inFlight) {
+        inFlight.deadlineTimer = null;
+        if (!inFlight.isAnswered) {
             counters.increment(Count.QUERIES_LAST_MOMENT);
-            answers.failed(x, "out of time");
-            abandonInModule(x);
+            queries.fail(inFlight, "out of time");
+            abandonInModule(inFlight);
         }
     }
 
-    private void abandonInModule(InFlightQuery x) {
-        event(now -> module.requestAbandoned(now, new RequestId(x.id)));
+    private void abandonInModule(InFlightQuery inFlight) {
+        enqueueEvent(now -> module.requestAbandoned(now, new RequestId(inFlight.id)));
     }
 
-    // ---- what the module asks for ----
-
     @Override
-    public void startAttempt(RequestId id, EngineId engine, double giveUpAfter) {
-        attempts.send(id, engine, giveUpAfter);
+    public void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
+        attemptRunner.startAttempt(id, engine, timeoutSeconds);
     }
 
     @Override
     public void cancelAttempt(RequestId id, int attempt) {
-        attempts.cancel(id, attempt);
+        attemptRunner.cancel(id, attempt);
     }
 
     @Override
-    public void reject(RequestId id, double coolDown) {
-        InFlightQuery x = answers.find(id.value());
-        if (x != null && !x.answered) {
-            answers.refused(x, coolDown, "no engine can take this query in time");
+    public void reject(RequestId id, double retryAfterSeconds) {
+        InFlightQuery inFlight = queries.find(id.value());
+        if (inFlight != null && !inFlight.isAnswered) {
+            queries.reject(inFlight, retryAfterSeconds, "no engine can take this query in time");
         }
     }
 
     @Override
     public void fail(RequestId id) {
-        InFlightQuery x = answers.find(id.value());
-        if (x != null && !x.answered) {
-            answers.failed(x, "the query could not be brought to an end");
+        InFlightQuery inFlight = queries.find(id.value());
+        if (inFlight != null && !inFlight.isAnswered) {
+            queries.fail(inFlight, "the query could not be brought to an end");
         }
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        loop.after(delay, () -> event(now -> module.timerFired(now, token)));
+    public void scheduleTimer(double delaySeconds, long token) {
+        loop.after(delaySeconds, () -> enqueueEvent(now -> module.timerFired(now, token)));
     }
 
     @Override
--- a/src/main/java/junipercourse/core/InFlightQuery.java
+++ b/src/main/java/junipercourse/core/InFlightQuery.java
@@ -2,25 +2,25 @@
 
 import junipercourse.net.DeadlineQueue;
 
-/** A query from its arrival until its answer is given and none of its attempts is out. */
+/** A query from its arrival until it is answered and none of its attempts is running. */
 final class InFlightQuery {
     final Query query;
-    final ResponseHandler reply;
+    final ResponseHandler responseHandler;
     long id;
-    DeadlineQueue.Entry lastMoment;
-    DeadlineQueue.Entry attemptTimeout;
-    Backend.Attempt out;
-    int attempts;
-    int unsent;
-    boolean answered;
+    DeadlineQueue.Entry deadlineTimer;
+    DeadlineQueue.Entry attemptTimer;
+    Backend.Attempt currentAttempt;
+    int attemptCount;
+    int unsentAttemptCount;
+    boolean isAnswered;
 
-    InFlightQuery(Query query, ResponseHandler reply) {
+    InFlightQuery(Query query, ResponseHandler responseHandler) {
         this.query = query;
-        this.reply = reply;
+        this.responseHandler = responseHandler;
     }
 
-    /** Attempts of which an engine may have seen something. */
-    int sent() {
-        return attempts - unsent;
+    /** Returns the number of attempts of which an engine may have received something. */
+    int sentAttemptCount() {
+        return attemptCount - unsentAttemptCount;
     }
 }
--- a/src/main/java/junipercourse/core/KeyOrderGate.java
+++ b/src/main/java/junipercourse/core/KeyOrderGate.java
@@ -8,84 +8,96 @@
 import junipercourse.net.EventLoop;
 
 /**
- * Lets queries of ordered keys to the module in the order that they came, however late they were
- * read.
+ * Passes queries of ordered keys to the decision module in the order of their arrival, however late
+ * they were read.
  */
 final class KeyOrderGate {
-    /** Clients leave 60 ms between two queries of a key (PROTOCOL); a little less may arrive. */
-    private static final double KEY_APART_S = 0.05;
+    /**
+     * Clients wait 60 ms between two queries of a key (PROTOCOL); the gap may have shrunk a little
+     * on arrival.
+     */
+    private static final double MIN_KEY_GAP_SECONDS = 0.05;
 
-    /** A query whose place in its key's order is open is refused after so long. */
-    private static final double ORDER_WAIT_S = 0.3;
+    /** A query whose place in the order of its key is still unknown after this time is rejected. */
+    private static final double MAX_ORDER_WAIT_SECONDS = 0.3;
 
-    private static final double ORDER_LOOK_S = 0.005;
+    private static final double ORDER_CHECK_INTERVAL_SECONDS = 0.005;
 
-    /** What becomes of a query at the time given. */
-    interface Verdict {
-        void on(InFlightQuery x, double now);
+    /** Handles a query that leaves the gate. */
+    interface QueryAction {
+        void apply(InFlightQuery inFlight, double batchTime);
     }
 
     private final EventLoop loop;
-    private final Consumer<DoubleConsumer> events;
-    private final Verdict inOrder;
-    private final Verdict unordered;
-    private final ArrivalOrder keyOrder = new ArrivalOrder(KEY_APART_S);
-    private final ArrayDeque<InFlightQuery> unsettled = new ArrayDeque<>();
-    private DeadlineQueue.Entry unsettledLook;
+    private final Consumer<DoubleConsumer> enqueueEvent;
+    private final QueryAction onOrdered;
+    private final QueryAction onUnordered;
+    private final ArrivalOrder arrivalOrder = new ArrivalOrder(MIN_KEY_GAP_SECONDS);
+    private final ArrayDeque<InFlightQuery> pending = new ArrayDeque<>();
+    private DeadlineQueue.Entry checkTimer;
 
-    /** {@code events} queues an event of the next turn. */
+    /** Creates a gate; {@code enqueueEvent} adds an event to the next batch. */
     KeyOrderGate(
-            EventLoop loop, Consumer<DoubleConsumer> events, Verdict inOrder, Verdict unordered) {
+            EventLoop loop,
+            Consumer<DoubleConsumer> enqueueEvent,
+            QueryAction onOrdered,
+            QueryAction onUnordered) {
         this.loop = loop;
-        this.events = events;
-        this.inOrder = inOrder;
-        this.unordered = unordered;
+        this.enqueueEvent = enqueueEvent;
+        this.onOrdered = onOrdered;
+        this.onUnordered = onUnordered;
     }
 
-    void admit(InFlightQuery x, double now) {
-        unsettled.add(x);
-        admitSettled(now);
+    void enqueue(InFlightQuery inFlight, double batchTime) {
+        pending.add(inFlight);
+        processPending(batchTime);
     }
 
     /**
-     * Guards the order of keys: a request goes on once nothing that came before it can be unread.
+     * Releases the pending queries in reading order, each once nothing that arrived before it can
+     * be unread.
      */
-    private void admitSettled(double now) {
-        double readUpTo = loop.readUpTo();
-        for (InFlightQuery x = unsettled.peek(); x != null; x = unsettled.peek()) {
-            boolean settled = keyOrder.isSettled(x.query.arrival(), readUpTo);
-            boolean waits = !settled && now < x.query.arrival().readAt() + ORDER_WAIT_S;
-            if (waits && !x.answered) {
-                lookAtUnsettled();
+    private void processPending(double batchTime) {
+        double watermark = loop.readUpTo();
+        for (InFlightQuery inFlight = pending.peek(); inFlight != null; inFlight = pending.peek()) {
+            boolean isSettled = arrivalOrder.isSettled(inFlight.query.arrival(), watermark);
+            boolean mustWait =
+                    !isSettled
+                            && batchTime
+                                    < inFlight.query.arrival().readAt() + MAX_ORDER_WAIT_SECONDS;
+            if (mustWait && !inFlight.isAnswered) {
+                scheduleCheck();
                 break;
             }
-            unsettled.poll();
-            if (!x.answered) {
-                if (settled && keyOrder.admit(x.query.orderKey(), x.query.arrival())) {
-                    inOrder.on(x, now);
+            pending.poll();
+            if (!inFlight.isAnswered) {
+                if (isSettled
+                        && arrivalOrder.admit(
+                                inFlight.query.orderKey(), inFlight.query.arrival())) {
+                    onOrdered.apply(inFlight, batchTime);
                 } else {
-                    unordered.on(x, now);
+                    onUnordered.apply(inFlight, batchTime);
                 }
             }
         }
     }
 
-    private void lookAtUnsettled() {
-        if (unsettledLook == null) {
-            unsettledLook =
+    private void scheduleCheck() {
+        if (checkTimer == null) {
+            checkTimer =
                     loop.after(
-                            ORDER_LOOK_S,
+                            ORDER_CHECK_INTERVAL_SECONDS,
                             () -> {
-                                unsettledLook = null;
-                                events.accept(this::admitSettled);
+                                checkTimer = null;
+                                enqueueEvent.accept(this::processPending);
                             });
         }
     }
 
-    /** All events of a turn are told. */
-    void turnTold() {
-        if (unsettled.isEmpty()) { // and no event is left
-            keyOrder.discardSettledKeys(loop.readUpTo());
+    /** Called when all events of a batch have been processed. */
+    void onBatchProcessed() {
+        if (pending.isEmpty()) { // a pending query may have arrived before admitted ones
+            arrivalOrder.discardSettledKeys(loop.readUpTo());
         }
     }
 }
--- a/src/main/java/junipercourse/core/OpenQueries.java
+++ b/src/main/java/junipercourse/core/OpenQueries.java
@@ -7,110 +7,117 @@
 import junipercourse.core.Counters.Count;
 import junipercourse.net.EventLoop;
 
-/**
- * The queries in hand and the one final answer that each gets: each is counted where it is given.
- */
+/** The open queries. Each gets exactly one final answer here, and is counted where it gets it. */
 final class OpenQueries {
     private final EventLoop loop;
     private final Counters counters;
-    private final ClassMetrics figures;
-    private final SlotTable<InFlightQuery> exchanges = new SlotTable<>();
-    private final Set<String> openIds = new HashSet<>();
-    private int open;
-    private Runnable whenIdle;
+    private final ClassMetrics classMetrics;
+    private final SlotTable<InFlightQuery> queries = new SlotTable<>();
+    private final Set<String> idsInUse = new HashSet<>();
+    private int openCount;
+    private Runnable idleTask;
 
-    OpenQueries(EventLoop loop, Counters counters, ClassMetrics figures) {
+    OpenQueries(EventLoop loop, Counters counters, ClassMetrics classMetrics) {
         this.loop = loop;
-        this.figures = figures;
+        this.classMetrics = classMetrics;
         this.counters = counters;
     }
 
-    /** Takes a query in hand; null if one of its id is open or still out. */
-    InFlightQuery take(Query query, ResponseHandler reply) {
-        if (!openIds.add(openId(query))) {
+    /**
+     * Registers a query. Returns null if another one with its id is open or has an attempt running.
+     */
+    InFlightQuery register(Query query, ResponseHandler responseHandler) {
+        if (!idsInUse.add(normalizedId(query))) {
             counters.increment(Count.QUERIES_DOUBLED);
             return null;
         }
         counters.increment(Count.QUERIES_TAKEN);
-        InFlightQuery x = new InFlightQuery(query, reply);
-        x.id = exchanges.add(x);
-        open++;
-        return x;
+        InFlightQuery inFlight = new InFlightQuery(query, responseHandler);
+        inFlight.id = queries.add(inFlight);
+        openCount++;
+        return inFlight;
     }
 
-    /** The query in hand of that id, or null. */
+    /** Returns the query with that id, or null. */
     InFlightQuery find(long id) {
-        return exchanges.get(id);
+        return queries.get(id);
     }
 
     List<InFlightQuery> all() {
-        return exchanges.all();
+        return queries.all();
     }
 
-    /** Queries without a final answer. */
-    int open() {
-        return open;
+    /** Returns the number of queries without a final answer. */
+    int openCount() {
+        return openCount;
     }
 
-    void served(InFlightQuery x, List<byte[]> pages) {
+    void serve(InFlightQuery inFlight, List<byte[]> pages) {
         counters.increment(Count.QUERIES_SERVED);
-        figures.passed(x.query.queryClass());
-        x.reply.onServed(pages);
-        answered(x);
+        classMetrics.recordServed(inFlight.query.queryClass());
+        inFlight.responseHandler.onServed(pages);
+        complete(inFlight);
     }
 
-    /** Trying again is harmless, best after so many seconds. */
-    void refused(InFlightQuery x, double coolDown, String why) {
+    /**
+     * Answers that the query was rejected and is safe to retry, preferably after the given time.
+     */
+    void reject(InFlightQuery inFlight, double retryAfterSeconds, String reason) {
         counters.increment(Count.QUERIES_REFUSED);
-        figures.dropped(x.query.queryClass());
-        x.reply.onRejected(coolDown, why);
-        answered(x);
+        classMetrics.recordRejected(inFlight.query.queryClass());
+        inFlight.responseHandler.onRejected(retryAfterSeconds, reason);
+        complete(inFlight);
     }
 
-    void failed(InFlightQuery x, String why) {
+    void fail(InFlightQuery inFlight, String reason) {
         counters.increment(Count.QUERIES_FAILED);
-        figures.failed(x.query.queryClass());
-        x.reply.onFailed(why);
-        answered(x);
+        classMetrics.recordFailed(inFlight.query.queryClass());
+        inFlight.responseHandler.onFailed(reason);
+        complete(inFlight);
     }
 
-    /** Its client has left: no answer is owed. */
-    void left(InFlightQuery x) {
+    /** Records that the client has left, so that the query needs no answer. */
+    void recordClientLeft(InFlightQuery inFlight) {
         counters.increment(Count.CLIENTS_LEFT);
-        answered(x);
+        complete(inFlight);
     }
 
-    /** The one place where a query's answer is given or its client is given up. */
-    private void answered(InFlightQuery x) {
-        x.answered = true;
-        open--;
-        loop.cancel(x.lastMoment);
-        x.lastMoment = null;
-        release(x);
-        checkIdle();
+    /** Marks a query as answered or abandoned by its client. Nothing else does. */
+    private void complete(InFlightQuery inFlight) {
+        inFlight.isAnswered = true;
+        openCount--;
+        loop.cancel(inFlight.deadlineTimer);
+        inFlight.deadlineTimer = null;
+        releaseIfFinished(inFlight);
+        runIdleTaskIfIdle();
     }
 
-    /** The one place where a query's slot and its id are given back. */
-    void release(InFlightQuery x) {
-        if (x.answered && x.out == null && exchanges.get(x.id) == x) {
-            openIds.remove(openId(x.query));
-            exchanges.remove(x.id);
+    /**
+     * Frees the slot and the id of a query that is answered and has no attempt running. Nothing
+     * else frees them.
+     */
+    void releaseIfFinished(InFlightQuery inFlight) {
+        if (inFlight.isAnswered
+                && inFlight.currentAttempt == null
+                && queries.get(inFlight.id) == inFlight) {
+            idsInUse.remove(normalizedId(inFlight.query));
+            queries.remove(inFlight.id);
         }
     }
 
-    private static String openId(Query query) {
+    private static String normalizedId(Query query) {
         return query.id().toLowerCase(Locale.ROOT);
     }
 
-    /** Runs a task once no query is open; {@link #checkIdle} looks. */
-    void whenIdle(Runnable task) {
-        whenIdle = task;
+    /** Sets a task for {@link #runIdleTaskIfIdle} to run once no query is open. */
+    void runWhenIdle(Runnable task) {
+        idleTask = task;
     }
 
-    void checkIdle() {
-        if (open == 0 && whenIdle != null) {
-            Runnable task = whenIdle;
-            whenIdle = null;
+    void runIdleTaskIfIdle() {
+        if (openCount == 0 && idleTask != null) {
+            Runnable task = idleTask;
+            idleTask = null;
             task.run();
         }
     }
--- a/src/main/java/junipercourse/core/OptionalComponent.java
+++ b/src/main/java/junipercourse/core/OptionalComponent.java
@@ -1,15 +1,13 @@
 package junipercourse.core;
 
-/** A part of the program that only some installations have. Queries never wait for it. */
+/** A component that only some installations have. Queries never wait for it. */
 public interface OptionalComponent {
-    /** Adds its tables. */
+    /** Adds its status tables. */
     void addTables(StatusTables statusTables);
 
     /** Called once clients can connect; returns at once. */
     void start();
 
-    /**
-     * Called after the last answer, before the process ends; waits for a part of a second at most.
-     */
+    /** Called after the last answer, before the process exits. Waits for less than a second. */
     void shutDown();
 }
--- a/src/main/java/junipercourse/core/Query.java
+++ b/src/main/java/junipercourse/core/Query.java
@@ -3,21 +3,21 @@
 import junipercourse.liveness.ArrivalInterval;
 
 /**
- * A query as a front hands it over, whatever protocol it came by.
+ * A query as a client protocol handler submits it, independent of the protocol.
  *
  * @param id the client's id of the request
- * @param className the class's name, passed on unchanged
- * @param queryClass the class's position in the settings
- * @param tenant the tenant's position in the settings, or -1
- * @param notAfter Unix time in seconds at which the client stops waiting
+ * @param className the name of the query class, passed on unchanged
+ * @param queryClass the position of the class in the settings
+ * @param tenant the position of the tenant in the settings, or -1
+ * @param deadlineAt Unix time in seconds at which the client stops waiting
  * @param idempotencyKey the same for all tries of one request, or null
  * @param orderKey the key whose requests keep their order; 0 for none
  * @param tableGroup the group of tables that it reads or writes; 0 for none
- * @param cost the estimate of the work in seconds of one core; NaN for none
- * @param memoryMb the estimate of the memory; 0 for none
+ * @param costEstimate estimated work in seconds of one core; NaN for no estimate
+ * @param memoryEstimateMb estimated memory in MB; 0 for no estimate
  * @param clientRetry whether the client marked it as a retry
- * @param statement what the engine is to run
- * @param arrival when its last byte came
+ * @param statement the statement that the engine runs
+ * @param arrival when its last byte arrived
  */
 public record Query(
         String id,
--- a/src/main/java/junipercourse/core/ResponseHandler.java
+++ b/src/main/java/junipercourse/core/ResponseHandler.java
@@ -2,22 +2,28 @@
 
 import java.util.List;
 
-/** Where the one final answer to a query goes; a front implements it. It is called once. */
+/**
+ * Receives the one final answer to a query. Client protocol handlers implement it; exactly one of
+ * the answer methods is called, once.
+ */
 public interface ResponseHandler {
     /**
-     * Whether the client still waits for it, after all that lies there of the client's has been
-     * read: its end may have come and not had its turn. May call {@link Gateway#abandon}.
+     * Returns whether the client still waits for the answer. Reads everything available from the
+     * client first, since its disconnection may have arrived without having been handled. May call
+     * {@link Gateway#abandon}.
      */
     default boolean isClientWaiting() {
         return true;
     }
 
-    /** All pages of the result, whole rows each, in order. */
+    /** Answers with all pages of the result in order, each of complete rows. */
     void onServed(List<byte[]> pages);
 
-    /** Trying again is harmless, best after so many seconds. */
+    /**
+     * Answers that the query was rejected and is safe to retry, preferably after the given time.
+     */
     void onRejected(double retryAfterSeconds, String reason);
 
-    /** Failed; nothing is promised about effects. */
+    /** Answers that the query failed. It may or may not have had effects. */
     void onFailed(String reason);
 }
--- a/src/main/java/junipercourse/core/ShutdownResponder.java
+++ b/src/main/java/junipercourse/core/ShutdownResponder.java
@@ -8,64 +8,74 @@
 import junipercourse.decision.api.Idempotency;
 import junipercourse.decision.api.QueryClass;
 
-/** What is answered because this process ends. */
+/** Answers open queries because this process shuts down. */
 public final class ShutdownResponder {
     private final DecisionSettings settings;
-    private final OpenQueries answers;
-    private final Consumer<InFlightQuery> abandon;
+    private final OpenQueries openQueries;
+    private final Consumer<InFlightQuery> abandonInModule;
 
-    /** {@code abandon} tells the module that no answer is owed any more. */
+    /**
+     * Creates a responder; {@code abandonInModule} tells the decision module that a query needs no
+     * answer any more.
+     */
     ShutdownResponder(
-            DecisionSettings settings, OpenQueries answers, Consumer<InFlightQuery> abandon) {
+            DecisionSettings settings,
+            OpenQueries openQueries,
+            Consumer<InFlightQuery> abandonInModule) {
         this.settings = settings;
-        this.answers = answers;
-        this.abandon = abandon;
+        this.openQueries = openQueries;
+        this.abandonInModule = abandonInModule;
     }
 
     /**
-     * Sends what has not been started to the process that comes after this one: clients may hold
-     * only so many connections to both, and what waits here would keep others out there. Of what
-     * has been started the youngest, which lose least, go the same way beyond what is kept, where
-     * trying again is harmless.
+     * Rejects queries so that their clients retry at the process that replaces this one. All
+     * queries that were not sent to an engine are rejected: clients may open only a limited number
+     * of connections to both processes, and queries that wait here would block others there. If
+     * more than {@code maxKeptQueries} remain, queries already sent are rejected as well where a
+     * retry is safe, youngest first, since these lose least work.
      *
-     * @param kept so many queries stay in hand at most, if that can be
+     * @param maxKeptQueries the number of queries to keep at most; more are kept if they are not
+     *     safe to retry
      */
     public void handOverQueries(int maxKeptQueries) {
-        List<InFlightQuery> open =
-                answers.all().stream()
-                        .filter(x -> !x.answered)
-                        .sorted(Comparator.comparingDouble(x -> -x.query.arrival().readAt()))
+        List<InFlightQuery> youngestFirst =
+                openQueries.all().stream()
+                        .filter(inFlight -> !inFlight.isAnswered)
+                        .sorted(
+                                Comparator.comparingDouble(
+                                        inFlight -> -inFlight.query.arrival().readAt()))
                         .toList();
-        for (InFlightQuery x : open) {
-            if (x.sent() == 0 || answers.open() > maxKeptQueries && harmless(x)) {
-                answers.refused(x, 0, "the dispatcher is being replaced");
-                abandon.accept(x);
+        for (InFlightQuery inFlight : youngestFirst) {
+            if (inFlight.sentAttemptCount() == 0
+                    || openQueries.openCount() > maxKeptQueries && isSafeToRetry(inFlight)) {
+                openQueries.reject(inFlight, 0, "the dispatcher is being replaced");
+                abandonInModule.accept(inFlight);
             }
         }
     }
 
-    /** Whether the query may be tried again, although an attempt of it may have run. */
-    private boolean harmless(InFlightQuery x) {
-        QueryClass c = settings.queryClasses().get(x.query.queryClass());
-        return x.sent() == 0
-                || c.idempotency() == Idempotency.IDEMPOTENT
-                || c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && c.deduplicationScope() == DeduplicationScope.ALL;
+    /** Returns whether the query can be retried safely, even if one of its attempts has run. */
+    private boolean isSafeToRetry(InFlightQuery inFlight) {
+        QueryClass queryClass = settings.queryClasses().get(inFlight.query.queryClass());
+        return inFlight.sentAttemptCount() == 0
+                || queryClass.idempotency() == Idempotency.IDEMPOTENT
+                || queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && queryClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     /**
-     * Answers what is still open: a client told now can go elsewhere; one cut off by our end cannot
-     * tell.
+     * Answers all open queries: a client that gets an answer now can go elsewhere, while one whose
+     * connection breaks when the process exits cannot tell what became of its query.
      */
     public void answerOpenQueries() {
-        for (InFlightQuery x : answers.all()) {
-            if (!x.answered) {
-                if (harmless(x)) {
-                    answers.refused(x, 0, "the dispatcher is shutting down");
+        for (InFlightQuery inFlight : openQueries.all()) {
+            if (!inFlight.isAnswered) {
+                if (isSafeToRetry(inFlight)) {
+                    openQueries.reject(inFlight, 0, "the dispatcher is shutting down");
                 } else {
-                    answers.failed(x, "the dispatcher is shutting down");
+                    openQueries.fail(inFlight, "the dispatcher is shutting down");
                 }
-                abandon.accept(x);
+                abandonInModule.accept(inFlight);
             }
         }
     }
--- a/src/main/java/junipercourse/core/SlotTable.java
+++ b/src/main/java/junipercourse/core/SlotTable.java
@@ -5,8 +5,8 @@
 import java.util.Objects;
 
 /**
- * A table of numbered slots. A slot's number is used again once it is given back, but with another
- * generation, so that an id of an earlier holder finds nothing. Ids are above 0 and below 2^52.
+ * A table of numbered slots. A freed slot is reused with another generation, so that the id of an
+ * earlier item finds nothing. Ids are above 0 and below 2^52.
  */
 public final class SlotTable<T> {
     private static final int INDEX_BITS = 20;
@@ -15,59 +15,59 @@
 
     private final List<T> items = new ArrayList<>();
     private final List<Long> generations = new ArrayList<>();
-    private final List<Integer> free = new ArrayList<>();
-    private int used;
+    private final List<Integer> freeIndexes = new ArrayList<>();
+    private int usedCount;
 
-    /** Takes a slot and returns its id. */
+    /** Puts an item into a free slot and returns its id. */
     public long add(T item) {
         int index;
-        if (free.isEmpty()) {
+        if (freeIndexes.isEmpty()) {
             index = items.size();
             if (index > INDEX_MASK) {
-                throw new IllegalStateException("no slot left");
+                throw new IllegalStateException("no free slot");
             }
             items.add(item);
             generations.add(1L);
         } else {
-            index = free.remove(free.size() - 1);
+            index = freeIndexes.remove(freeIndexes.size() - 1);
             items.set(index, item);
         }
-        used++;
+        usedCount++;
         return generations.get(index) << INDEX_BITS | index;
     }
 
-    /** The holder of an id, or null once it has been given back. */
+    /** Returns the item with that id, or null if it has been removed. */
     public T get(long id) {
         int index = (int) (id & INDEX_MASK);
-        boolean current = index < items.size() && generations.get(index) == id >> INDEX_BITS;
-        return current ? items.get(index) : null;
+        boolean isCurrent = index < items.size() && generations.get(index) == id >> INDEX_BITS;
+        return isCurrent ? items.get(index) : null;
     }
 
-    /** The holder of the id with these lower 32 bits, or null. */
+    /** Returns the item whose id has these lower 32 bits, or null. */
     public T findByLowerBits(int lowerBits) {
         int index = (int) (lowerBits & INDEX_MASK);
         long id = index < items.size() ? generations.get(index) << INDEX_BITS | index : 0;
         return id != 0 && (int) id == lowerBits ? items.get(index) : null;
     }
 
-    /** Gives a slot back; an id of an earlier holder is ignored. */
+    /** Frees the slot of an item; the id of an earlier item is ignored. */
     public void remove(long id) {
         if (get(id) != null) {
             int index = (int) (id & INDEX_MASK);
             items.set(index, null);
             generations.set(index, (generations.get(index) + 1) % GENERATIONS);
-            free.add(index);
-            used--;
+            freeIndexes.add(index);
+            usedCount--;
         }
     }
 
-    /** All holders. */
+    /** Returns all items. */
     public List<T> all() {
         return items.stream().filter(Objects::nonNull).toList();
     }
 
-    /** How many slots are taken. */
+    /** Returns the number of items. */
     public int size() {
-        return used;
+        return usedCount;
     }
 }
--- a/src/main/java/junipercourse/core/StatusTables.java
+++ b/src/main/java/junipercourse/core/StatusTables.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What operators may ask for by {@code SHOW name}: each part of the program adds its table. */
+/** The tables that operators query by {@code SHOW name}. Each component adds its own. */
 public final class StatusTables {
     private final Map<String, Table> tables = new LinkedHashMap<>();
 
-    /** A table as it is now. */
+    /** A table whose rows are produced on each call. */
     public interface Table {
-        /** The columns' names. */
+        /** Returns the names of the columns. */
         String[] columns();
 
-        /** All rows: columns apart by a tab, a line feed after each row. */
+        /** Returns all rows: columns separated by a tab, a line feed after each row. */
         byte[] rows();
     }
 
-    /** Takes the rows of a table. */
+    /** Collects the rows of a table. */
     public static final class RowWriter {
         private final StringBuilder text = new StringBuilder();
 
-        /** Adds a row; what would break the rows apart is written as a space. */
+        /** Adds a row; tabs and line breaks in a value are replaced by spaces. */
         public RowWriter add(Object... columns) {
             for (int i = 0; i < columns.length; i++) {
                 text.append(i == 0 ? "" : "\t")
@@ -34,9 +34,9 @@
         }
     }
 
-    /** Adds a table under a name. */
+    /** Adds a table; {@code rows} writes its rows whenever it is queried. */
     public void add(String name, Consumer<RowWriter> rows, String... columns) {
-        Table before =
+        Table previous =
                 tables.put(
                         name.toLowerCase(Locale.ROOT),
                         new Table() {
@@ -47,17 +47,17 @@
 
                             @Override
                             public byte[] rows() {
-                                RowWriter all = new RowWriter();
-                                rows.accept(all);
-                                return all.text.toString().getBytes(StandardCharsets.UTF_8);
+                                RowWriter writer = new RowWriter();
+                                rows.accept(writer);
+                                return writer.text.toString().getBytes(StandardCharsets.UTF_8);
                             }
                         });
-        if (before != null) {
-            throw new IllegalArgumentException("two tables " + name);
+        if (previous != null) {
+            throw new IllegalArgumentException("duplicate status table " + name);
         }
     }
 
-    /** The table of that name, in any case, or null. */
+    /** Returns the table of that name, in any case, or null. */
     public Table table(String name) {
         return tables.get(name.toLowerCase(Locale.ROOT));
     }
--- a/src/main/java/junipercourse/core/UnsupportedActions.java
+++ b/src/main/java/junipercourse/core/UnsupportedActions.java
@@ -4,25 +4,29 @@
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.RequestId;
 
-/** What this platform does not have: the settings forbid these, so the module asks for none. */
+/**
+ * Actions of the decision module that are not supported here. The settings disable them, so the
+ * module requests none.
+ */
 abstract class UnsupportedActions implements DispatcherActions {
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
-        // Engines here set memory themselves and heed no priority.
+    public void setAttemptTerms(RequestId id, int priority, double memoryGrantMb) {
+        // Engines here choose their memory themselves and ignore priorities.
     }
 
     @Override
     public void probeEngine(EngineId engine) {
-        throw new UnsupportedOperationException("engines may not be probed");
+        throw new UnsupportedOperationException("probing engines is not supported");
     }
 
     @Override
     public void broadcastToPeers(byte[] payload) {
-        throw new UnsupportedOperationException("dispatchers cannot reach each other");
+        throw new UnsupportedOperationException(
+                "broadcasting to other dispatchers is not supported");
     }
 
     @Override
     public void subscribeToEndpoints() {
-        // The event bus pushes to every dispatcher that connects; there is nothing to ask for.
+        // The event bus pushes to every dispatcher that connects; no subscription is needed.
     }
 }
--- a/src/main/java/junipercourse/liveness/ArrivalInterval.java
+++ b/src/main/java/junipercourse/liveness/ArrivalInterval.java
@@ -1,25 +1,28 @@
 package junipercourse.liveness;
 
 /**
- * When bytes came, as far as that can be known: the kernel takes them while we do not look. Times
- * are seconds of the loop.
+ * The interval within which bytes arrived. The exact time is unknown, since the kernel buffers
+ * bytes until the event loop reads them. Times are seconds of the loop's clock.
  *
- * @param after they came no earlier than this: by then all that had come was read
- * @param at they were read at this time, and so came no later
+ * @param earliest the bytes arrived no earlier than this: everything that arrived before had been
+ *     read
+ * @param readAt the bytes were read at this time, so they arrived no later
  */
 public record ArrivalInterval(double earliest, double readAt) {
     /**
-     * A narrow interval is as good as a point: a pass over all sockets and the beat lie within it.
+     * A narrower interval is treated as a point. It covers a pass over all sockets and the longest
+     * regular gap between loop iterations.
      */
-    private static final double NARROW_S = 0.1;
+    private static final double MAX_NARROW_WIDTH_SECONDS = 0.1;
 
     public ArrivalInterval {
         if (!(earliest <= readAt)) {
-            throw new IllegalArgumentException("after " + earliest + " lies beyond at " + readAt);
+            throw new IllegalArgumentException(
+                    "earliest arrival " + earliest + " is after the time of reading " + readAt);
         }
     }
 
-    /** Bytes that were read the moment they came. */
+    /** Returns the interval of bytes that were read as soon as they arrived. */
     public static ArrivalInterval exact(double readAt) {
         return new ArrivalInterval(readAt, readAt);
     }
@@ -28,25 +31,26 @@
         return readAt - earliest;
     }
 
-    /** Whether the time is known well enough to be taken as one point, {@link #readAt}. */
+    /**
+     * Returns whether the arrival time is known precisely enough to be taken as {@link #readAt}.
+     */
     public boolean isNarrow() {
-        return widthSeconds() <= NARROW_S;
+        return widthSeconds() <= MAX_NARROW_WIDTH_SECONDS;
     }
 
     /**
-     * The time from which a client's patience is counted. Of bytes that may have lain unread for
-     * long, the earliest: an answer that comes too early harms nobody, one that comes too late is
-     * none.
+     * Returns the time from which the client's wait is counted. For bytes that may have been unread
+     * for long, this is the earliest possible arrival: an answer that is too early does no harm,
+     * one that is too late is useless.
      */
     public double clientWaitStart() {
         return isNarrow() ? readAt : earliest;
     }
 
     /**
-     * Whether these bytes may have been written before others that were read before them.
+     * Returns whether these bytes may have been written before others that were read earlier.
      *
-     * @param apart what at least lies between the writing of two messages whose order matters, in
-     *     seconds
+     * @param minGapSeconds the minimum time between the writing of two messages whose order matters
      */
     public boolean mayPrecede(ArrivalInterval readEarlier, double minGapSeconds) {
         return earliest + minGapSeconds < readEarlier.readAt;
--- a/src/main/java/junipercourse/liveness/ArrivalOrder.java
+++ b/src/main/java/junipercourse/liveness/ArrivalOrder.java
@@ -4,58 +4,69 @@
 import java.util.Map;
 
 /**
- * Whether the order in which requests of one key came is known. Sockets are read in any order, so
- * two requests that lay unread at the same time, on two connections, may have come either way; the
- * rule on order counts from when they came, not from when they were read.
+ * Decides whether the arrival order of requests with the same key is known. Sockets are read in any
+ * order, so two requests that were unread at the same time on two connections may have arrived in
+ * either order. Ordering by key refers to the order of arrival, not of reading.
  *
- * <p>A request may go on once nothing that came before it can still be unread ({@link #isSettled}).
- * Of several whose order is open, the first one read goes on and the others are to be refused
- * ({@link #admit}): what was refused never ran, so that any order among them was kept.
+ * <p>A request may proceed once nothing that arrived before it can still be unread ({@link
+ * #isSettled}). If the order of several requests is unknown, the first one read proceeds and the
+ * others must be rejected ({@link #admit}). A rejected request never ran, so the order is preserved
+ * whichever it was.
  *
- * <p>Bounded: a key is kept only while a request that may have come before its last one can be
- * unread, and so there are at most as many as requests that are read within that time.
+ * <p>Memory is bounded: a key is kept only while a request that may have arrived before its last
+ * admitted one can be unread. So there are at most as many keys as requests read within that time.
  */
 public final class ArrivalOrder {
     private final double minGapSeconds;
-    private final Map<Long, Double> lastAt = new HashMap<>();
+    private final Map<Long, Double> lastAdmittedByKey = new HashMap<>();
 
-    /** {@code apart}: seconds that clients leave at least between two requests of one key. */
+    /**
+     * Creates the order for clients that wait at least {@code minGapSeconds} between two requests
+     * of a key.
+     */
     public ArrivalOrder(double minGapSeconds) {
         if (!(minGapSeconds >= 0)) {
-            throw new IllegalArgumentException("apart " + minGapSeconds);
+            throw new IllegalArgumentException(
+                    "negative or undefined minimum gap: " + minGapSeconds);
         }
         this.minGapSeconds = minGapSeconds;
     }
 
-    /** Whether all that came before a request has been read, given up to when all has been. */
+    /**
+     * Returns whether everything that arrived before a request has been read, given the read
+     * watermark.
+     */
     public boolean isSettled(ArrivalInterval request, double watermark) {
         return watermark + minGapSeconds >= request.readAt();
     }
 
     /**
-     * Takes the next request of a key, in the order read. False if it may have come before one
-     * admitted.
+     * Admits the next request of a key, in the order of reading. Returns false if it may have
+     * arrived before a request that was already admitted.
      */
     public boolean admit(long key, ArrivalInterval request) {
-        Double last = lastAt.get(key);
-        if (last != null && request.mayPrecede(ArrivalInterval.exact(last), minGapSeconds)) {
+        Double lastReadAt = lastAdmittedByKey.get(key);
+        if (lastReadAt != null
+                && request.mayPrecede(ArrivalInterval.exact(lastReadAt), minGapSeconds)) {
             return false;
         }
-        lastAt.put(key, last == null ? request.readAt() : Math.max(last, request.readAt()));
+        lastAdmittedByKey.put(
+                key,
+                lastReadAt == null ? request.readAt() : Math.max(lastReadAt, request.readAt()));
         return true;
     }
 
     /**
-     * Drops the keys of which nothing can be unread any more that came before what was admitted. To
-     * be called only while nothing that was read is still to be admitted: that may have come early,
-     * too.
+     * Discards the keys for which no request that arrived before the last admitted one can still be
+     * unread. Call this only when every request that was read has been admitted or rejected, since
+     * a waiting request may have arrived earlier too.
      */
     public void discardSettledKeys(double watermark) {
-        lastAt.values().removeIf(at -> watermark + minGapSeconds >= at);
+        lastAdmittedByKey.values().removeIf(lastReadAt -> watermark + minGapSeconds >= lastReadAt);
     }
 
-    /** Keys that are remembered. */
+    /** Returns the number of keys kept. */
     public int trackedKeyCount() {
-        return lastAt.size();
+        return lastAdmittedByKey.size();
     }
 }
--- a/src/main/java/junipercourse/liveness/AttemptLiveness.java
+++ b/src/main/java/junipercourse/liveness/AttemptLiveness.java
@@ -1,119 +1,132 @@
 package junipercourse.liveness;
 
 /**
- * What is proven of one attempt at an engine. The engine runs a query until it ends, is deleted or
- * has gone for {@link #QUERY_EXPIRY_SECONDS} without being asked for; so our own silence ends
- * queries, and only our own asking keeps them. Times are seconds of the loop, {@code attended}
- * those of {@link StallDetector#attended}.
+ * Tracks whether an engine may still run the query of one attempt. The engine runs a query until it
+ * completes, is deleted or has not been polled for {@link #QUERY_EXPIRY_SECONDS}. So a dispatcher
+ * that stops polling ends its queries, and only its polls keep them alive. Times are seconds of the
+ * loop's clock; {@code responsiveSeconds} are those of {@link StallDetector#responsiveSeconds}.
  *
- * <p>A call is on its way from its first byte until it is answered or its connection is reset. What
- * the kernel has taken is no more certain to arrive soon than what it has not: across a cut network
- * it lies in a buffer and arrives when the cut heals. Only a reset empties that buffer, so until
- * then a call may arrive at any time.
+ * <p>A call is in flight from its first byte until it is answered or its connection is reset. Bytes
+ * that the kernel has accepted are not certain to arrive soon: during a network partition they stay
+ * in a buffer and arrive when the partition heals. Only a reset discards that buffer, so until then
+ * a call may arrive at any time.
  */
 public final class AttemptLiveness {
     /**
-     * The engine drops a query that nobody has asked for in so long (PROTOCOL, dispatchers to
+     * The engine drops a query that has not been polled for this long (PROTOCOL, dispatchers to
      * engines).
      */
     public static final double QUERY_EXPIRY_SECONDS = 2.0;
 
     /**
-     * How long the engine may hold a call for news before it answers that there is none (PROTOCOL).
+     * The longest time for which the engine holds a poll before it answers that the query is still
+     * running (PROTOCOL).
      */
     public static final double LONG_POLL_SECONDS = 0.25;
 
-    /** For what a slow engine reads late; ours. */
+    /** Allowance for calls that a slow engine reads late; not part of the protocol. */
     public static final double READ_DELAY_MARGIN_SECONDS = 0.4;
 
-    /** Before the engine's time is up: from here on it may be up by its clock. Ours. */
-    static final double EARLY_S = 0.2;
+    /**
+     * The query may have expired by the engine's clock this long before {@link
+     * #QUERY_EXPIRY_SECONDS} have passed here; not part of the protocol.
+     */
+    static final double EARLY_EXPIRY_MARGIN_SECONDS = 0.2;
 
-    private boolean written;
-    private double lastWritten = Double.NEGATIVE_INFINITY;
-    private double lastOver = Double.NEGATIVE_INFINITY;
-    private double lastAttended;
-    private int onTheWay;
-    private boolean recordResponse;
-    private boolean leftAlone;
+    private boolean hasStartedCall;
+    private double lastCallStartedAt = Double.NEGATIVE_INFINITY;
+    private double lastCallCompletedAt = Double.NEGATIVE_INFINITY;
+    private double responsiveSecondsAtLastCall;
+    private int callsInFlight;
+    private boolean hasResponse;
+    private boolean wentUnpolled;
 
-    /** What a call without an answer tells. */
+    /** The conclusion from a call without an answer. */
     public enum Assessment {
-        /** Nothing yet: the engine may still run it. */
+        /** No conclusion: the engine may still run the query. */
         POLL_AGAIN,
-        /** It is over, since the engine could not be asked although we tried all the time. */
+        /** The query has expired although this process kept trying: the engine is unreachable. */
         ENGINE_LOST,
-        /** It is over, since we did not ask: nothing is to be held against the engine. */
+        /**
+         * The query has expired because this process did not poll: it does not count as a failure
+         * of the engine.
+         */
         NOT_POLLED
     }
 
-    /** The first byte of a call is written now. */
+    /** Records that the first byte of a call is written now. */
     public void recordCallStarted(double now, double responsiveSeconds) {
-        if (written && now - lastWritten > QUERY_EXPIRY_SECONDS - EARLY_S) {
-            leftAlone |= responsiveSeconds - lastAttended < QUERY_EXPIRY_SECONDS - EARLY_S;
+        if (hasStartedCall
+                && now - lastCallStartedAt > QUERY_EXPIRY_SECONDS - EARLY_EXPIRY_MARGIN_SECONDS) {
+            wentUnpolled |=
+                    responsiveSeconds - responsiveSecondsAtLastCall
+                            < QUERY_EXPIRY_SECONDS - EARLY_EXPIRY_MARGIN_SECONDS;
         }
-        written = true;
-        lastWritten = now;
-        lastAttended = responsiveSeconds;
-        onTheWay++;
+        hasStartedCall = true;
+        lastCallStartedAt = now;
+        responsiveSecondsAtLastCall = responsiveSeconds;
+        callsInFlight++;
     }
 
     /**
-     * A call that was on its way was answered, or its connection is reset: nothing more of it
+     * Records that a call in flight was answered or its connection was reset: no more of it
      * arrives.
      */
     public void recordCallCompleted(double now) {
-        if (onTheWay <= 0) {
-            throw new IllegalStateException("no call is on its way");
+        if (callsInFlight <= 0) {
+            throw new IllegalStateException("no call is in flight");
         }
-        onTheWay--;
-        lastOver = Math.max(lastOver, now);
+        callsInFlight--;
+        lastCallCompletedAt = Math.max(lastCallCompletedAt, now);
     }
 
-    /** An answer of the engine to a call for this query was read. */
+    /** Records that a response of the engine to a call for this query was read. */
     public void recordResponse() {
-        recordResponse = true;
-        leftAlone = false; // it knew the query when it answered
+        hasResponse = true;
+        wentUnpolled = false; // the engine still had the query when it answered
     }
 
-    /** Whether anything of the query may have reached the engine. */
+    /** Returns whether any byte of the query may have reached the engine. */
     public boolean mayHaveReachedEngine() {
-        return written;
+        return hasStartedCall;
     }
 
-    /** Whether the engine has said anything of it. */
+    /** Returns whether the engine has answered any call for this query. */
     public boolean hasEngineResponded() {
-        return recordResponse;
+        return hasResponse;
     }
 
     /**
-     * From when on the engine surely does not run it any more unless it is asked for again. Never,
-     * while a call is on its way; at any time, if none was written.
+     * Returns the time from which the engine certainly no longer runs the query unless it is polled
+     * again: positive infinity while a call is in flight, negative infinity if no call was written.
      */
     public double latestExpiryTime() {
-        if (!written) {
+        if (!hasStartedCall) {
             return Double.NEGATIVE_INFINITY;
         }
-        return onTheWay > 0
+        return callsInFlight > 0
                 ? Double.POSITIVE_INFINITY
-                : lastOver + LONG_POLL_SECONDS + QUERY_EXPIRY_SECONDS + READ_DELAY_MARGIN_SECONDS;
+                : lastCallCompletedAt
+                        + LONG_POLL_SECONDS
+                        + QUERY_EXPIRY_SECONDS
+                        + READ_DELAY_MARGIN_SECONDS;
     }
 
-    /** Judges a call that brought nothing, or that could not be made. */
+    /** Draws the conclusion from a call that got no answer or could not be made. */
     public Assessment assessUnansweredCall(double now, double responsiveSeconds) {
-        if (!written || now < latestExpiryTime()) {
+        if (!hasStartedCall || now < latestExpiryTime()) {
             return Assessment.POLL_AGAIN;
         }
-        return responsiveSeconds - lastAttended > QUERY_EXPIRY_SECONDS
+        return responsiveSeconds - responsiveSecondsAtLastCall > QUERY_EXPIRY_SECONDS
                 ? Assessment.ENGINE_LOST
                 : Assessment.NOT_POLLED;
     }
 
     /**
-     * Whether an engine that does not know the query any more may have dropped it for want of our
-     * asking.
+     * Returns whether an engine that no longer knows the query may have dropped it because this
+     * process did not poll in time.
      */
     public boolean mayHaveExpiredUnpolled() {
-        return leftAlone;
+        return wentUnpolled;
     }
 }
--- a/src/main/java/junipercourse/liveness/ReadWatermark.java
+++ b/src/main/java/junipercourse/liveness/ReadWatermark.java
@@ -1,66 +1,68 @@
 package junipercourse.liveness;
 
 /**
- * Knows up to which time all that came on any socket has been read.
+ * Tracks the time up to which all bytes that arrived on any socket have been read.
  *
- * <p>The loop sends itself a mark through a pipe. The pass over the sockets that reads the mark
- * also sees each socket that had bytes when the mark was sent; once that pass is over, and all of
- * them were read and all connections accepted, whatever is read later came after the mark. Nothing
- * else proves that: a timer may run without the sockets having been looked at.
+ * <p>The event loop sends itself a probe through a pipe. The pass over the sockets that reads the
+ * probe also reports each socket that had bytes when the probe was sent. If that pass read all of
+ * these sockets and accepted all connections, whatever is read later arrived after the probe was
+ * sent. Nothing else proves this: a timer may run without the sockets having been polled.
  */
 public final class ReadWatermark {
-    private double sentAt = Double.NaN;
-    private boolean recordProbeRead;
-    private boolean behind;
+    private double probeSentAt = Double.NaN;
+    private boolean probeRead;
+    private boolean hasUnreadData;
     private double watermark;
 
     public ReadWatermark(double now) {
         watermark = now;
     }
 
-    /** Whether a mark is on its way. */
+    /** Returns whether a probe was sent and its pass is not complete. */
     public boolean isProbePending() {
-        return !Double.isNaN(sentAt);
+        return !Double.isNaN(probeSentAt);
     }
 
-    /** A mark is sent now. */
+    /** Records that a probe is sent now. */
     public void recordProbeSent(double now) {
         if (isProbePending()) {
-            throw new IllegalStateException("a mark is on its way");
+            throw new IllegalStateException("a probe is already pending");
         }
-        sentAt = now;
-        recordProbeRead = false;
-        behind = false;
+        probeSentAt = now;
+        probeRead = false;
+        hasUnreadData = false;
     }
 
-    /** The mark was read in this pass. */
+    /** Records that the probe was read in this pass. */
     public void recordProbeRead() {
-        recordProbeRead = isProbePending();
+        probeRead = isProbePending();
     }
 
     /**
-     * Something is left in this pass: connections that were not accepted, or a socket not read to
-     * its end.
+     * Records that this pass leaves something unread: connections that were not accepted, or a
+     * socket that was not read completely.
      */
     public void recordUnreadData() {
-        behind = true;
+        hasUnreadData = true;
     }
 
-    /** All sockets of this pass were dealt with. Returns whether a mark came home. */
+    /**
+     * Records that all sockets of this pass were handled. Returns whether the pass read a probe.
+     */
     public boolean completePass() {
-        if (!recordProbeRead) {
+        if (!probeRead) {
             return false;
         }
-        recordProbeRead = false;
-        if (!behind) {
-            watermark = sentAt;
+        probeRead = false;
+        if (!hasUnreadData) {
+            watermark = probeSentAt;
         }
-        behind = false;
-        sentAt = Double.NaN;
+        hasUnreadData = false;
+        probeSentAt = Double.NaN;
         return true;
     }
 
-    /** All that came before this time has been read. */
+    /** Returns the time before which all bytes that arrived have been read. */
     public double watermark() {
         return watermark;
     }
--- a/src/main/java/junipercourse/liveness/StallDetector.java
+++ b/src/main/java/junipercourse/liveness/StallDetector.java
@@ -1,42 +1,42 @@
 package junipercourse.liveness;
 
 /**
- * Measures how long this process did not attend to its sockets, and how its wall clock moved
- * meanwhile.
+ * Detects stalls of the event loop and steps of the wall clock.
  *
- * <p>The loop promises a turn at least every beat and reports each turn here. What passes beyond
- * the beat is a gap of our own: the process was stopped, its core was taken away, or one turn took
- * long. Times are seconds; {@code now} is monotonic and never steps, {@code wall} is the system's
- * Unix clock, which may.
+ * <p>The loop iterates at least every {@code maxIterationGapSeconds} and reports each iteration
+ * here. A longer gap is a stall of this process: it was stopped, it got no CPU, or one iteration
+ * took long. Times are seconds; {@code now} is monotonic and never steps, {@code wallClock} is the
+ * system's Unix clock, which may step.
  *
  * <p>{@link #responsiveSeconds} counts only the time in which the process could have read what
- * came. A silence that is measured with it never holds a gap of our own against the other side.
+ * arrived. A timeout measured with it never counts a stall of this process as silence of the other
+ * side.
  */
 public final class StallDetector {
-    private final double beat;
-    private final double stallLeast;
-    private final double stepLeast;
+    private final double maxIterationGapSeconds;
+    private final double stallThresholdSeconds;
+    private final double stepThresholdSeconds;
     private double lastIterationTime;
     private double responsiveSeconds;
-    private double offset;
+    private double wallClockOffset;
 
     /**
-     * A gap in which no turn was had.
+     * A period in which the loop did not iterate.
      *
-     * @param from the last turn before it, in the loop's time
-     * @param to the first turn after it
+     * @param startTime the last iteration before it, in loop time
+     * @param endTime the first iteration after it
      */
     public record Stall(double startTime, double endTime) {
-        /** Its length in seconds. */
         public double durationSeconds() {
             return endTime - startTime;
         }
     }
 
     /**
-     * @param beat the longest time between turns, in seconds, while nothing is wrong
-     * @param stallLeast how much longer than the beat a gap must be to count as a stall
-     * @param stepLeast by how much the wall clock must leave the monotonic one to count as a step
+     * @param maxIterationGapSeconds the longest regular time between iterations
+     * @param stallThresholdSeconds how much longer than that a gap must be to count as a stall
+     * @param stepThresholdSeconds by how much the wall clock must deviate from the monotonic clock
+     *     to count as a step
      */
     public StallDetector(
             double maxIterationGapSeconds,
@@ -47,58 +47,64 @@
         if (!(maxIterationGapSeconds > 0)
                 || !(stallThresholdSeconds > 0)
                 || !(stepThresholdSeconds > 0)) {
-            throw new IllegalArgumentException("beat, stall and step are to be above 0");
+            throw new IllegalArgumentException(
+                    "iteration gap, stall threshold and step threshold must be above 0");
         }
-        this.beat = maxIterationGapSeconds;
-        this.stallLeast = stallThresholdSeconds;
-        this.stepLeast = stepThresholdSeconds;
+        this.maxIterationGapSeconds = maxIterationGapSeconds;
+        this.stallThresholdSeconds = stallThresholdSeconds;
+        this.stepThresholdSeconds = stepThresholdSeconds;
         this.lastIterationTime = now;
-        this.offset = wallClock - now;
+        this.wallClockOffset = wallClock - now;
     }
 
-    /** Counts from now on; what has passed since the last turn is no gap. */
+    /** Restarts the measurement: the time since the last iteration does not count as a gap. */
     public void restartMeasurement(double now) {
         lastIterationTime = now;
     }
 
     /**
-     * A turn is had now. Returns the stall that has just ended, or null. A time that goes back
-     * counts as none.
+     * Records an iteration. Returns the stall that has just ended, or null. If {@code now} is
+     * before the last iteration, the gap counts as 0.
      */
     public Stall recordIteration(double now) {
-        double gap = Math.max(0, now - lastIterationTime);
-        double from = lastIterationTime;
+        double gapSeconds = Math.max(0, now - lastIterationTime);
+        double previousIterationTime = lastIterationTime;
         lastIterationTime = Math.max(now, lastIterationTime);
-        responsiveSeconds += Math.min(gap, beat + stallLeast);
-        return gap > beat + stallLeast ? new Stall(from, now) : null;
+        responsiveSeconds += Math.min(gapSeconds, maxIterationGapSeconds + stallThresholdSeconds);
+        return gapSeconds > maxIterationGapSeconds + stallThresholdSeconds
+                ? new Stall(previousIterationTime, now)
+                : null;
     }
 
-    /** Seconds attended since the start, up to the last turn. */
+    /**
+     * Returns the seconds since the start, up to the last iteration, in which the process was not
+     * stalled.
+     */
     public double responsiveSeconds() {
         return responsiveSeconds;
     }
 
-    /** The last turn, in the loop's time. */
+    /** Returns the time of the last iteration, in loop time. */
     public double lastIterationTime() {
         return lastIterationTime;
     }
 
     /**
-     * Compares the clocks. Returns the step that the wall clock has made against the monotonic one
-     * since the last look, in seconds and signed, or 0 if it kept pace. A machine that was
-     * suspended shows as a step forward, since its monotonic clock stood still.
+     * Compares the two clocks. Returns the signed step in seconds that the wall clock has made
+     * against the monotonic clock since the last comparison, or 0 if there was none. The suspension
+     * of a machine shows as a step forward, since its monotonic clock stood still.
      */
     public double detectClockStep(double now, double wallClock) {
-        double moved = wallClock - now - offset;
-        if (Math.abs(moved) < stepLeast) {
+        double stepSeconds = wallClock - now - wallClockOffset;
+        if (Math.abs(stepSeconds) < stepThresholdSeconds) {
             return 0;
         }
-        offset += moved;
-        return moved;
+        wallClockOffset += stepSeconds;
+        return stepSeconds;
     }
 
-    /** Turns a Unix time that somebody else has told into the loop's time. */
+    /** Converts a Unix time received from elsewhere into loop time. */
     public double toLoopTime(double unixSeconds) {
-        return unixSeconds - offset;
+        return unixSeconds - wallClockOffset;
     }
 }
--- a/src/main/java/junipercourse/liveness/StallStatistics.java
+++ b/src/main/java/junipercourse/liveness/StallStatistics.java
@@ -1,6 +1,6 @@
 package junipercourse.liveness;
 
-/** Figures of the stalls seen since the start, for operators. Times are seconds. */
+/** Statistics of stalls and clock steps since the start, for operators. Times are seconds. */
 public final class StallStatistics {
     private long stallCount;
     private long clockStepCount;
@@ -11,7 +11,7 @@
     private double lastClockStepSeconds;
     private double longestCatchUpSeconds;
 
-    /** A stall has ended; {@code unix} is the Unix time of its end. */
+    /** Records a stall that ended at the Unix time {@code endUnixSeconds}. */
     public void recordStall(StallDetector.Stall stall, double endUnixSeconds) {
         stallCount++;
         lastStallSeconds = stall.durationSeconds();
@@ -20,13 +20,15 @@
         lastStallEndUnixSeconds = endUnixSeconds;
     }
 
-    /** The wall clock has stepped. */
+    /** Records a step of the wall clock. */
     public void recordClockStep(double stepSeconds) {
         clockStepCount++;
         lastClockStepSeconds = stepSeconds;
     }
 
-    /** All that came during a stall has been read so long after its end. */
+    /**
+     * Records how long after the end of a stall everything that arrived during it had been read.
+     */
     public void recordCatchUp(double seconds) {
         longestCatchUpSeconds = Math.max(longestCatchUpSeconds, seconds);
     }
@@ -51,7 +53,7 @@
         return lastStallSeconds;
     }
 
-    /** Unix time of the last stall's end; NaN before the first. */
+    /** Returns the Unix time of the last stall's end; NaN before the first stall. */
     public double lastStallEndUnixSeconds() {
         return lastStallEndUnixSeconds;
     }
--- a/src/test/java/junipercourse/core/AttemptEndCountTest.java
+++ b/src/test/java/junipercourse/core/AttemptEndCountTest.java
@@ -22,7 +22,7 @@
         "NOT_SENT, unsent"
     })
     void countsEachOutcomeUnderItsLabel(AttemptOutcome outcome, String label) {
-        Count count = Count.endOf(outcome);
+        Count count = Count.forOutcome(outcome);
         assertEquals("ends", count.category());
         assertEquals(label, count.label());
     }
