--- a/src/test/java/junipercourse/core/RulesOnSocketsTest.java
+++ b/src/test/java/junipercourse/core/RulesOnSocketsTest.java
@@ -40,7 +40,7 @@
         return answer;
     }
 
-    /** Rule 1: with a silent engine, a query is still answered in time. */
+    /** Rule 1: with a silent engine, a query is rejected in time. */
     @Test
     void queryIsRejectedBeforeItsDeadlineIfEngineIsSilent() throws Exception {
         testSupport.engine(1, call -> SocketTestSupport.SILENCE);
@@ -220,7 +220,7 @@
      * ends them.
      */
     @Test
-    void nextQueryOfKeyWaitsIfDeleteFailedAndEngineStillRuns() throws Exception {
+    void nextQueryOfKeyWaitsIfDeleteWasRefusedAndEngineStillRuns() throws Exception {
         AtomicLong deletedNanos = new AtomicLong();
         AtomicLong secondPostNanos = new AtomicLong();
         StubEngine engine =
