--- a/src/main/java/junipercourse/core/AttemptRunner.java
+++ b/src/main/java/junipercourse/core/AttemptRunner.java
@@ -76,7 +76,7 @@
                                             id,
                                             attempt,
                                             engine,
-                                            AttemptOutcome.MOOT,
+                                            AttemptOutcome.OBSOLETE,
                                             0,
                                             inFlight == null || inFlight.isAnswered,
                                             0,
@@ -113,7 +113,7 @@
                             }
                         });
         inFlight.attemptTimer =
-                loop.at(
+                loop.scheduleAt(
                         attemptDeadlineAt,
                         () -> inFlight.currentAttempt.abort(AttemptOutcome.TIMEOUT));
     }
--- a/src/main/java/junipercourse/core/EventBatcher.java
+++ b/src/main/java/junipercourse/core/EventBatcher.java
@@ -44,8 +44,8 @@
     }
 
     private void processBatch() {
-        if (loop.catchingUp()) { // the module decides after everything that arrived is read
-            loop.whenCaughtUp(this::processBatch);
+        if (loop.isCatchingUp()) { // the module decides after everything that arrived is read
+            loop.runWhenCaughtUp(this::processBatch);
             return;
         }
         isBatchScheduled = false;
@@ -56,7 +56,7 @@
         }
         afterEvents.run();
         if (!runCatching(decide, now)) { // the failed decision may not have set its next timer
-            loop.after(FAULT_RETRY_DELAY_SECONDS, () -> enqueue(batchTime -> {}));
+            loop.scheduleAfter(FAULT_RETRY_DELAY_SECONDS, () -> enqueue(batchTime -> {}));
         }
     }
 
--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -63,7 +63,7 @@
         this.attemptRunner =
                 new AttemptRunner(
                         loop, settings, backend, module, batcher, queries, counters, metrics);
-        loop.onStall(this::recheckAttemptsAfterStall);
+        loop.addStallListener(this::recheckAttemptsAfterStall);
     }
 
     /**
@@ -76,7 +76,8 @@
             return 0;
         }
         inFlight.deadlineTimer =
-                loop.at(query.deadlineAt() - ANSWER_MARGIN_SECONDS, () -> failAtDeadline(inFlight));
+                loop.scheduleAt(
+                        query.deadlineAt() - ANSWER_MARGIN_SECONDS, () -> failAtDeadline(inFlight));
         enqueueEvent(
                 now -> {
                     if (isOrderedByKey(query)) {
@@ -105,7 +106,9 @@
         counters.increment(Count.QUERIES_UNORDERED);
         queries.reject(
                 inFlight,
-                settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0,
+                settings.limits().retryAfterAllowed()
+                        ? settings.limits().maxRetryAfterSeconds()
+                        : 0,
                 "the order of this key's queries is not known after a pause of the dispatcher");
     }
 
@@ -243,7 +246,7 @@
 
     @Override
     public void scheduleTimer(double delaySeconds, long token) {
-        loop.after(delaySeconds, () -> enqueueEvent(now -> module.timerFired(now, token)));
+        loop.scheduleAfter(delaySeconds, () -> enqueueEvent(now -> module.timerFired(now, token)));
     }
 
     @Override
--- a/src/main/java/junipercourse/core/KeyOrderGate.java
+++ b/src/main/java/junipercourse/core/KeyOrderGate.java
@@ -58,7 +58,7 @@
      * be unread.
      */
     private void processPending(double batchTime) {
-        double watermark = loop.readUpTo();
+        double watermark = loop.readWatermark();
         for (InFlightQuery inFlight = pending.peek(); inFlight != null; inFlight = pending.peek()) {
             boolean isSettled = arrivalOrder.isSettled(inFlight.query.arrival(), watermark);
             boolean mustWait =
@@ -85,7 +85,7 @@
     private void scheduleCheck() {
         if (checkTimer == null) {
             checkTimer =
-                    loop.after(
+                    loop.scheduleAfter(
                             ORDER_CHECK_INTERVAL_SECONDS,
                             () -> {
                                 checkTimer = null;
@@ -97,7 +97,7 @@
     /** Called when all events of a batch have been processed. */
     void onBatchProcessed() {
         if (pending.isEmpty()) { // a pending query may have arrived before admitted ones
-            arrivalOrder.discardSettledKeys(loop.readUpTo());
+            arrivalOrder.discardSettledKeys(loop.readWatermark());
         }
     }
 }
--- a/src/main/java/junipercourse/core/UnsupportedActions.java
+++ b/src/main/java/junipercourse/core/UnsupportedActions.java
@@ -10,7 +10,7 @@
  */
 abstract class UnsupportedActions implements DispatcherActions {
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryGrantMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryGrantMb) {
         // Engines here choose their memory themselves and ignore priorities.
     }
 
--- a/src/main/java/junipercourse/engine/EngineAttempt.java
+++ b/src/main/java/junipercourse/engine/EngineAttempt.java
@@ -160,7 +160,7 @@
     private void askAgain() {
         counters.increment(Count.ENGINES_ASKED_AGAIN);
         breaks++;
-        switch (evidence.assessUnansweredCall(loop.now(), loop.attended())) {
+        switch (evidence.assessUnansweredCall(loop.now(), loop.attendedSeconds())) {
             case ENGINE_LOST -> end(AttemptCompletion.withOutcome(AttemptOutcome.RESET));
             case NOT_POLLED -> leftAlone();
             default -> {
@@ -196,7 +196,8 @@
             case 202 -> stillRuns(trusted);
             case 503 ->
                     end(plain(neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, response));
-            case 504 -> end(plain(neverRan ? AttemptOutcome.MOOT : AttemptOutcome.ERROR, response));
+            case 504 ->
+                    end(plain(neverRan ? AttemptOutcome.OBSOLETE : AttemptOutcome.ERROR, response));
             case 500 -> {
                 if (leftAlone) {
                     leftAlone();
--- a/src/test/java/junipercourse/core/FirstByteTest.java
+++ b/src/test/java/junipercourse/core/FirstByteTest.java
@@ -1,7 +1,7 @@
 package junipercourse.core;
 
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.FAILED;
-import static junipercourse.SocketTestSupport.GIVEN_UP;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.query;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
-import junipercourse.SocketTestSupport.Stop;
+import junipercourse.SocketTestSupport.LoopPause;
 import junipercourse.SocketTestSupport.StubEngine;
 import junipercourse.core.Counters.Count;
 import junipercourse.decision.api.EndpointUpdateKind;
@@ -77,27 +77,27 @@
         int clientCount = 8;
         List<StubEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            engines.add(testSupport.engine(i, call -> OK));
+            engines.add(testSupport.startEngine(i, call -> OK));
         }
         List<Client> allClients = new ArrayList<>();
         for (int i = 0; i < clientCount; i++) {
-            allClients.add(testSupport.client().start());
+            allClients.add(testSupport.connectClient().startSession());
         }
-        Stop stopBeforeRead = testSupport.stop();
-        Stop stopAfterDials = testSupport.stopAfterDials(clientCount);
+        LoopPause stopBeforeRead = testSupport.pauseLoop();
+        LoopPause stopAfterDials = testSupport.pauseAfterDials(clientCount);
         for (int i = 0; i < clientCount; i++) {
-            allClients.get(i).write(Client.message(query("check", i + 1, 7000)));
+            allClients.get(i).write(Client.queryMessage(query("check", i + 1, 7000)));
         }
-        stopBeforeRead.goOn();
-        stopAfterDials.reached();
+        stopBeforeRead.resume();
+        stopAfterDials.awaitPaused();
         for (Client client : allClients) {
             client.socket.setSoLinger(reset, 0);
             client.close();
         }
-        SocketTestSupport.pause(stallMillis);
-        stopAfterDials.goOn();
+        SocketTestSupport.sleepMillis(stallMillis);
+        stopAfterDials.resume();
         awaitUnsentAttempts(clientCount);
-        assertEquals(0, engines.stream().mapToLong(e -> e.count("POST")).sum());
+        assertEquals(0, engines.stream().mapToLong(e -> e.countCalls("POST")).sum());
         assertEquals(clientCount, count(Count.CLIENTS_LEFT));
     }
 
@@ -109,18 +109,18 @@
     void cancelledQueryIsNotSentIfCancelRequestWasUnacceptedAndNextOfKeyIsServed()
             throws Exception {
         StubEngine engine =
-                testSupport.engine(1, call -> call.startsWith("DELETE") ? GIVEN_UP : OK);
-        Client first = testSupport.client().start();
-        Client next = testSupport.client().start();
-        Stop stop = testSupport.stopAfterDials(1);
-        first.write(Client.message(query("load", 1, 9000)));
-        stop.reached();
-        SocketTestSupport.daemon(first::cancel);
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.pause(STALL_MILLIS);
-        stop.goOn();
-        assertEquals("E(57014 canceling statement due to user request)", first.answer());
-        assertEquals(SERVED, next.answer());
+                testSupport.startEngine(1, call -> call.startsWith("DELETE") ? CANCELLED : OK);
+        Client first = testSupport.connectClient().startSession();
+        Client next = testSupport.connectClient().startSession();
+        LoopPause stop = testSupport.pauseAfterDials(1);
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        stop.awaitPaused();
+        SocketTestSupport.startDaemon(first::cancel);
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.sleepMillis(STALL_MILLIS);
+        stop.resume();
+        assertEquals("E(57014 canceling statement due to user request)", first.readAnswer());
+        assertEquals(SERVED, next.readAnswer());
         assertEquals(List.of("POST /fetch 0000000000000002"), postCalls(engine));
         assertEquals(1, count(Count.ENDS_UNSENT));
         assertEquals(
@@ -137,37 +137,37 @@
     @CsvSource({"drains", "gone", "restarted", "replaced"})
     void nothingIsSentToEngineThatDrainedLeftOrWasReplacedDuringDial(String change)
             throws Exception {
-        StubEngine engine = testSupport.engine(1, call -> OK);
-        Client client = testSupport.client().start();
-        Stop stop = testSupport.stopAfterDials(1);
-        client.write(Client.message(query("load", 1, 7000)));
-        stop.reached();
+        StubEngine engine = testSupport.startEngine(1, call -> OK);
+        Client client = testSupport.connectClient().startSession();
+        LoopPause stop = testSupport.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("load", 1, 7000)));
+        stop.awaitPaused();
         StubEngine otherEngine = new StubEngine(call -> OK);
         double now = System.currentTimeMillis() / 1e3;
         switch (change) {
             case "drains" ->
-                    testSupport.tell(
+                    testSupport.updateEndpoints(
                             EndpointUpdateKind.DELTA, 0, EngineStage.DRAINING, Map.of(1, engine));
             case "gone" ->
-                    testSupport.tell(
+                    testSupport.updateEndpoints(
                             EndpointUpdateKind.DELTA, 0, EngineStage.GONE, Map.of(1, engine));
             case "restarted" ->
-                    testSupport.tell(
+                    testSupport.updateEndpoints(
                             EndpointUpdateKind.DELTA, now, EngineStage.READY, Map.of(1, engine));
             default ->
-                    testSupport.tell(
+                    testSupport.updateEndpoints(
                             EndpointUpdateKind.FULL, 0, EngineStage.READY, Map.of(2, engine));
         }
         boolean isAddressStillListed = change.equals("restarted") || change.equals("replaced");
         if (!isAddressStillListed) {
-            testSupport.tell(
+            testSupport.updateEndpoints(
                     EndpointUpdateKind.DELTA, 0, EngineStage.READY, Map.of(2, otherEngine));
         }
-        stop.goOn();
-        assertEquals(SERVED, client.answer());
+        stop.resume();
+        assertEquals(SERVED, client.readAnswer());
         assertEquals(1, count(Count.ENDS_UNSENT), "the attempt at the old engine");
-        assertEquals(isAddressStillListed ? 1 : 0, engine.count("POST"));
-        assertEquals(isAddressStillListed ? 0 : 1, otherEngine.count("POST"));
+        assertEquals(isAddressStillListed ? 1 : 0, engine.countCalls("POST"));
+        assertEquals(isAddressStillListed ? 0 : 1, otherEngine.countCalls("POST"));
         otherEngine.close();
     }
 
@@ -177,32 +177,32 @@
      */
     @Test
     void retryIsNotSentIfItsWindowPassedBeforeConnectionWasEstablished() throws Exception {
-        StubEngine firstEngine = testSupport.engine(1, call -> FAILED);
-        StubEngine secondEngine = testSupport.engine(2, call -> FAILED);
-        Client client = testSupport.client().start();
-        Stop stop = testSupport.stopAfterDials(2);
-        client.write(Client.message(query("load", 1, 9000)));
-        stop.reached();
-        SocketTestSupport.pause(1100);
-        stop.goOn();
-        assertTrue(client.answer().startsWith("E(53"));
-        assertEquals(1, firstEngine.count("POST") + secondEngine.count("POST"));
+        StubEngine firstEngine = testSupport.startEngine(1, call -> FAILED);
+        StubEngine secondEngine = testSupport.startEngine(2, call -> FAILED);
+        Client client = testSupport.connectClient().startSession();
+        LoopPause stop = testSupport.pauseAfterDials(2);
+        client.write(Client.queryMessage(query("load", 1, 9000)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(1100);
+        stop.resume();
+        assertTrue(client.readAnswer().startsWith("E(53"));
+        assertEquals(1, firstEngine.countCalls("POST") + secondEngine.countCalls("POST"));
         assertEquals(1, count(Count.ENDS_UNSENT));
     }
 
     /** The first byte of an attempt is sent while there is time for its answer, or not at all. */
     @Test
     void queryIsNotSentIfItsDeadlinePassedBeforeConnectionWasEstablished() throws Exception {
-        StubEngine engine = testSupport.engine(1, call -> OK);
-        Client client = testSupport.client().start();
-        Stop stop = testSupport.stopAfterDials(1);
-        client.write(Client.message(query("check", 1, 800)));
-        stop.reached();
-        SocketTestSupport.pause(900);
-        stop.goOn();
-        assertTrue(client.answer().startsWith("E(5"));
+        StubEngine engine = testSupport.startEngine(1, call -> OK);
+        Client client = testSupport.connectClient().startSession();
+        LoopPause stop = testSupport.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("check", 1, 800)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(900);
+        stop.resume();
+        assertTrue(client.readAnswer().startsWith("E(5"));
         awaitUnsentAttempts(1);
-        assertEquals(0, engine.count("POST"));
+        assertEquals(0, engine.countCalls("POST"));
     }
 
     /**
@@ -210,15 +210,15 @@
      */
     @Test
     void timeLimitSentToEngineExcludesTimeOfDial() throws Exception {
-        StubEngine engine = testSupport.engine(1, call -> OK);
-        Client client = testSupport.client().start();
-        Stop stop = testSupport.stopAfterDials(1);
-        client.write(Client.message(query("check", 1, 7000)));
-        stop.reached();
-        SocketTestSupport.pause(600);
-        stop.goOn();
-        assertEquals(SERVED, client.answer());
-        assertTrue(engine.limits.get(0) <= 6400, engine.limits::toString);
+        StubEngine engine = testSupport.startEngine(1, call -> OK);
+        Client client = testSupport.connectClient().startSession();
+        LoopPause stop = testSupport.pauseAfterDials(1);
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        stop.awaitPaused();
+        SocketTestSupport.sleepMillis(600);
+        stop.resume();
+        assertEquals(SERVED, client.readAnswer());
+        assertTrue(engine.limitsMillis.get(0) <= 6400, engine.limitsMillis::toString);
     }
 
     /**
@@ -231,25 +231,25 @@
         CountDownLatch answerReleased = new CountDownLatch(1);
         try (SocketTestSupport singleConnection = new SocketTestSupport(1)) {
             StubEngine engine =
-                    singleConnection.engine(
+                    singleConnection.startEngine(
                             1,
                             call -> {
                                 SocketTestSupport.await(() -> answerReleased.getCount() == 0);
                                 return OK;
                             });
-            Client first = singleConnection.client().start();
-            Client second = singleConnection.client().start();
-            Client third = singleConnection.client().start();
-            first.write(Client.message(query(queryClass, 1, 7000)));
-            SocketTestSupport.await(() -> engine.count("POST") == 1);
-            second.write(Client.message(query(queryClass, 2, 7000)));
+            Client first = singleConnection.connectClient().startSession();
+            Client second = singleConnection.connectClient().startSession();
+            Client third = singleConnection.connectClient().startSession();
+            first.write(Client.queryMessage(query(queryClass, 1, 7000)));
+            SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
+            second.write(Client.queryMessage(query(queryClass, 2, 7000)));
             SocketTestSupport.await(() -> singleConnection.counters.get(Count.QUERIES_TAKEN) == 2);
-            Stop stop = singleConnection.stop();
+            LoopPause stop = singleConnection.pauseLoop();
             answerReleased.countDown(); // one pass reads the answer and the client's disconnection
             second.close();
-            stop.goOn();
-            assertEquals(SERVED, first.answer());
-            assertEquals(SERVED, third.ask(query(queryClass, 3, 7000)));
+            stop.resume();
+            assertEquals(SERVED, first.readAnswer());
+            assertEquals(SERVED, third.query(query(queryClass, 3, 7000)));
             assertEquals(
                     List.of("POST /fetch 0000000000000001", "POST /fetch 0000000000000003"),
                     postCalls(engine));
@@ -269,21 +269,21 @@
                 queuedSockets.add(
                         new Socket(fullListener.getInetAddress(), fullListener.getLocalPort()));
             }
-            testSupport.list(
+            testSupport.updateEndpointAndWait(
                     1, (InetSocketAddress) fullListener.getLocalSocketAddress(), EngineStage.READY);
-            Client client = testSupport.client().start();
-            Stop stop = testSupport.stopAfterDials(1);
-            client.write(Client.message(query("check", 1, 7000)));
-            stop.reached();
-            stop.goOn();
+            Client client = testSupport.connectClient().startSession();
+            LoopPause stop = testSupport.pauseAfterDials(1);
+            client.write(Client.queryMessage(query("check", 1, 7000)));
+            stop.awaitPaused();
+            stop.resume();
             // The first SYN is lost because the accept queue is full; the kernel resends it after 1
             // s.
-            SocketTestSupport.pause(700);
-            SocketTestSupport.daemon(
+            SocketTestSupport.sleepMillis(700);
+            SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
                             Socket socket = fullListener.accept();
-                            SocketTestSupport.daemon(
+                            SocketTestSupport.startDaemon(
                                     () -> {
                                         if (socket.getInputStream().read() >= 0) {
                                             posts.incrementAndGet();
@@ -292,7 +292,7 @@
                                     });
                         }
                     });
-            assertEquals(SERVED, client.answer());
+            assertEquals(SERVED, client.readAnswer());
             assertEquals(1, posts.get());
             assertEquals(1, count(Count.ATTEMPTS_SENT));
             for (Socket socket : queuedSockets) {
--- a/src/test/java/junipercourse/core/RulesOnSocketsTest.java
+++ b/src/test/java/junipercourse/core/RulesOnSocketsTest.java
@@ -1,8 +1,8 @@
 package junipercourse.core;
 
+import static junipercourse.SocketTestSupport.AT_CAPACITY;
+import static junipercourse.SocketTestSupport.CANCELLED;
 import static junipercourse.SocketTestSupport.FAILED;
-import static junipercourse.SocketTestSupport.FULL;
-import static junipercourse.SocketTestSupport.GIVEN_UP;
 import static junipercourse.SocketTestSupport.OK;
 import static junipercourse.SocketTestSupport.RUNNING;
 import static junipercourse.SocketTestSupport.query;
@@ -36,20 +36,20 @@
     }
 
     private static String answerAfter(long delayMillis, String answer) {
-        SocketTestSupport.pause(delayMillis);
+        SocketTestSupport.sleepMillis(delayMillis);
         return answer;
     }
 
     /** Rule 1: with a silent engine, a query is rejected in time. */
     @Test
     void queryIsRejectedBeforeItsDeadlineIfEngineIsSilent() throws Exception {
-        testSupport.engine(1, call -> SocketTestSupport.SILENCE);
-        Client client = testSupport.client().start();
+        testSupport.startEngine(1, call -> SocketTestSupport.NO_RESPONSE);
+        Client client = testSupport.connectClient().startSession();
         long startNanos = System.nanoTime();
-        assertTrue(client.ask(query("check", 1, 700)).startsWith("E(53"));
+        assertTrue(client.query(query("check", 1, 700)).startsWith("E(53"));
         assertTrue(System.nanoTime() - startNanos < 700_000_000L);
-        testSupport.engine(2, call -> OK); // the session stays usable
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        testSupport.startEngine(2, call -> OK); // the session stays usable
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
     }
 
     /**
@@ -57,33 +57,34 @@
      * not sent twice.
      */
     @ParameterizedTest
-    @ValueSource(strings = {SocketTestSupport.BREAK, "SSH-2.0 hello\r\n", RUNNING + RUNNING})
+    @ValueSource(
+            strings = {SocketTestSupport.CLOSE_CONNECTION, "SSH-2.0 hello\r\n", RUNNING + RUNNING})
     void queryIsNotSentTwiceAfterBrokenOrMalformedPoll(String brokenAnswer) throws Exception {
         AtomicInteger polls = new AtomicInteger();
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call ->
                                 call.startsWith("POST")
                                         ? RUNNING
                                         : polls.incrementAndGet() == 1 ? brokenAnswer : OK);
-        Client client = testSupport.client().start();
+        Client client = testSupport.connectClient().startSession();
         long startNanos = System.nanoTime();
-        assertEquals(SERVED, client.ask(query("load", 1, 5000)));
+        assertEquals(SERVED, client.query(query("load", 1, 5000)));
         assertTrue(System.nanoTime() - startNanos < 900_000_000L);
-        assertEquals(1, engine.count("POST"));
+        assertEquals(1, engine.countCalls("POST"));
     }
 
     /** Rule 2: if an engine proves that it never ran a query, the query is sent to another one. */
     @Test
     void queryIsServedElsewhereIfEnginesAreFullOrDead() throws Exception {
-        StubEngine fullEngine = testSupport.engine(1, call -> FULL);
-        StubEngine deadEngine = testSupport.engine(2, call -> OK);
+        StubEngine fullEngine = testSupport.startEngine(1, call -> AT_CAPACITY);
+        StubEngine deadEngine = testSupport.startEngine(2, call -> OK);
         deadEngine.close();
-        testSupport.engine(3, call -> OK);
-        Client client = testSupport.client().start();
+        testSupport.startEngine(3, call -> OK);
+        Client client = testSupport.connectClient().startSession();
         for (int i = 0; i < 5; i++) {
-            assertEquals(SERVED, client.ask(query("load", 1, 5000)));
+            assertEquals(SERVED, client.query(query("load", 1, 5000)));
         }
         assertTrue(fullEngine.calls.size() <= 5);
     }
@@ -91,23 +92,23 @@
     /** Rule 3: a draining engine gets no new query. */
     @Test
     void drainingEngineGetsNoNewQuery() throws Exception {
-        StubEngine drainingEngine = testSupport.engine(1, call -> OK);
-        Client client = testSupport.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        testSupport.list(1, drainingEngine, EngineStage.DRAINING);
-        assertTrue(client.ask(query("check", 2, 400)).startsWith("E(53"));
+        StubEngine drainingEngine = testSupport.startEngine(1, call -> OK);
+        Client client = testSupport.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        testSupport.updateEndpointAndWait(1, drainingEngine, EngineStage.DRAINING);
+        assertTrue(client.query(query("check", 2, 400)).startsWith("E(53"));
         assertEquals(1, drainingEngine.calls.size());
     }
 
     /** Rule 3: an engine that takes over an address is a different engine. */
     @Test
     void engineThatTakesOverAddressGetsNewConnection() throws Exception {
-        StubEngine engine = testSupport.engine(1, call -> OK);
-        Client client = testSupport.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        testSupport.list(1, engine, EngineStage.GONE);
-        testSupport.list(2, engine, EngineStage.READY);
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        StubEngine engine = testSupport.startEngine(1, call -> OK);
+        Client client = testSupport.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        testSupport.updateEndpointAndWait(1, engine, EngineStage.GONE);
+        testSupport.updateEndpointAndWait(2, engine, EngineStage.READY);
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
         assertEquals(2, testSupport.counters.get(Counters.Count.ENGINES_CONNECTED));
     }
 
@@ -120,7 +121,7 @@
         AtomicInteger postCount = new AtomicInteger();
         AtomicLong unknownNanos = new AtomicLong();
         AtomicLong nextPostNanos = new AtomicLong();
-        testSupport.engine(
+        testSupport.startEngine(
                 1,
                 call -> {
                     if (!call.startsWith("POST")) {
@@ -128,11 +129,13 @@
                         return FAILED;
                     }
                     nextPostNanos.set(System.nanoTime());
-                    return postCount.incrementAndGet() == 1 ? SocketTestSupport.BREAK : OK;
+                    return postCount.incrementAndGet() == 1
+                            ? SocketTestSupport.CLOSE_CONNECTION
+                            : OK;
                 });
-        Client client = testSupport.client().start();
-        client.ask(query("load", 1, 9000));
-        client.ask(query("load", 2, 9000)); // on a busy machine it may be rejected instead
+        Client client = testSupport.connectClient().startSession();
+        client.query(query("load", 1, 9000));
+        client.query(query("load", 2, 9000)); // on a busy machine it may be rejected instead
         assertTrue(postCount.get() < 3 || nextPostNanos.get() - unknownNanos.get() >= 500_000_000L);
     }
 
@@ -144,12 +147,12 @@
         AtomicLong deletedNanos = new AtomicLong();
         AtomicLong secondPostNanos = new AtomicLong();
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
                                 deletedNanos.set(System.nanoTime());
-                                return answerAfter(100, GIVEN_UP);
+                                return answerAfter(100, CANCELLED);
                             }
                             if (call.startsWith("POST") && deletedNanos.get() > 0) {
                                 secondPostNanos.set(System.nanoTime());
@@ -157,16 +160,17 @@
                             }
                             return answerAfter(50, RUNNING);
                         });
-        Client first = testSupport.client().start();
-        first.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
-        Client next = testSupport.client().start();
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.pause(150);
-        assertEquals(1, engine.count("POST"), "the second query ran concurrently with the first");
+        Client first = testSupport.connectClient().startSession();
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
+        Client next = testSupport.connectClient().startSession();
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.sleepMillis(150);
+        assertEquals(
+                1, engine.countCalls("POST"), "the second query ran concurrently with the first");
         first.cancel();
-        assertEquals("E(57014 canceling statement due to user request)", first.answer());
-        assertEquals(SERVED, next.answer());
+        assertEquals("E(57014 canceling statement due to user request)", first.readAnswer());
+        assertEquals(SERVED, next.readAnswer());
         // the pause counts from the DELETE's answer, 100 ms after its arrival
         assertTrue(secondPostNanos.get() - deletedNanos.get() >= 600_000_000L);
     }
@@ -178,15 +182,15 @@
     @Test
     void bufferedCallOfAbortedAttemptDoesNotArriveAfterPartitionHeals() throws Exception {
         CountDownLatch healed = new CountDownLatch(1);
-        StubEngine partitionedEngine = testSupport.engine(1, call -> OK);
-        partitionedEngine.cutUntil(healed);
-        Client client = testSupport.client().start();
+        StubEngine partitionedEngine = testSupport.startEngine(1, call -> OK);
+        partitionedEngine.partitionUntil(healed);
+        Client client = testSupport.connectClient().startSession();
         String largeQuery =
                 query("check", 1, 800).replace("SELECT 1", "SELECT '" + "x".repeat(60_000) + "'");
-        assertTrue(client.ask(largeQuery).startsWith("E(53"));
+        assertTrue(client.query(largeQuery).startsWith("E(53"));
         healed.countDown();
-        SocketTestSupport.await(() -> partitionedEngine.connectionsOver.get() >= 1);
-        assertEquals(0, partitionedEngine.count("POST"));
+        SocketTestSupport.await(() -> partitionedEngine.closedConnections.get() >= 1);
+        assertEquals(0, partitionedEngine.countCalls("POST"));
     }
 
     /**
@@ -198,18 +202,18 @@
         AtomicLong postedNanos = new AtomicLong();
         AtomicLong deletedNanos = new AtomicLong();
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call -> {
                             (call.startsWith("POST") ? postedNanos : deletedNanos)
                                     .compareAndSet(0, System.nanoTime());
-                            return SocketTestSupport.SILENCE;
+                            return SocketTestSupport.NO_RESPONSE;
                         });
-        Client client = testSupport.client().start();
-        client.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
+        Client client = testSupport.connectClient().startSession();
+        client.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         client.cancel();
-        SocketTestSupport.await(() -> engine.count("DELETE") == 1);
+        SocketTestSupport.await(() -> engine.countCalls("DELETE") == 1);
         assertTrue(deletedNanos.get() - postedNanos.get() >= 40_000_000L);
         SocketTestSupport.await(() -> testSupport.counters.get(Counters.Count.ENDS_CANCELLED) == 1);
         assertTrue(System.nanoTime() - postedNanos.get() >= 2_250_000_000L);
@@ -224,12 +228,12 @@
         AtomicLong deletedNanos = new AtomicLong();
         AtomicLong secondPostNanos = new AtomicLong();
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("DELETE")) {
                                 deletedNanos.set(System.nanoTime());
-                                return GIVEN_UP;
+                                return CANCELLED;
                             }
                             if (call.contains("0000000000000002")) {
                                 secondPostNanos.compareAndSet(0, System.nanoTime());
@@ -237,13 +241,13 @@
                             }
                             return answerAfter(400, RUNNING);
                         });
-        Client first = testSupport.client().start();
-        first.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
-        Client next = testSupport.client().start();
-        next.write(Client.message(query("load", 2, 9000)));
-        SocketTestSupport.await(() -> engine.count("GET") == 1);
-        engine.acceptNoMore(); // the only open connection is in use by a poll
+        Client first = testSupport.connectClient().startSession();
+        first.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
+        Client next = testSupport.connectClient().startSession();
+        next.write(Client.queryMessage(query("load", 2, 9000)));
+        SocketTestSupport.await(() -> engine.countCalls("GET") == 1);
+        engine.stopAccepting(); // the only open connection is in use by a poll
         first.cancel();
         SocketTestSupport.await(() -> deletedNanos.get() > 0);
         assertEquals(
@@ -262,7 +266,7 @@
         AtomicLong brokenNanos = new AtomicLong();
         AtomicLong secondPostNanos = new AtomicLong();
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call -> {
                             if (call.startsWith("POST")) {
@@ -270,20 +274,20 @@
                             }
                             SocketTestSupport.await(() -> refusesConnections.getCount() == 0);
                             brokenNanos.compareAndSet(0, System.nanoTime());
-                            return SocketTestSupport.BREAK;
+                            return SocketTestSupport.CLOSE_CONNECTION;
                         });
-        Client client = testSupport.client().start();
-        client.write(Client.message(query("load", 1, 9000)));
-        SocketTestSupport.await(() -> engine.count("GET") == 1);
-        testSupport.engine(
+        Client client = testSupport.connectClient().startSession();
+        client.write(Client.queryMessage(query("load", 1, 9000)));
+        SocketTestSupport.await(() -> engine.countCalls("GET") == 1);
+        testSupport.startEngine(
                 2,
                 call -> {
                     secondPostNanos.compareAndSet(0, System.nanoTime());
                     return OK;
                 });
-        engine.acceptNoMore();
+        engine.stopAccepting();
         refusesConnections.countDown();
-        client.answer(); // served, or on a busy machine rejected as too late
+        client.readAnswer(); // served, or on a busy machine rejected as too late
         assertTrue(
                 secondPostNanos.get() == 0
                         || secondPostNanos.get() - brokenNanos.get() >= 2_000_000_000L,
@@ -297,14 +301,14 @@
     @Test
     void queryWaitsForConnectionWithinLimit() throws Exception {
         try (SocketTestSupport singleConnection = new SocketTestSupport(1)) {
-            singleConnection.engine(1, call -> answerAfter(200, OK));
-            Client first = singleConnection.client().start();
-            Client second = singleConnection.client().start();
+            singleConnection.startEngine(1, call -> answerAfter(200, OK));
+            Client first = singleConnection.connectClient().startSession();
+            Client second = singleConnection.connectClient().startSession();
             long startNanos = System.nanoTime();
-            first.write(Client.message(query("check", 1, 7000)));
-            second.write(Client.message(query("check", 2, 7000)));
-            assertEquals(SERVED, first.answer());
-            assertEquals(SERVED, second.answer());
+            first.write(Client.queryMessage(query("check", 1, 7000)));
+            second.write(Client.queryMessage(query("check", 2, 7000)));
+            assertEquals(SERVED, first.readAnswer());
+            assertEquals(SERVED, second.readAnswer());
             assertTrue(
                     System.nanoTime() - startNanos >= 400_000_000L,
                     "the queries must run one after the other");
@@ -319,12 +323,12 @@
     @Test
     void idleConnectionIsClosedForOneToAnotherEngine() throws Exception {
         try (SocketTestSupport singleConnection = new SocketTestSupport(1)) {
-            StubEngine first = singleConnection.engine(1, call -> OK);
-            Client client = singleConnection.client().start();
-            assertEquals(SERVED, client.ask(query("check", 1, 7000)));
-            singleConnection.list(1, first, EngineStage.DRAINING);
-            singleConnection.engine(2, call -> OK);
-            assertEquals(SERVED, client.ask(query("check", 2, 7000)));
+            StubEngine first = singleConnection.startEngine(1, call -> OK);
+            Client client = singleConnection.connectClient().startSession();
+            assertEquals(SERVED, client.query(query("check", 1, 7000)));
+            singleConnection.updateEndpointAndWait(1, first, EngineStage.DRAINING);
+            singleConnection.startEngine(2, call -> OK);
+            assertEquals(SERVED, client.query(query("check", 2, 7000)));
         }
     }
 
@@ -335,23 +339,23 @@
     @Test
     void openQueryIsFinishedAndNewOneRejectedDuringShutdown() throws Exception {
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call ->
                                 call.startsWith("POST")
                                         ? answerAfter(100, RUNNING)
                                         : answerAfter(100, OK));
-        Client openClient = testSupport.client().start();
-        Client lateClient = testSupport.client().start();
-        openClient.write(Client.message(query("check", 1, 7000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
+        Client openClient = testSupport.connectClient().startSession();
+        Client lateClient = testSupport.connectClient().startSession();
+        openClient.write(Client.queryMessage(query("check", 1, 7000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         CountDownLatch idle = new CountDownLatch(1);
-        testSupport.end(idle::countDown);
+        testSupport.shutDownGracefully(idle::countDown);
         assertEquals(
                 "E(57P03 the dispatcher is shutting down)",
-                lateClient.ask(query("check", 2, 7000)));
+                lateClient.query(query("check", 2, 7000)));
         assertEquals(1, idle.getCount());
-        assertEquals(SERVED, openClient.answer());
+        assertEquals(SERVED, openClient.readAnswer());
         SocketTestSupport.await(() -> idle.getCount() == 0);
     }
 
@@ -359,13 +363,14 @@
     @Test
     void queryIsDeletedAtEngineAfterItsClientLeft() throws Exception {
         StubEngine engine =
-                testSupport.engine(
-                        1, call -> call.startsWith("DELETE") ? GIVEN_UP : answerAfter(50, RUNNING));
-        try (Client client = testSupport.client().start()) {
-            client.write(Client.message(query("check", 1, 7000)));
-            SocketTestSupport.await(() -> engine.count("POST") == 1);
+                testSupport.startEngine(
+                        1,
+                        call -> call.startsWith("DELETE") ? CANCELLED : answerAfter(50, RUNNING));
+        try (Client client = testSupport.connectClient().startSession()) {
+            client.write(Client.queryMessage(query("check", 1, 7000)));
+            SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         }
-        SocketTestSupport.await(() -> engine.count("DELETE /fetch/0000000000000001") == 1);
+        SocketTestSupport.await(() -> engine.countCalls("DELETE /fetch/0000000000000001") == 1);
     }
 
     /**
@@ -383,7 +388,7 @@
         AtomicInteger fetchCount = new AtomicInteger();
         String responseHead = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n";
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call ->
                                 call.startsWith("POST")
@@ -396,8 +401,8 @@
                                                         + "\r\n\r\nd\t\tef\n");
         assertEquals(
                 "T D(a b c) D(d  ef) D(d  ef) C(SELECT 3)",
-                testSupport.client().start().ask(query("check", 1, 5000)));
-        assertEquals(lostPage.equals(FAILED) ? 2 : 1, engine.count("POST"));
+                testSupport.connectClient().startSession().query(query("check", 1, 5000)));
+        assertEquals(lostPage.equals(FAILED) ? 2 : 1, engine.countCalls("POST"));
     }
 
     /**
@@ -409,17 +414,17 @@
     void validResponseIsUsedAndSurplusBytesAreNotTakenForAnotherQuery(String answer)
             throws Exception {
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1,
                         call ->
                                 call.contains("0000000000000001")
                                         ? answer
                                         : OK.replace("a\tb", "x\ty"));
-        Client client = testSupport.client().start();
-        assertEquals(SERVED, client.ask(query("check", 1, 5000)));
-        SocketTestSupport.pause(10);
-        assertEquals("T D(x y c) C(SELECT 1)", client.ask(query("check", 2, 5000)));
-        assertEquals(2, engine.count("POST"));
+        Client client = testSupport.connectClient().startSession();
+        assertEquals(SERVED, client.query(query("check", 1, 5000)));
+        SocketTestSupport.sleepMillis(10);
+        assertEquals("T D(x y c) C(SELECT 1)", client.query(query("check", 2, 5000)));
+        assertEquals(2, engine.countCalls("POST"));
     }
 
     /**
@@ -436,9 +441,11 @@
             })
     void malformedResponseIsFetchedAgain(String malformedResponse) throws Exception {
         StubEngine engine =
-                testSupport.engine(1, call -> call.startsWith("POST") ? malformedResponse : OK);
-        assertEquals(SERVED, testSupport.client().start().ask(query("load", 1, 5000)));
-        assertEquals(1, engine.count("POST"));
+                testSupport.startEngine(
+                        1, call -> call.startsWith("POST") ? malformedResponse : OK);
+        assertEquals(
+                SERVED, testSupport.connectClient().startSession().query(query("load", 1, 5000)));
+        assertEquals(1, engine.countCalls("POST"));
     }
 
     /**
@@ -448,18 +455,20 @@
     @Test
     void queryOnWhichEnginesCloseConnectionFailsSoonAndNoEngineIsEjected() throws Exception {
         for (int i = 1; i <= 3; i++) {
-            testSupport.engine(
+            testSupport.startEngine(
                     i,
                     call ->
                             !call.contains("00000000000000ee")
                                     ? OK
-                                    : call.startsWith("POST") ? SocketTestSupport.BREAK : FAILED);
+                                    : call.startsWith("POST")
+                                            ? SocketTestSupport.CLOSE_CONNECTION
+                                            : FAILED);
         }
-        Client client = testSupport.client().start();
+        Client client = testSupport.connectClient().startSession();
         long startNanos = System.nanoTime();
-        assertTrue(client.ask(query("check", 0xee, 7000)).startsWith("E(5"));
+        assertTrue(client.query(query("check", 0xee, 7000)).startsWith("E(5"));
         assertTrue(System.nanoTime() - startNanos < 2_900_000_000L);
-        assertEquals(SERVED, client.ask(query("check", 2, 5000)));
+        assertEquals(SERVED, client.query(query("check", 2, 5000)));
     }
 
     /**
@@ -469,18 +478,18 @@
     @Test
     void queryWithIdOfOpenQueryIsRejected() throws Exception {
         StubEngine engine =
-                testSupport.engine(
+                testSupport.startEngine(
                         1, call -> answerAfter(150, call.startsWith("POST") ? RUNNING : OK));
-        Client first = testSupport.client().start();
-        first.write(Client.message(query("check", 1, 5000)));
-        SocketTestSupport.await(() -> engine.count("POST") == 1);
+        Client first = testSupport.connectClient().startSession();
+        first.write(Client.queryMessage(query("check", 1, 5000)));
+        SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         assertEquals(
                 "E(55006 req: a query of this id is open)",
                 testSupport
-                        .client()
-                        .start()
-                        .ask(query("check", 1, 5000).replace("SELECT 1", "SELECT 2")));
-        assertEquals(SERVED, first.answer());
-        assertEquals(1, engine.count("POST"));
+                        .connectClient()
+                        .startSession()
+                        .query(query("check", 1, 5000).replace("SELECT 1", "SELECT 2")));
+        assertEquals(SERVED, first.readAnswer());
+        assertEquals(1, engine.countCalls("POST"));
     }
 }
