--- a/src/main/java/junipercourse/core/Gateway.java
+++ b/src/main/java/junipercourse/core/Gateway.java
@@ -98,10 +98,7 @@
         batcher.enqueue(event);
     }
 
-    /**
-     * Rejects a query whose order among those of its key is unknown. It never ran and is safe to
-     * retry, so a rejection preserves the order.
-     */
+    /** Rejects a query whose order is unknown. It never ran: the order is kept, a retry is safe. */
     private void rejectUnordered(InFlightQuery inFlight) {
         counters.increment(Count.QUERIES_UNORDERED);
         queries.reject(
--- a/src/test/java/junipercourse/core/AttemptEndCountTest.java
+++ b/src/test/java/junipercourse/core/AttemptEndCountTest.java
@@ -18,7 +18,7 @@
         "UNREACHABLE, unreachable",
         "RESET, reset",
         "CANCELLED, cancelled",
-        "MOOT, moot",
+        "OBSOLETE, moot",
         "NOT_SENT, unsent"
     })
     void outcomeIsCountedUnderItsLabel(AttemptOutcome outcome, String label) {
--- a/src/test/java/junipercourse/core/FirstByteTest.java
+++ b/src/test/java/junipercourse/core/FirstByteTest.java
@@ -30,12 +30,12 @@
 
 /**
  * Tests events between the decision to send a request and its first byte. The loop iteration is
- * stopped in between.
+ * paused in between.
  */
 class FirstByteTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
 
-    /** The loop detects a stop of this length as a stall. */
+    /** The loop detects a pause of this length as a stall, but not a much shorter one. */
     private static final long STALL_MILLIS = 200;
 
     private final SocketTestSupport testSupport;
@@ -83,21 +83,21 @@
         for (int i = 0; i < clientCount; i++) {
             allClients.add(testSupport.connectClient().startSession());
         }
-        LoopPause stopBeforeRead = testSupport.pauseLoop();
-        LoopPause stopAfterDials = testSupport.pauseAfterDials(clientCount);
+        LoopPause pauseBeforeRead = testSupport.pauseLoop();
+        LoopPause pauseAfterDials = testSupport.pauseAfterDials(clientCount);
         for (int i = 0; i < clientCount; i++) {
             allClients.get(i).write(Client.queryMessage(query("check", i + 1, 7000)));
         }
-        stopBeforeRead.resume();
-        stopAfterDials.awaitPaused();
+        pauseBeforeRead.resume();
+        pauseAfterDials.awaitPaused();
         for (Client client : allClients) {
             client.socket.setSoLinger(reset, 0);
             client.close();
         }
         SocketTestSupport.sleepMillis(stallMillis);
-        stopAfterDials.resume();
+        pauseAfterDials.resume();
         awaitUnsentAttempts(clientCount);
-        assertEquals(0, engines.stream().mapToLong(e -> e.countCalls("POST")).sum());
+        assertEquals(0, engines.stream().mapToLong(engine -> engine.countCalls("POST")).sum());
         assertEquals(clientCount, count(Count.CLIENTS_LEFT));
     }
 
@@ -112,13 +112,13 @@
                 testSupport.startEngine(1, call -> call.startsWith("DELETE") ? CANCELLED : OK);
         Client first = testSupport.connectClient().startSession();
         Client next = testSupport.connectClient().startSession();
-        LoopPause stop = testSupport.pauseAfterDials(1);
+        LoopPause pause = testSupport.pauseAfterDials(1);
         first.write(Client.queryMessage(query("load", 1, 9000)));
-        stop.awaitPaused();
+        pause.awaitPaused();
         SocketTestSupport.startDaemon(first::cancel);
         next.write(Client.queryMessage(query("load", 2, 9000)));
         SocketTestSupport.sleepMillis(STALL_MILLIS);
-        stop.resume();
+        pause.resume();
         assertEquals("E(57014 canceling statement due to user request)", first.readAnswer());
         assertEquals(SERVED, next.readAnswer());
         assertEquals(List.of("POST /fetch 0000000000000002"), postCalls(engine));
@@ -139,9 +139,9 @@
             throws Exception {
         StubEngine engine = testSupport.startEngine(1, call -> OK);
         Client client = testSupport.connectClient().startSession();
-        LoopPause stop = testSupport.pauseAfterDials(1);
+        LoopPause pause = testSupport.pauseAfterDials(1);
         client.write(Client.queryMessage(query("load", 1, 7000)));
-        stop.awaitPaused();
+        pause.awaitPaused();
         StubEngine otherEngine = new StubEngine(call -> OK);
         double now = System.currentTimeMillis() / 1e3;
         switch (change) {
@@ -163,7 +163,7 @@
             testSupport.updateEndpoints(
                     EndpointUpdateKind.DELTA, 0, EngineStage.READY, Map.of(2, otherEngine));
         }
-        stop.resume();
+        pause.resume();
         assertEquals(SERVED, client.readAnswer());
         assertEquals(1, count(Count.ENDS_UNSENT), "the attempt at the old engine");
         assertEquals(isAddressStillListed ? 1 : 0, engine.countCalls("POST"));
@@ -180,11 +180,11 @@
         StubEngine firstEngine = testSupport.startEngine(1, call -> FAILED);
         StubEngine secondEngine = testSupport.startEngine(2, call -> FAILED);
         Client client = testSupport.connectClient().startSession();
-        LoopPause stop = testSupport.pauseAfterDials(2);
+        LoopPause pause = testSupport.pauseAfterDials(2);
         client.write(Client.queryMessage(query("load", 1, 9000)));
-        stop.awaitPaused();
+        pause.awaitPaused();
         SocketTestSupport.sleepMillis(1100);
-        stop.resume();
+        pause.resume();
         assertTrue(client.readAnswer().startsWith("E(53"));
         assertEquals(1, firstEngine.countCalls("POST") + secondEngine.countCalls("POST"));
         assertEquals(1, count(Count.ENDS_UNSENT));
@@ -195,11 +195,11 @@
     void queryIsNotSentIfItsDeadlinePassedBeforeConnectionWasEstablished() throws Exception {
         StubEngine engine = testSupport.startEngine(1, call -> OK);
         Client client = testSupport.connectClient().startSession();
-        LoopPause stop = testSupport.pauseAfterDials(1);
+        LoopPause pause = testSupport.pauseAfterDials(1);
         client.write(Client.queryMessage(query("check", 1, 800)));
-        stop.awaitPaused();
+        pause.awaitPaused();
         SocketTestSupport.sleepMillis(900);
-        stop.resume();
+        pause.resume();
         assertTrue(client.readAnswer().startsWith("E(5"));
         awaitUnsentAttempts(1);
         assertEquals(0, engine.countCalls("POST"));
@@ -212,11 +212,11 @@
     void timeLimitSentToEngineExcludesTimeOfDial() throws Exception {
         StubEngine engine = testSupport.startEngine(1, call -> OK);
         Client client = testSupport.connectClient().startSession();
-        LoopPause stop = testSupport.pauseAfterDials(1);
+        LoopPause pause = testSupport.pauseAfterDials(1);
         client.write(Client.queryMessage(query("check", 1, 7000)));
-        stop.awaitPaused();
+        pause.awaitPaused();
         SocketTestSupport.sleepMillis(600);
-        stop.resume();
+        pause.resume();
         assertEquals(SERVED, client.readAnswer());
         assertTrue(engine.limitsMillis.get(0) <= 6400, engine.limitsMillis::toString);
     }
@@ -244,10 +244,10 @@
             SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
             second.write(Client.queryMessage(query(queryClass, 2, 7000)));
             SocketTestSupport.await(() -> singleConnection.counters.get(Count.QUERIES_TAKEN) == 2);
-            LoopPause stop = singleConnection.pauseLoop();
+            LoopPause pause = singleConnection.pauseLoop();
             answerReleased.countDown(); // one pass reads the answer and the client's disconnection
             second.close();
-            stop.resume();
+            pause.resume();
             assertEquals(SERVED, first.readAnswer());
             assertEquals(SERVED, third.query(query(queryClass, 3, 7000)));
             assertEquals(
@@ -272,10 +272,10 @@
             testSupport.updateEndpointAndWait(
                     1, (InetSocketAddress) fullListener.getLocalSocketAddress(), EngineStage.READY);
             Client client = testSupport.connectClient().startSession();
-            LoopPause stop = testSupport.pauseAfterDials(1);
+            LoopPause pause = testSupport.pauseAfterDials(1);
             client.write(Client.queryMessage(query("check", 1, 7000)));
-            stop.awaitPaused();
-            stop.resume();
+            pause.awaitPaused();
+            pause.resume();
             // The first SYN is lost because the accept queue is full; the kernel resends it after 1
             // s.
             SocketTestSupport.sleepMillis(700);
