--- a/src/main/java/junipercourse/core/EngineRegistry.java
+++ b/src/main/java/junipercourse/core/EngineRegistry.java
@@ -81,7 +81,7 @@
                         listing.cell(),
                         listing.stage(),
                         listing.rating(),
-                        loop.fromUnix(listing.startedAt()));
+                        loop.toLoopTime(listing.startedAt()));
     }
 
     /** Returns the listed engines; none before the first list was received. */
