--- a/src/main/java/junipercourse/core/Query.java
+++ b/src/main/java/junipercourse/core/Query.java
@@ -15,7 +15,7 @@
  * @param tableGroup the group of tables that it reads or writes; 0 for none
  * @param costEstimate estimated work in seconds of one core; NaN for no estimate
  * @param memoryEstimateMb estimated memory in MB; 0 for no estimate
- * @param clientRetry whether the client marked it as a retry
+ * @param isClientRetry whether the client marked it as a retry
  * @param statement the statement that the engine runs
  * @param arrival when its last byte arrived
  */
