--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -48,7 +48,7 @@
      */
     private static final double FORGET_S = 600;
 
-    private record State(
+    private record Snapshot(
             boolean ready, String why, String figures, Set<EngineId> engines, long at) {}
 
     private final EventLoop loop;
@@ -57,7 +57,8 @@
     private final MaintenanceMarkers files;
     private final AdminServer server;
     private final ScheduledThreadPoolExecutor looks;
-    private volatile State state = new State(false, "starting", "{}", Set.of(), System.nanoTime());
+    private volatile Snapshot state =
+            new Snapshot(false, "starting", "{}", Set.of(), System.nanoTime());
     private volatile boolean ending;
     private boolean listening;
     private boolean publishing;
@@ -118,7 +119,7 @@
                                                 ? "catching up after a stall"
                                                 : "serving";
         state =
-                new State(
+                new Snapshot(
                         why.equals("serving"),
                         why,
                         figures(),
@@ -213,13 +214,13 @@
 
     @Override
     public boolean isReady() {
-        State s = state;
+        Snapshot s = state;
         return s.ready() && !ending && System.nanoTime() - s.at() < OLD_S * 1e9;
     }
 
     @Override
     public String describeReadiness() {
-        State s = state;
+        Snapshot s = state;
         return ending
                 ? "ending"
                 : System.nanoTime() - s.at() < OLD_S * 1e9 ? s.why() : "standing still";
--- a/src/test/java/junipercourse/cli/FiguresTest.java
+++ b/src/test/java/junipercourse/cli/AdminStatisticsTest.java
@@ -24,7 +24,7 @@
  * The figures at the second address, to the count, against what scripted engines and clients have
  * seen.
  */
-class FiguresTest {
+class AdminStatisticsTest {
     private static final List<String> CLASSES = List.of("check", "load");
 
     /** What becomes of a query, by its number's thousands. */
--- a/src/test/java/junipercourse/cli/StartsTest.java
+++ b/src/test/java/junipercourse/cli/ConcurrentStartTest.java
@@ -18,7 +18,7 @@
  * A few starts at once while discovery is down; {@link ManyStarts} has many, of the packaged
  * program.
  */
-class StartsTest {
+class ConcurrentStartTest {
     /** Of nine in ten restarted processes (STANDING); here of all. */
     private static final double READY_S = 10;
 
--- a/src/test/java/junipercourse/cli/RecoveryTest.java
+++ b/src/test/java/junipercourse/cli/RecoveryTest.java
@@ -47,7 +47,7 @@
     private static final double CROSSING_S = 0.05;
 
     @TempDir private Path folder;
-    private final List<RuleEngine> engines = new ArrayList<>();
+    private final List<RuleCheckingEngine> engines = new ArrayList<>();
     private DispatcherProcess process;
     private InetSocketAddress front;
 
@@ -56,15 +56,15 @@
         if (process != null) {
             process.close();
         }
-        for (RuleEngine e : engines) {
+        for (RuleCheckingEngine e : engines) {
             e.stub.close();
         }
     }
 
-    private void start(int count, int sockets, Rules rules) throws IOException {
+    private void start(int count, int sockets, RuleChecker rules) throws IOException {
         List<String> members = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            RuleEngine e = new RuleEngine(rules);
+            RuleCheckingEngine e = new RuleCheckingEngine(rules);
             engines.add(e);
             members.add(MEMBER.formatted(i, e.stub.address().getPort()));
         }
@@ -84,12 +84,12 @@
     }
 
     /** What the rules forbid, as the engines see it. */
-    private static final class Rules {
+    private static final class RuleChecker {
         final List<String> broken = new CopyOnWriteArrayList<>();
         private final Map<String, Long> keyOf = new ConcurrentHashMap<>();
         private final Map<String, Integer> numberOf = new ConcurrentHashMap<>();
         private final Map<Long, Integer> lastSent = new ConcurrentHashMap<>();
-        private final Map<String, RuleEngine> runningAt = new ConcurrentHashMap<>();
+        private final Map<String, RuleCheckingEngine> runningAt = new ConcurrentHashMap<>();
         private final Map<Long, String> keyHeldBy = new ConcurrentHashMap<>();
         private int written;
 
@@ -102,8 +102,8 @@
             return id;
         }
 
-        synchronized void starts(String id, RuleEngine at) {
-            RuleEngine other = runningAt.put(id, at);
+        synchronized void starts(String id, RuleCheckingEngine at) {
+            RuleCheckingEngine other = runningAt.put(id, at);
             if (other != null) {
                 broken.add("two attempts of " + id);
             }
@@ -129,14 +129,14 @@
     }
 
     /** Runs each query for 30 ms, answers its news, and drops what nobody has asked for in 2 s. */
-    private static final class RuleEngine {
+    private static final class RuleCheckingEngine {
         private static final long WORK_MS = 30;
         final SocketTestSupport.StubEngine stub;
-        private final Rules rules;
+        private final RuleChecker rules;
         private final Map<String, Long> endsAt = new ConcurrentHashMap<>();
         private final Map<String, Long> askedAt = new ConcurrentHashMap<>();
 
-        RuleEngine(Rules rules) throws IOException {
+        RuleCheckingEngine(RuleChecker rules) throws IOException {
             this.rules = rules;
             stub = new SocketTestSupport.StubEngine(this::answer);
             SocketTestSupport.startDaemon(
@@ -197,19 +197,19 @@
     }
 
     /** One request: when it was written, and what came back after how long. */
-    private record Answered(double at, String answer, double took) {}
+    private record CompletedRequest(double at, String answer, double took) {}
 
-    private record Spare(Client client, double since) {}
+    private record IdleSession(Client client, double since) {}
 
     /**
      * Open arrivals until a time, some of keys; each on a session of its own, half of them opened
      * before.
      */
-    private final class Load {
-        final List<Answered> answers = new CopyOnWriteArrayList<>();
+    private final class LoadGenerator {
+        final List<CompletedRequest> answers = new CopyOnWriteArrayList<>();
         final List<String> lost = new CopyOnWriteArrayList<>();
         private final ExecutorService threads = Executors.newCachedThreadPool();
-        private final Deque<Spare> spare = new ConcurrentLinkedDeque<>();
+        private final Deque<IdleSession> spare = new ConcurrentLinkedDeque<>();
         private final long from = System.nanoTime();
         private int sent;
 
@@ -217,7 +217,7 @@
             return (System.nanoTime() - from) / 1e9;
         }
 
-        void run(Rules rules, long seed, double seconds) throws Exception {
+        void run(RuleChecker rules, long seed, double seconds) throws Exception {
             Random random = new Random(seed);
             long[] keyFree = new long[KEYS + 1];
             while (now() < seconds) {
@@ -247,7 +247,7 @@
                     client.write(fresh ? joined(Client.startupMessage(), query) : query);
                     threads.execute(() -> await(client, fresh, at));
                 } catch (IOException e) { // closed just now: nothing of it has been taken
-                    answers.add(new Answered(at, "not written", 0));
+                    answers.add(new CompletedRequest(at, "not written", 0));
                 }
             }
             threads.shutdown();
@@ -279,7 +279,7 @@
             try {
                 client.socket.setSoTimeout(3000);
                 answer = fresh ? client.readAnswer() + client.readAnswer() : client.readAnswer();
-                spare.add(new Spare(client, now()));
+                spare.add(new IdleSession(client, now()));
             } catch (IOException e) {
                 answer = "none " + e;
                 try {
@@ -298,11 +298,12 @@
                     && took > CROSSING_S) { // what crosses a close is sent again by clients
                 lost.add("after %.3f s, written at %.3f: %s".formatted(took, at, answer));
             }
-            answers.add(new Answered(at, answer, took));
+            answers.add(new CompletedRequest(at, answer, took));
         }
 
         double inTime(double start, double end) {
-            List<Answered> in = answers.stream().filter(a -> a.at >= start && a.at < end).toList();
+            List<CompletedRequest> in =
+                    answers.stream().filter(a -> a.at >= start && a.at < end).toList();
             long good =
                     in.stream()
                             .filter(a -> a.answer.startsWith("T D(a b c)") && a.took < IN_TIME_S)
@@ -319,9 +320,9 @@
     @CsvSource({"0.2, 1, 512", "1, 2, 512", "3, 3, 512", "2.5, 4, 160"})
     void keepsTheRulesThroughAStallAndIsWholeAgainTwoSecondsLater(
             double stall, long seed, int sockets) throws Exception {
-        Rules rules = new Rules();
+        RuleChecker rules = new RuleChecker();
         start(4, sockets, rules);
-        Load load = new Load();
+        LoadGenerator load = new LoadGenerator();
         double stopAt = 2.5;
         SocketTestSupport.startDaemon(
                 () -> {
@@ -357,7 +358,7 @@
     @Test
     void aFloodNeverMeetsTheLimitOfDescriptors() throws Exception {
         int limit = 128;
-        Rules rules = new Rules();
+        RuleChecker rules = new RuleChecker();
         start(2, limit, rules);
         List<Socket> silent = new ArrayList<>();
         int most = 0;
--- a/src/test/java/junipercourse/cli/SettingsApartTest.java
+++ b/src/test/java/junipercourse/cli/SettingsIsolationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Two customers' dispatchers in one JVM, at the same time and one after the other. */
-class SettingsApartTest {
+class SettingsIsolationTest {
     private static final String SHORT = "deadline_s\":0.4";
 
     private static String script(String call) {
@@ -49,8 +49,8 @@
      */
     @Test
     void eachAnswersByItsOwnSettings() throws Exception {
-        try (StubEngines ours = new StubEngines(1, SettingsApartTest::script);
-                StubEngines theirs = new StubEngines(1, SettingsApartTest::script)) {
+        try (StubEngines ours = new StubEngines(1, SettingsIsolationTest::script);
+                StubEngines theirs = new StubEngines(1, SettingsIsolationTest::script)) {
             String other =
                     theirs.dispatcherConfig()
                             .replace("\"check\"", "\"audit\"")
