--- a/src/test/java/junipercourse/decision/CutoffTest.java
+++ b/src/test/java/junipercourse/decision/CutoffTest.java
@@ -20,19 +20,19 @@
     void cancelsAttemptAtItsCutoffAndRestartsItOnTheBackTier() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        long engine = dispatcher.sentTo();
-        dispatcher.run(0.95);
-        assertEquals(List.of(), dispatcher.take());
-        dispatcher.run(0.1);
-        assertEquals(List.of("cancel 1 0"), dispatcher.take());
-        dispatcher.end(1, 0, engine, AttemptOutcome.CANCELLED, false);
-        assertEquals(List.of("send 1 4"), dispatcher.take());
-        dispatcher.run(3);
-        assertEquals(List.of(), dispatcher.take());
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        long engine = dispatcher.takeSentEngineId();
+        dispatcher.advance(0.95);
+        assertEquals(List.of(), dispatcher.takeActions());
+        dispatcher.advance(0.1);
+        assertEquals(List.of("cancel 1 0"), dispatcher.takeActions());
+        dispatcher.endAttempt(1, 0, engine, AttemptOutcome.CANCELLED, false);
+        assertEquals(List.of("send 1 4"), dispatcher.takeActions());
+        dispatcher.advance(3);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
-    /** A restart would hold up all that stand behind it in the line of their key. */
+    /** A restart would delay all later requests of the same key. */
     @Test
     void doesNotCancelClassesOrderedByKey() {
         RecordingDispatcher dispatcher =
@@ -42,52 +42,58 @@
                                 .deadline(20)
                                 .build());
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 20, 5);
-        dispatcher.sentTo();
-        dispatcher.run(3);
-        assertEquals(List.of(), dispatcher.take());
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 20, 5);
+        dispatcher.takeSentEngineId();
+        dispatcher.advance(3);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
     @Test
     void cancelsEarlyByProjectionAndSparesNearlyCompleteAttempts() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.sentTo();
-        dispatcher.run(0.5);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.takeSentEngineId();
+        dispatcher.advance(0.5);
         dispatcher.module.attemptProgressed(
                 dispatcher.now, new RequestId(1), 0, ProgressKind.PROGRESS, 0.05);
-        dispatcher.run(0.025);
-        assertEquals(List.of("cancel 1 0"), dispatcher.take());
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
-        dispatcher.take();
-        dispatcher.run(0.95);
+        dispatcher.advance(0.025);
+        assertEquals(List.of("cancel 1 0"), dispatcher.takeActions());
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
+        dispatcher.takeActions();
+        dispatcher.advance(0.95);
         dispatcher.module.attemptProgressed(
                 dispatcher.now, new RequestId(2), 0, ProgressKind.PROGRESS, 0.95);
-        dispatcher.run(0.1);
-        assertEquals(List.of(), dispatcher.take());
+        dispatcher.advance(0.1);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
     /**
-     * The tail that a bad plan leaves is counted by what restarts take: the cutoff stays at its
-     * floor.
+     * The cost of a cutoff is estimated from how long restarted attempts take, not from the tail
+     * that a bad plan leaves, so the cutoff stays at its minimum.
      */
     @Test
     void keepsTheLowestCutoffWhenRestartsAreFast() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
         for (int i = 0; i < 12; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
-            long engine = dispatcher.sentTo();
-            dispatcher.run(1.05);
-            boolean front = engine != 4;
-            assertEquals(front ? List.of("cancel " + i + " 0") : List.of(), dispatcher.take());
-            dispatcher.end(
-                    i, 0, engine, front ? AttemptOutcome.CANCELLED : AttemptOutcome.OK, !front);
-            if (front) {
-                assertEquals(4, dispatcher.sentTo());
-                dispatcher.run(0.1);
-                dispatcher.end(i, 1, 4, AttemptOutcome.OK, true);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
+            long engine = dispatcher.takeSentEngineId();
+            dispatcher.advance(1.05);
+            boolean isFrontTier = engine != 4;
+            assertEquals(
+                    isFrontTier ? List.of("cancel " + i + " 0") : List.of(),
+                    dispatcher.takeActions());
+            dispatcher.endAttempt(
+                    i,
+                    0,
+                    engine,
+                    isFrontTier ? AttemptOutcome.CANCELLED : AttemptOutcome.OK,
+                    !isFrontTier);
+            if (isFrontTier) {
+                assertEquals(4, dispatcher.takeSentEngineId());
+                dispatcher.advance(0.1);
+                dispatcher.endAttempt(i, 1, 4, AttemptOutcome.OK, true);
             }
         }
     }
@@ -95,23 +101,26 @@
     @Test
     void usesTheDeadlineAsCutoffBeforeAnySample() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.sentTo();
-        dispatcher.run(4);
-        assertEquals(List.of(), dispatcher.take());
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.takeSentEngineId();
+        dispatcher.advance(4);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
     /**
-     * A gateway without a turn for 2 s finds answers and its timer at once: no cut, no ejection.
+     * After a stall of 2 s the module receives the timer and the answers at once. It must neither
+     * cancel the attempts nor eject their engines.
      */
     @Test
     void takesNoActionForAnswersThatAStallDelayed() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
         List<Long> engines =
-                dispatcher.take().stream().map(a -> Long.parseLong(a.split(" ")[2])).toList();
+                dispatcher.takeActions().stream()
+                        .map(action -> Long.parseLong(action.split(" ")[2]))
+                        .toList();
         dispatcher.now += 2;
         dispatcher.module.timerFired(dispatcher.now, 0);
         for (int i = 0; i < 2; i++) {
@@ -129,19 +138,19 @@
                             new float[0]));
         }
         dispatcher.module.decide(dispatcher.now);
-        assertEquals(List.of(), dispatcher.take());
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
     @Test
-    void leavesARequestAloneOnceItsResponseHasStarted() {
+    void takesNoActionOnceTheResponseHasStarted() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 3, 0);
-        long engine = dispatcher.sentTo();
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 3, 0);
+        long engine = dispatcher.takeSentEngineId();
         dispatcher.module.responseStarted(
                 dispatcher.now, new RequestId(1), 0, new EngineId(engine));
-        dispatcher.run(5);
+        dispatcher.advance(5);
         dispatcher.module.requestAbandoned(dispatcher.now, new RequestId(1));
-        assertEquals(List.of(), dispatcher.take());
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 }
--- a/src/test/java/junipercourse/decision/DecisionCost.java
+++ b/src/test/java/junipercourse/decision/DecisionCost.java
@@ -15,132 +15,143 @@
 import junipercourse.decision.api.RequestId;
 
 /**
- * What one instance of the module costs by the engines that it has listed; one thread, nothing
- * beside it.
+ * Measures what one instance of the module costs by the number of listed engines, on one thread
+ * with no other load.
  */
 final class DecisionCost {
-    private static final double RATE = 431; // queries a second, those of one of 720 dispatchers
-    private static final int IN_HAND = 20;
+    private static final double QUERIES_PER_SECOND = 431; // load of one dispatcher of 720
+    private static final int OPEN_REQUESTS = 20;
     private static final int INSTANCES = 40;
 
-    private final SlowStartDispatcher gateway = new SlowStartDispatcher(0, 0, Double.MAX_VALUE);
-    private final ArrayDeque<SlowStartDispatcher.Asked> out = new ArrayDeque<>();
+    private final SlowStartDispatcher dispatcher = new SlowStartDispatcher(0, 0, Double.MAX_VALUE);
+    private final ArrayDeque<SlowStartDispatcher.SimulatedRequest> unansweredRequests =
+            new ArrayDeque<>();
     private final Random random = new Random(34);
     private final SlowStartSite site;
-    private final int engines;
+    private final int engineCount;
     private double now;
     private long lastId;
 
-    DecisionCost(SlowStartSite site, int engines) {
+    DecisionCost(SlowStartSite site, int engineCount) {
         this.site = site;
-        this.engines = engines;
-        int gateways = Math.max(1, Math.round(engines * 720f / 980));
-        gateway.start(0, site.settings(gateways, 0, RATE * gateways / 0.85), 34, List.of());
-        gateway.module.endpointsChanged(
+        this.engineCount = engineCount;
+        int dispatcherCount = Math.max(1, Math.round(engineCount * 720f / 980));
+        dispatcher.start(
                 0,
-                EndpointUpdateKind.FULL,
-                list()); // the model's own notes of it stay out of the heap
-        gateway.settle(0);
+                site.settings(dispatcherCount, 0, QUERIES_PER_SECOND * dispatcherCount / 0.85),
+                34,
+                List.of());
+        // Bypasses the bookkeeping of the simulated dispatcher, which would count as heap.
+        dispatcher.module.endpointsChanged(0, EndpointUpdateKind.FULL, readyListings());
+        dispatcher.decideIfNeeded(0);
     }
 
-    private List<EngineListing> list() {
-        List<EngineListing> list = new ArrayList<>();
-        for (long id = 1; id <= engines; id++) {
-            list.add(new EngineListing(new EngineId(id), 0, 0, 0, EngineStage.READY, 1, 0));
+    private List<EngineListing> readyListings() {
+        List<EngineListing> listings = new ArrayList<>();
+        for (long id = 1; id <= engineCount; id++) {
+            listings.add(new EngineListing(new EngineId(id), 0, 0, 0, EngineStage.READY, 1, 0));
         }
-        return list;
+        return listings;
     }
 
     /**
-     * Offers so many queries, each with an answer to an older one, settled as turns of their own.
+     * Offers queries, each followed by an answer to an older one; each of these events gets a
+     * decision of its own.
      */
-    private void queries(int count) {
+    private void runQueries(int count) {
         for (int i = 0; i < count; i++) {
-            now += 1 / RATE;
-            int c = random.nextInt(site.classes().size());
-            double work = 0.05 * site.classes().get(c).threads();
-            long key = site.classes().get(c).orderedByKey() ? lastId + 1 : 0;
-            double tenant = random.nextDouble();
-            QueryRequest r =
+            now += 1 / QUERIES_PER_SECOND;
+            int classIndex = random.nextInt(site.classes().size());
+            double workSeconds = 0.05 * site.classes().get(classIndex).threads();
+            long key = site.classes().get(classIndex).orderedByKey() ? lastId + 1 : 0;
+            double tenantDraw = random.nextDouble();
+            QueryRequest request =
                     new QueryRequest(
                             new RequestId(++lastId),
-                            c,
-                            tenant < 0.41 ? 0 : tenant < 0.81 ? 1 : 2,
-                            now + site.classes().get(c).deadline(),
+                            classIndex,
+                            tenantDraw < 0.41 ? 0 : tenantDraw < 0.81 ? 1 : 2,
+                            now + site.classes().get(classIndex).deadline(),
                             key,
                             random.nextInt(40),
-                            work,
+                            workSeconds,
                             0,
                             false);
-            gateway.request(now, r, work);
-            turn();
-            if (gateway.asked.size() > IN_HAND && !out.isEmpty()) {
-                SlowStartDispatcher.Asked a = out.poll();
-                gateway.asked.remove(a.r.id().value());
-                gateway.module.attemptEnded(
+            dispatcher.receiveRequest(now, request, workSeconds);
+            decideUntilIdle();
+            if (dispatcher.openRequests.size() > OPEN_REQUESTS && !unansweredRequests.isEmpty()) {
+                SlowStartDispatcher.SimulatedRequest answered = unansweredRequests.poll();
+                dispatcher.openRequests.remove(answered.request.id().value());
+                dispatcher.module.attemptEnded(
                         now,
                         new AttemptResult(
-                                a.r.id(),
+                                answered.request.id(),
                                 0,
-                                new EngineId(a.engine),
+                                new EngineId(answered.engineId),
                                 AttemptOutcome.OK,
                                 0,
                                 true,
-                                work,
+                                workSeconds,
                                 0,
                                 new float[] {0, 0.5f}));
-                gateway.touched = true;
-                turn();
+                dispatcher.hasUnhandledEvents = true;
+                decideUntilIdle();
             }
         }
-        int unsent = gateway.asked.size() - out.size();
-        if (unsent > IN_HAND / 2 || out.size() > IN_HAND) {
+        int unsentCount = dispatcher.openRequests.size() - unansweredRequests.size();
+        if (unsentCount > OPEN_REQUESTS / 2 || unansweredRequests.size() > OPEN_REQUESTS) {
             throw new IllegalStateException(
-                    out.size() + " out, " + unsent + " held: not the steady state");
+                    unansweredRequests.size()
+                            + " attempts open, "
+                            + unsentCount
+                            + " requests waiting: not a steady state");
         }
     }
 
-    private void turn() {
-        while (gateway.settle(now)) {
-            out.addAll(gateway.sends);
-            gateway.sends.clear();
+    private void decideUntilIdle() {
+        while (dispatcher.decideIfNeeded(now)) {
+            unansweredRequests.addAll(dispatcher.requestsToSend);
+            dispatcher.requestsToSend.clear();
         }
     }
 
-    private static long cpu() {
+    private static long cpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
     /**
-     * Microseconds of processor time for a query in each repeat, after a warm-up as long as all.
+     * Returns the processor time of a query in microseconds for each repeat, after a warm-up as
+     * long as all repeats.
      */
-    double[] perQuery(int repeats, int count) {
-        queries(repeats * count);
-        double[] each = new double[repeats];
+    double[] measureMicrosPerQuery(int repeats, int count) {
+        runQueries(repeats * count);
+        double[] samples = new double[repeats];
         for (int i = 0; i < repeats; i++) {
-            long from = cpu();
-            queries(count);
-            each[i] = (cpu() - from) / 1e3 / count;
+            long startNanos = cpuNanos();
+            runQueries(count);
+            samples[i] = (cpuNanos() - startNanos) / 1e3 / count;
         }
-        return each;
+        return samples;
     }
 
-    /** Microseconds for one change of the list, half of them put an engine out and half back. */
-    double[] perChange(int repeats, int count) {
-        changes(repeats * count);
-        double[] each = new double[repeats];
+    /**
+     * Returns the processor time of one change of the endpoint list in microseconds for each
+     * repeat. Half of the changes drain an engine and half return it.
+     */
+    double[] measureMicrosPerChange(int repeats, int count) {
+        applyChanges(repeats * count);
+        double[] samples = new double[repeats];
         for (int i = 0; i < repeats; i++) {
-            long from = cpu();
-            changes(count);
-            each[i] = (cpu() - from) / 1e3 / count;
+            long startNanos = cpuNanos();
+            applyChanges(count);
+            samples[i] = (cpuNanos() - startNanos) / 1e3 / count;
         }
-        return each;
+        return samples;
     }
 
-    private void changes(int count) {
+    private void applyChanges(int count) {
         for (int i = 0; i < count; i++) {
-            long id = 1 + i / 2 % engines;
-            gateway.module.endpointsChanged(
+            long id = 1 + i / 2 % engineCount;
+            dispatcher.module.endpointsChanged(
                     now,
                     EndpointUpdateKind.DELTA,
                     List.of(
@@ -152,25 +163,30 @@
                                     i % 2 == 0 ? EngineStage.DRAINING : EngineStage.READY,
                                     1,
                                     0)));
-            gateway.module.decide(now);
+            dispatcher.module.decide(now);
         }
     }
 
-    /** Bytes of one instance that has served some thousand queries and has some in hand. */
-    static double heap(SlowStartSite site, int engines) {
-        new DecisionCost(site, engines).queries(2000); // what is loaded and kept for all
-        long before = used();
-        List<DecisionCost> all = new ArrayList<>();
+    /**
+     * Returns the heap bytes of one instance that has served some thousand queries and has some
+     * open.
+     */
+    static double measureHeapBytes(SlowStartSite site, int engineCount) {
+        // Loads classes and shared state before the measurement.
+        new DecisionCost(site, engineCount).runQueries(2000);
+        long bytesBefore = usedHeapBytes();
+        List<DecisionCost> instances = new ArrayList<>();
         for (int i = 0; i < INSTANCES; i++) {
-            DecisionCost d = new DecisionCost(site, engines);
-            d.queries(2000);
-            all.add(d);
+            DecisionCost instance = new DecisionCost(site, engineCount);
+            instance.runQueries(2000);
+            instances.add(instance);
         }
-        double each = (used() - before) / (double) all.size();
-        return all.get(0).lastId > 0 ? each : Double.NaN; // still reachable here
+        double bytesPerInstance = (usedHeapBytes() - bytesBefore) / (double) instances.size();
+        // Keeps the instances reachable until here.
+        return instances.get(0).lastId > 0 ? bytesPerInstance : Double.NaN;
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
--- a/src/test/java/junipercourse/decision/DelayedFirstByteTest.java
+++ b/src/test/java/junipercourse/decision/DelayedFirstByteTest.java
@@ -22,15 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Rules hold although the first byte of an attempt is written long after its decision. */
+/**
+ * Checks the dispatch rules when the first byte of an attempt is written long after the decision to
+ * send it.
+ */
 class DelayedFirstByteTest {
-    private static QueryClass kind(Idempotency effect, boolean serial) {
+    private static QueryClass queryClass(Idempotency idempotency, boolean orderedByKey) {
         return new QueryClass(
                 "c",
-                effect,
+                idempotency,
                 DeduplicationScope.CELL,
                 1.2,
-                serial,
+                orderedByKey,
                 0.5,
                 0,
                 4,
@@ -47,99 +50,104 @@
         return RecordingDispatcher.settings(
                 RecordingDispatcher.GUARANTEES,
                 false,
-                kind(Idempotency.IDEMPOTENT, false),
-                kind(Idempotency.IDEMPOTENT_WITH_KEY, false),
-                kind(Idempotency.NOT_IDEMPOTENT, true));
+                queryClass(Idempotency.IDEMPOTENT, false),
+                queryClass(Idempotency.IDEMPOTENT_WITH_KEY, false),
+                queryClass(Idempotency.NOT_IDEMPOTENT, true));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void keepsAllRulesWhenFirstBytesAreDelayed(long seed) {
         Random random = new Random(seed);
-        RuleChecker check = new RuleChecker(settings());
-        DelayedFirstBytes delayed = new DelayedFirstBytes(check, random);
-        TagsDispatcher module = new TagsDispatcher(check.settings, seed, delayed);
-        check.now = 1000;
-        List<EngineListing> list = new ArrayList<>();
+        RuleChecker checker = new RuleChecker(settings());
+        DelayedFirstBytes delayed = new DelayedFirstBytes(checker, random);
+        TagsDispatcher module = new TagsDispatcher(checker.settings, seed, delayed);
+        checker.now = 1000;
+        List<EngineListing> listings = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
-            list.add(RecordingDispatcher.engine(i, EngineStage.READY, 0));
+            listings.add(RecordingDispatcher.listing(i, EngineStage.READY, 0));
         }
-        list.forEach(e -> check.engines.put(e.id(), e));
-        module.endpointsChanged(check.now, EndpointUpdateKind.FULL, list);
+        listings.forEach(listing -> checker.engines.put(listing.id(), listing));
+        module.endpointsChanged(checker.now, EndpointUpdateKind.FULL, listings);
         long id = 0;
         for (int step = 0; step < 3000; step++) {
-            check.now += 0.005;
+            checker.now += 0.005;
             if (random.nextInt(3) == 0) {
-                int c = random.nextInt(3);
-                QueryRequest r =
+                int classIndex = random.nextInt(3);
+                QueryRequest request =
                         new QueryRequest(
                                 new RequestId(++id),
-                                c,
+                                classIndex,
                                 0,
-                                check.now + random.nextDouble() * 4,
-                                c == 2 ? 1 + random.nextInt(40) : 0,
+                                checker.now + random.nextDouble() * 4,
+                                classIndex == 2 ? 1 + random.nextInt(40) : 0,
                                 0,
                                 Double.NaN,
                                 0,
                                 false);
-                check.taken(r);
-                module.requestReceived(check.now, r);
+                checker.recordRequest(request);
+                module.requestReceived(checker.now, request);
             }
             delayed.writeFirstBytes(module);
-            endSome(random, check, module);
+            endSomeAttempts(random, checker, module);
             if (step % 40 == 39) {
                 EngineStage stage =
                         random.nextInt(3) == 0 ? EngineStage.DRAINING : EngineStage.READY;
-                boolean again = stage == EngineStage.READY && random.nextInt(4) == 0;
-                EngineId which = new EngineId(1 + random.nextInt(8));
-                EngineListing e =
-                        RecordingDispatcher.engine(
-                                which.value(),
+                boolean isRestart = stage == EngineStage.READY && random.nextInt(4) == 0;
+                EngineId engineId = new EngineId(1 + random.nextInt(8));
+                EngineListing listing =
+                        RecordingDispatcher.listing(
+                                engineId.value(),
                                 stage,
-                                again ? check.now : check.engines.get(which).startedAt());
-                check.engines.put(which, e);
-                module.endpointsChanged(check.now, EndpointUpdateKind.DELTA, List.of(e));
+                                isRestart
+                                        ? checker.now
+                                        : checker.engines.get(engineId).startedAt());
+                checker.engines.put(engineId, listing);
+                module.endpointsChanged(checker.now, EndpointUpdateKind.DELTA, List.of(listing));
             }
-            module.timerFired(check.now, 0);
-            module.decide(check.now);
-            check.lookForLost();
-            assertEquals(List.of(), check.breaches, "seed " + seed + " step " + step);
+            module.timerFired(checker.now, 0);
+            module.decide(checker.now);
+            checker.checkAnswersAreOnTime();
+            assertEquals(List.of(), checker.violations, "seed " + seed + " step " + step);
         }
-        assertTrue(delayed.notSent() > 10, "seed " + seed + ": " + delayed.notSent());
+        assertTrue(delayed.notSentCount() > 10, "seed " + seed + ": " + delayed.notSentCount());
         assertTrue(
-                check.requests.values().stream().filter(t -> t.attempts > 1).count() > 5,
+                checker.requests.values().stream()
+                                .filter(tracked -> tracked.attemptCount > 1)
+                                .count()
+                        > 5,
                 "seed " + seed);
     }
 
-    private static void endSome(Random random, RuleChecker check, TagsDispatcher module) {
-        AttemptOutcome[] ends = {
+    private static void endSomeAttempts(Random random, RuleChecker checker, TagsDispatcher module) {
+        AttemptOutcome[] outcomes = {
             AttemptOutcome.OK,
             AttemptOutcome.OK,
             AttemptOutcome.ERROR,
             AttemptOutcome.REJECTED,
             AttemptOutcome.RESET
         };
-        for (RuleChecker.Out a : List.copyOf(check.out)) {
+        for (RuleChecker.TrackedAttempt attempt : List.copyOf(checker.openAttempts)) {
             AttemptOutcome outcome =
-                    check.now >= a.of.r.deadlineAt()
+                    checker.now >= attempt.request.request.deadlineAt()
                             ? AttemptOutcome.TIMEOUT
-                            : a.cancelled
+                            : attempt.isCancelled
                                     ? AttemptOutcome.CANCELLED
                                     : random.nextInt(30) == 0
-                                            ? ends[random.nextInt(ends.length)]
+                                            ? outcomes[random.nextInt(outcomes.length)]
                                             : null;
             if (outcome != null) {
-                boolean over = outcome == AttemptOutcome.OK || a.of.over;
-                check.ended(a, outcome, over);
+                boolean isFinished = outcome == AttemptOutcome.OK || attempt.request.isFinished;
+                checker.recordOutcome(attempt, outcome, isFinished);
                 module.attemptEnded(
-                        check.now,
+                        checker.now,
                         new AttemptResult(
-                                a.of.r.id(),
-                                a.index,
-                                a.engine.id(),
+                                attempt.request.request.id(),
+                                attempt.index,
+                                attempt.engine.id(),
                                 outcome,
-                                check.now - a.at,
-                                over,
+                                checker.now - attempt.startedAt,
+                                isFinished,
                                 0,
                                 0,
                                 new float[0]));
--- a/src/test/java/junipercourse/decision/DelayedFirstBytes.java
+++ b/src/test/java/junipercourse/decision/DelayedFirstBytes.java
@@ -21,25 +21,25 @@
     private record PendingAttempt(
             RequestId id, int number, EngineListing engine, double connectedAt) {}
 
-    private final RuleChecker check;
+    private final RuleChecker checker;
     private final Random random;
     private final List<PendingAttempt> pending = new ArrayList<>();
     private final List<Integer> attemptCounts = new ArrayList<>();
-    private int notSent;
+    private int notSentCount;
 
-    /** Returns the attempts of which no byte was written. */
-    int notSent() {
-        return notSent;
+    /** Returns the number of attempts of which no byte was written. */
+    int notSentCount() {
+        return notSentCount;
     }
 
-    DelayedFirstBytes(RuleChecker check, Random random) {
-        super(check);
-        this.check = check;
+    DelayedFirstBytes(RuleChecker checker, Random random) {
+        super(checker);
+        this.checker = checker;
         this.random = random;
     }
 
     @Override
-    public void startAttempt(RequestId id, EngineId engine, double timeout) {
+    public void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
         while (attemptCounts.size() <= id.value()) {
             attemptCounts.add(0);
         }
@@ -48,8 +48,8 @@
                 new PendingAttempt(
                         id,
                         number,
-                        check.engines.get(engine),
-                        check.now
+                        checker.engines.get(engine),
+                        checker.now
                                 + random.nextDouble()
                                         * (random.nextInt(3) == 0
                                                 ? MAX_CONNECT_SECONDS
@@ -59,7 +59,10 @@
     @Override
     public void cancelAttempt(RequestId id, int attempt) {
         boolean connecting =
-                pending.stream().anyMatch(each -> each.id.equals(id) && each.number == attempt);
+                pending.stream()
+                        .anyMatch(
+                                candidate ->
+                                        candidate.id.equals(id) && candidate.number == attempt);
         if (!connecting) {
             super.cancelAttempt(id, attempt);
         }
@@ -68,32 +71,33 @@
     /** Writes the first byte of each connected attempt if the module still permits it. */
     void writeFirstBytes(TagsDispatcher module) {
         for (PendingAttempt attempt : List.copyOf(pending)) {
-            if (check.now < attempt.connectedAt) {
+            if (checker.now < attempt.connectedAt) {
                 continue;
             }
             pending.remove(attempt);
-            boolean over = check.requests.get(attempt.id.value()).over;
-            if (module.attemptMayStart(check.now, attempt.id, attempt.number)) {
-                EngineListing now = check.engines.get(attempt.engine.id());
-                if (now.startedAt() != attempt.engine.startedAt()) {
-                    check.breaches.add("3 another life " + attempt.id.value());
+            boolean isFinished = checker.requests.get(attempt.id.value()).isFinished;
+            if (module.attemptMayStart(checker.now, attempt.id, attempt.number)) {
+                EngineListing listing = checker.engines.get(attempt.engine.id());
+                if (listing.startedAt() != attempt.engine.startedAt()) {
+                    checker.violations.add(
+                            "3 first byte to restarted engine " + attempt.id.value());
                 }
-                if (check.now >= check.requests.get(attempt.id.value()).r.deadlineAt()) {
-                    check.breaches.add("1 too late " + attempt.id.value());
+                if (checker.now >= checker.requests.get(attempt.id.value()).request.deadlineAt()) {
+                    checker.violations.add("1 first byte after deadline " + attempt.id.value());
                 }
-                check.startAttempt(attempt.id, attempt.engine.id(), 0);
-                check.out.get(check.out.size() - 1).index = attempt.number;
+                checker.startAttempt(attempt.id, attempt.engine.id(), 0);
+                checker.openAttempts.get(checker.openAttempts.size() - 1).index = attempt.number;
             } else {
-                notSent++;
+                notSentCount++;
                 module.attemptEnded(
-                        check.now,
+                        checker.now,
                         new AttemptResult(
                                 attempt.id,
                                 attempt.number,
                                 attempt.engine.id(),
                                 AttemptOutcome.NOT_SENT,
                                 0,
-                                over,
+                                isFinished,
                                 0,
                                 0,
                                 new float[0]));
--- a/src/test/java/junipercourse/decision/DispatcherScenarios.java
+++ b/src/test/java/junipercourse/decision/DispatcherScenarios.java
@@ -21,8 +21,8 @@
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(
                                 RecordingDispatcher.GUARANTEES, false, classes));
-        dispatcher.engines(4);
-        dispatcher.take();
+        dispatcher.listReadyEngines(4);
+        dispatcher.takeActions();
         return dispatcher;
     }
 
@@ -30,13 +30,13 @@
     static void trainCutoff(RecordingDispatcher dispatcher, int queryClass) {
         for (int i = 0; i < TRAINING_REQUESTS; i++) {
             long id = FIRST_TRAINING_ID + i;
-            dispatcher.request(id, queryClass, dispatcher.now + 10, 0);
-            long engine = dispatcher.sentTo();
-            dispatcher.run(0.1);
-            dispatcher.take();
-            dispatcher.end(id, 0, engine, AttemptOutcome.OK, true);
+            dispatcher.receiveRequest(id, queryClass, dispatcher.now + 10, 0);
+            long engine = dispatcher.takeSentEngineId();
+            dispatcher.advance(0.1);
+            dispatcher.takeActions();
+            dispatcher.endAttempt(id, 0, engine, AttemptOutcome.OK, true);
         }
-        dispatcher.run(1.1);
-        dispatcher.take();
+        dispatcher.advance(1.1);
+        dispatcher.takeActions();
     }
 }
--- a/src/test/java/junipercourse/decision/EmbeddingTest.java
+++ b/src/test/java/junipercourse/decision/EmbeddingTest.java
@@ -16,7 +16,7 @@
 /** The embedding example of the README. */
 class EmbeddingTest {
     @Test
-    void exampleOfTheReadmeRuns() {
+    void runsTheExampleOfTheReadme() {
         RecordingDispatcher actions =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(
@@ -29,7 +29,7 @@
         module.endpointsChanged(
                 now,
                 EndpointUpdateKind.FULL,
-                List.of(RecordingDispatcher.engine(1, EngineStage.READY, 0)));
+                List.of(RecordingDispatcher.listing(1, EngineStage.READY, 0)));
         module.requestReceived(
                 now,
                 new QueryRequest(new RequestId(1), 0, 0, now + 4, 0, 0f, Double.NaN, 0, false));
@@ -49,6 +49,6 @@
                         new float[0]));
         module.timerFired(now, 0);
         module.decide(now);
-        assertEquals(List.of("send 1 1"), actions.take());
+        assertEquals(List.of("send 1 1"), actions.takeActions());
     }
 }
--- a/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
+++ b/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import junipercourse.decision.SlowStartDispatcher.Asked;
+import junipercourse.decision.SlowStartDispatcher.SimulatedRequest;
 import junipercourse.decision.api.AttemptOutcome;
 import junipercourse.decision.api.AttemptResult;
 import junipercourse.decision.api.EndpointUpdateKind;
@@ -20,287 +20,383 @@
 import junipercourse.decision.state.EngineRegistry;
 
 /**
- * A model day at any size: one engine comes up cold beside many warm ones, before many real
- * instances of the module, under steady traffic. It has the parts of {@link SlowStartSimulation}
- * but none of its faults, so that what is seen comes from the size alone. All is drawn from one
- * seed. Dispatchers of uneven traffic, by rank to a power of 0.4 to 0.9; one in seven hears of the
- * engine 3 to 8 s late.
+ * Simulates a fleet of any size in which one engine starts cold among many warm ones, with many
+ * real instances of the module and steady traffic. It uses the components of {@link
+ * SlowStartSimulation} without its faults, so that effects come from the size alone. All random
+ * values come from one seed. Traffic is uneven: the weight of a dispatcher is its rank to a
+ * negative power of 0.4 to 0.9. One dispatcher in seven learns of the new engine 3 to 8 s late.
  */
 final class EngineReplacementSimulation {
-    private static final double BEFORE_S = 6; // of steady traffic, from which dispatchers learn
-    static final double AFTER_S = 6; // beyond the ramp
-    private static final double SHARE =
-            0.8; // of the mean front engine's work passes for a full share
-    private static final long NEW_ID = 1; // the lowest id, so that it is in front
+    private static final double STEADY_SECONDS = 6; // steady traffic from which dispatchers learn
+    static final double AFTER_RAMP_SECONDS = 6;
+    private static final double FULL_SHARE =
+            0.8; // counts as a full share of the work of the mean front engine
+    private static final long NEW_ENGINE_ID = 1; // the lowest id, so that it is in the front tier
 
     /**
-     * What came of the join; ages are seconds since the start of the engine, NaN where it never
-     * was.
+     * Outcome for the new engine. Ages are seconds since its start, NaN if the event did not
+     * happen.
      *
-     * @param cold the verdict on the ramp
-     * @param firstAge of the first query
-     * @param shareAge when its work of the last window first was its share
-     * @param firstWindow queries in the first window
-     * @param rampPart work of the ramp by that of the mean front engine in the time, which is warm
-     * @param shareAfter the same from the end of the ramp to the end of the day
-     * @param mostAfter its fullest window from the end of the ramp on, by the same line
-     * @param bears queries of mean work that the settings allow in the first window
-     * @param queriesPerS all queries asked, by the length of the day
-     * @param missed part of all queries that had no answer when their time was up
+     * @param ramp outcome of the slow start
+     * @param firstQueryAgeSeconds age at the first query
+     * @param fullShareAgeSeconds age at which its work in the last window first was a full share
+     * @param firstWindowQueries queries in the first window
+     * @param rampShare its work during slow start in relation to that of the mean warm front engine
+     *     in the same time
+     * @param shareAfterRamp the same from the end of slow start to the end of the simulation
+     * @param maxLoadRatioAfterRamp highest load of a window after slow start, in relation to the
+     *     same limit
+     * @param firstWindowCapacity queries of mean work that the settings allow in the first window
+     * @param queriesPerSecond all queries received, by the length of the simulation
+     * @param unansweredShare share of all queries that had no answer at their deadline
      */
-    record Joined(
-            StartingEngineModel.Verdict cold,
-            double firstAge,
-            double shareAge,
-            int firstWindow,
-            double rampPart,
-            double shareAfter,
-            double mostAfter,
-            double bears,
-            double queriesPerS,
-            double missed) {}
+    record ReplacementResult(
+            StartingEngineModel.RampResult ramp,
+            double firstQueryAgeSeconds,
+            double fullShareAgeSeconds,
+            int firstWindowQueries,
+            double rampShare,
+            double shareAfterRamp,
+            double maxLoadRatioAfterRamp,
+            double firstWindowCapacity,
+            double queriesPerSecond,
+            double unansweredShare) {
+        /** Keeps the field names that printed results have always had. */
+        @Override
+        public String toString() {
+            return "Joined[cold="
+                    + ramp
+                    + ", firstAge="
+                    + firstQueryAgeSeconds
+                    + ", shareAge="
+                    + fullShareAgeSeconds
+                    + ", firstWindow="
+                    + firstWindowQueries
+                    + ", rampPart="
+                    + rampShare
+                    + ", shareAfter="
+                    + shareAfterRamp
+                    + ", mostAfter="
+                    + maxLoadRatioAfterRamp
+                    + ", bears="
+                    + firstWindowCapacity
+                    + ", queriesPerS="
+                    + queriesPerSecond
+                    + ", missed="
+                    + unansweredShare
+                    + "]";
+        }
+    }
 
-    /** An attempt at its engine. */
-    private static final class Run {
-        final SlowStartDispatcher from;
-        final Asked asked;
+    /** An attempt that runs on its engine. */
+    private static final class SimulatedAttempt {
+        final SlowStartDispatcher dispatcher;
+        final SimulatedRequest request;
         final int index;
-        final QueryClass c;
-        final long engine;
-        double left;
+        final QueryClass queryClass;
+        final long engineId;
+        double remainingWorkSeconds;
 
-        Run(SlowStartDispatcher from, Asked asked, QueryClass c) {
-            this.from = from;
-            this.asked = asked;
-            this.index = asked.tries++;
-            this.c = c;
-            this.engine = asked.engine;
-            this.left = asked.work;
+        SimulatedAttempt(
+                SlowStartDispatcher dispatcher, SimulatedRequest request, QueryClass queryClass) {
+            this.dispatcher = dispatcher;
+            this.request = request;
+            this.index = request.attemptCount++;
+            this.queryClass = queryClass;
+            this.engineId = request.engineId;
+            this.remainingWorkSeconds = request.workSeconds;
         }
     }
 
-    private record News(double at, SlowStartDispatcher to) implements Comparable<News> {
+    private record ScheduledUpdate(double deliveredAt, SlowStartDispatcher dispatcher)
+            implements Comparable<ScheduledUpdate> {
         @Override
-        public int compareTo(News o) {
-            return Double.compare(at, o.at);
+        public int compareTo(ScheduledUpdate other) {
+            return Double.compare(deliveredAt, other.deliveredAt);
         }
     }
 
-    private record Arrival(double at, double work) {}
+    private record Arrival(double time, double workSeconds) {}
 
     private final SlowStartSite site;
     private final Random random;
-    private final Map<Long, StartingEngineModel<Run>> engines = new HashMap<>();
-    private final List<SlowStartDispatcher> gateways = new ArrayList<>();
-    private final double[] upTo; // running sum of weights
-    private final PriorityQueue<News> news = new PriorityQueue<>();
-    private final List<Arrival> fresh = new ArrayList<>();
-    private final List<Arrival> front = new ArrayList<>(); // at all warm front engines
-    private final double up, end, rate, step;
-    private final int warmFront;
+    private final Map<Long, StartingEngineModel<SimulatedAttempt>> engines = new HashMap<>();
+    private final List<SlowStartDispatcher> dispatchers = new ArrayList<>();
+    private final double[] cumulativeWeights;
+    private final PriorityQueue<ScheduledUpdate> scheduledUpdates = new PriorityQueue<>();
+    private final List<Arrival> newEngineArrivals = new ArrayList<>();
+    private final List<Arrival> warmFrontArrivals =
+            new ArrayList<>(); // arrivals at all warm engines of the front tier
+    private final double startedAt, endTime, queriesPerSecond, stepSeconds;
+    private final int warmFrontCount;
     private double now;
     private long lastId;
-    private int asked;
+    private int requestCount;
 
     /**
-     * @param step seconds, well under the time of a query
-     * @param count warm engines
-     * @param load of the traffic, by what all warm engines can do
+     * @param stepSeconds length of a simulation step, well below the time of a query
+     * @param engineCount warm engines
+     * @param load traffic in relation to the capacity of all warm engines
      */
     EngineReplacementSimulation(
-            SlowStartSite site, double step, int size, int count, double load, long seed) {
+            SlowStartSite site,
+            double stepSeconds,
+            int dispatcherCount,
+            int engineCount,
+            double load,
+            long seed) {
         this.site = site;
-        this.step = step;
+        this.stepSeconds = stepSeconds;
         this.random = new Random(seed);
-        double capacity = count * site.cores() / site.mean();
-        rate = load * capacity;
-        up = BEFORE_S;
-        end = up + site.rules().slowStartDuration() + AFTER_S;
-        List<EngineListing> list = new ArrayList<>();
-        for (long id = NEW_ID + 1; id <= NEW_ID + count; id++) {
+        double capacity = engineCount * site.cores() / site.meanRequestWorkSeconds();
+        queriesPerSecond = load * capacity;
+        startedAt = STEADY_SECONDS;
+        endTime = startedAt + site.guarantees().slowStartDuration() + AFTER_RAMP_SECONDS;
+        List<EngineListing> listings = new ArrayList<>();
+        for (long id = NEW_ENGINE_ID + 1; id <= NEW_ENGINE_ID + engineCount; id++) {
             engines.put(
                     id,
                     new StartingEngineModel<>(
                             site, id, 0, Double.MAX_VALUE, 0.9 + 0.2 * random.nextDouble()));
-            list.add(new EngineListing(new EngineId(id), 0, 0, 0, EngineStage.READY, 1, 0));
+            listings.add(new EngineListing(new EngineId(id), 0, 0, 0, EngineStage.READY, 1, 0));
         }
-        engines.put(NEW_ID, new StartingEngineModel<>(site, NEW_ID, up, Double.MAX_VALUE, 1));
-        warmFront = count - Math.max(1, (int) Math.round(count * EngineRegistry.BACK_TIER_SHARE));
-        double power = 0.4 + 0.5 * random.nextDouble();
-        double notice = up + 0.1 + 0.2 * random.nextDouble();
-        upTo = new double[size];
-        for (int i = 0; i < size; i++) {
-            upTo[i] = (i == 0 ? 0 : upTo[i - 1]) + Math.pow(i + 1, -power);
-            double late = random.nextDouble() < 0.15 ? 3 + 5 * random.nextDouble() : 0;
-            SlowStartDispatcher g = new SlowStartDispatcher(i, late, Double.MAX_VALUE);
-            g.start(0, site.settings(size, i, rate / 0.85), random.nextLong(), list);
-            gateways.add(g);
-            news.add(new News(notice + late + 0.2 * random.nextDouble(), g));
+        engines.put(
+                NEW_ENGINE_ID,
+                new StartingEngineModel<>(site, NEW_ENGINE_ID, startedAt, Double.MAX_VALUE, 1));
+        warmFrontCount =
+                engineCount
+                        - Math.max(
+                                1, (int) Math.round(engineCount * EngineRegistry.BACK_TIER_SHARE));
+        double weightExponent = 0.4 + 0.5 * random.nextDouble();
+        double publishedAt = startedAt + 0.1 + 0.2 * random.nextDouble();
+        cumulativeWeights = new double[dispatcherCount];
+        for (int i = 0; i < dispatcherCount; i++) {
+            cumulativeWeights[i] =
+                    (i == 0 ? 0 : cumulativeWeights[i - 1]) + Math.pow(i + 1, -weightExponent);
+            double updateDelaySeconds =
+                    random.nextDouble() < 0.15 ? 3 + 5 * random.nextDouble() : 0;
+            SlowStartDispatcher dispatcher =
+                    new SlowStartDispatcher(i, updateDelaySeconds, Double.MAX_VALUE);
+            dispatcher.start(
+                    0,
+                    site.settings(dispatcherCount, i, queriesPerSecond / 0.85),
+                    random.nextLong(),
+                    listings);
+            dispatchers.add(dispatcher);
+            scheduledUpdates.add(
+                    new ScheduledUpdate(
+                            publishedAt + updateDelaySeconds + 0.2 * random.nextDouble(),
+                            dispatcher));
         }
-        play();
+        simulate();
     }
 
-    private void play() {
-        EngineListing cold =
-                new EngineListing(new EngineId(NEW_ID), 0, 0, 0, EngineStage.READY, 1, up);
-        for (double next = 0; now < end; ) {
-            now += step;
-            while (!news.isEmpty() && news.peek().at <= now) {
-                news.poll().to.hear(now, EndpointUpdateKind.DELTA, List.of(cold));
+    private void simulate() {
+        EngineListing coldListing =
+                new EngineListing(
+                        new EngineId(NEW_ENGINE_ID), 0, 0, 0, EngineStage.READY, 1, startedAt);
+        for (double nextArrival = 0; now < endTime; ) {
+            now += stepSeconds;
+            while (!scheduledUpdates.isEmpty() && scheduledUpdates.peek().deliveredAt <= now) {
+                scheduledUpdates
+                        .poll()
+                        .dispatcher
+                        .updateEndpoints(now, EndpointUpdateKind.DELTA, List.of(coldListing));
             }
-            for (; next < now; next += -Math.log(1 - random.nextDouble()) / rate) {
-                ask();
+            for (;
+                    nextArrival < now;
+                    nextArrival += -Math.log(1 - random.nextDouble()) / queriesPerSecond) {
+                generateRequest();
             }
-            engines.values().forEach(this::step);
-            for (SlowStartDispatcher g : gateways) {
-                while (g.settle(now)) {
-                    act(g);
+            engines.values().forEach(this::advanceEngine);
+            for (SlowStartDispatcher dispatcher : dispatchers) {
+                while (dispatcher.decideIfNeeded(now)) {
+                    applyActions(dispatcher);
                 }
             }
         }
     }
 
-    private void ask() {
-        int g = Arrays.binarySearch(upTo, random.nextDouble() * upTo[upTo.length - 1]);
-        int c = 0;
-        double pick = random.nextDouble() * site.shares();
-        for (; c < site.share().length - 1 && pick >= site.share()[c]; c++) {
-            pick -= site.share()[c];
+    private void generateRequest() {
+        int dispatcherIndex =
+                Arrays.binarySearch(
+                        cumulativeWeights,
+                        random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1]);
+        int classIndex = 0;
+        double remainingWeight = random.nextDouble() * site.totalClassWeight();
+        for (;
+                classIndex < site.classWeights().length - 1
+                        && remainingWeight >= site.classWeights()[classIndex];
+                classIndex++) {
+            remainingWeight -= site.classWeights()[classIndex];
         }
-        double work = site.draw(c, random);
-        double cost = work * Math.exp(0.3 * random.nextGaussian());
-        double tenant = random.nextDouble();
-        long key = site.classes().get(c).orderedByKey() ? ++lastId : 0; // no two share one
-        asked++;
-        gateways.get(Math.min(upTo.length - 1, g < 0 ? -g - 1 : g))
-                .request(
+        double workSeconds = site.drawWorkSeconds(classIndex, random);
+        double costEstimate = workSeconds * Math.exp(0.3 * random.nextGaussian());
+        double tenantDraw = random.nextDouble();
+        long key = site.classes().get(classIndex).orderedByKey() ? ++lastId : 0; // keys are unique
+        requestCount++;
+        dispatchers
+                .get(
+                        Math.min(
+                                cumulativeWeights.length - 1,
+                                dispatcherIndex < 0 ? -dispatcherIndex - 1 : dispatcherIndex))
+                .receiveRequest(
                         now,
                         new QueryRequest(
                                 new RequestId(++lastId),
-                                c,
-                                tenant < 0.41 ? 0 : tenant < 0.81 ? 1 : 2,
-                                now + site.classes().get(c).deadline(),
+                                classIndex,
+                                tenantDraw < 0.41 ? 0 : tenantDraw < 0.81 ? 1 : 2,
+                                now + site.classes().get(classIndex).deadline(),
                                 key,
                                 random.nextInt(40),
-                                cost,
+                                costEstimate,
                                 0,
                                 false),
-                        work);
+                        workSeconds);
     }
 
-    private void act(SlowStartDispatcher g) {
-        for (Asked a : List.copyOf(g.sends)) {
-            Run run = new Run(g, a, site.classes().get(a.r.queryClass()));
-            a.out = run;
-            StartingEngineModel<Run> at = engines.get(run.engine);
-            at.running.add(run);
-            at.arrived(now, a.work, true);
-            if (at.id <= NEW_ID + warmFront) {
-                (at.id == NEW_ID ? fresh : front).add(new Arrival(now, a.work));
+    private void applyActions(SlowStartDispatcher dispatcher) {
+        for (SimulatedRequest request : List.copyOf(dispatcher.requestsToSend)) {
+            SimulatedAttempt attempt =
+                    new SimulatedAttempt(
+                            dispatcher, request, site.classes().get(request.request.queryClass()));
+            request.openAttempt = attempt;
+            StartingEngineModel<SimulatedAttempt> engine = engines.get(attempt.engineId);
+            engine.running.add(attempt);
+            engine.recordArrival(now, request.workSeconds, true);
+            if (engine.id <= NEW_ENGINE_ID + warmFrontCount) {
+                (engine.id == NEW_ENGINE_ID ? newEngineArrivals : warmFrontArrivals)
+                        .add(new Arrival(now, request.workSeconds));
             }
         }
-        g.sends.clear();
-        for (Asked a : List.copyOf(g.cancels)) {
-            if (a.out instanceof Run run) {
-                engines.get(run.engine).running.remove(run);
-                over(run, AttemptOutcome.CANCELLED, 0);
+        dispatcher.requestsToSend.clear();
+        for (SimulatedRequest request : List.copyOf(dispatcher.requestsToCancel)) {
+            if (request.openAttempt instanceof SimulatedAttempt attempt) {
+                engines.get(attempt.engineId).running.remove(attempt);
+                endAttempt(attempt, AttemptOutcome.CANCELLED, 0);
             }
         }
-        g.cancels.clear();
+        dispatcher.requestsToCancel.clear();
     }
 
-    private void step(StartingEngineModel<Run> e) {
-        if (e.running.isEmpty()) {
+    private void advanceEngine(StartingEngineModel<SimulatedAttempt> engine) {
+        if (engine.running.isEmpty()) {
             return;
         }
-        double threads = e.running.stream().mapToDouble(r -> r.c.threads()).sum();
-        double capacity = e.capacity(now);
-        List<Run> ended = new ArrayList<>();
-        for (Run r : e.running) {
-            r.left -= step * r.c.threads() * Math.min(1, capacity / threads);
-            if (r.left <= 0) {
-                ended.add(r);
+        double threads =
+                engine.running.stream().mapToDouble(attempt -> attempt.queryClass.threads()).sum();
+        double capacity = engine.capacity(now);
+        List<SimulatedAttempt> endedAttempts = new ArrayList<>();
+        for (SimulatedAttempt attempt : engine.running) {
+            attempt.remainingWorkSeconds -=
+                    stepSeconds * attempt.queryClass.threads() * Math.min(1, capacity / threads);
+            if (attempt.remainingWorkSeconds <= 0) {
+                endedAttempts.add(attempt);
             }
         }
-        e.running.removeAll(ended);
-        ended.forEach(r -> over(r, AttemptOutcome.OK, (float) Math.min(1, threads / capacity)));
+        engine.running.removeAll(endedAttempts);
+        endedAttempts.forEach(
+                attempt ->
+                        endAttempt(
+                                attempt,
+                                AttemptOutcome.OK,
+                                (float) Math.min(1, threads / capacity)));
     }
 
-    private void over(Run run, AttemptOutcome outcome, float busy) {
-        boolean ok = outcome == AttemptOutcome.OK;
-        run.asked.out = null;
-        if (ok) {
-            run.from.asked.remove(run.asked.r.id().value());
+    private void endAttempt(SimulatedAttempt attempt, AttemptOutcome outcome, float busyShare) {
+        boolean isOk = outcome == AttemptOutcome.OK;
+        attempt.request.openAttempt = null;
+        if (isOk) {
+            attempt.dispatcher.openRequests.remove(attempt.request.request.id().value());
         }
-        run.from.module.attemptEnded(
+        attempt.dispatcher.module.attemptEnded(
                 now,
                 new AttemptResult(
-                        run.asked.r.id(),
-                        run.index,
-                        new EngineId(run.engine),
+                        attempt.request.request.id(),
+                        attempt.index,
+                        new EngineId(attempt.engineId),
                         outcome,
                         0,
-                        ok,
-                        ok ? run.asked.work : 0,
+                        isOk,
+                        isOk ? attempt.request.workSeconds : 0,
                         0,
-                        new float[] {0, busy}));
-        run.from.touched = true;
+                        new float[] {0, busyShare}));
+        attempt.dispatcher.hasUnhandledEvents = true;
     }
 
-    private static double work(List<Arrival> all, double after, double to) {
-        return all.stream()
-                .filter(a -> a.at > after && a.at <= to)
-                .mapToDouble(Arrival::work)
+    private static double sumWorkSeconds(List<Arrival> arrivals, double from, double to) {
+        return arrivals.stream()
+                .filter(arrival -> arrival.time > from && arrival.time <= to)
+                .mapToDouble(Arrival::workSeconds)
                 .sum();
     }
 
-    private double line(double age) {
-        double span = site.rules().overloadWindow();
-        double n =
+    private double windowLimit(double ageSeconds) {
+        double windowSeconds = site.guarantees().overloadWindow();
+        double meanQueries =
                 site.cores()
-                        * site.warmth(age)
-                        * site.rules().overloadMultiple()
-                        * span
-                        / site.mean();
-        return n + 2 * Math.sqrt(n) + 2;
+                        * site.capacityShare(ageSeconds)
+                        * site.guarantees().overloadMultiple()
+                        * windowSeconds
+                        / site.meanRequestWorkSeconds();
+        return meanQueries + 2 * Math.sqrt(meanQueries) + 2;
     }
 
-    Joined joined() {
-        double span = site.rules().overloadWindow();
-        double warm = up + site.rules().slowStartDuration();
-        double usual = work(front, up, end) / warmFront / (end - up);
-        double shareAge = Double.NaN;
-        double mostAfter = 0;
-        for (double t = up + span; t <= end; t += 0.1) {
-            double got = work(fresh, t - span, t);
-            if (Double.isNaN(shareAge) && got >= SHARE * usual * span) {
-                shareAge = t - up;
+    ReplacementResult evaluate() {
+        double windowSeconds = site.guarantees().overloadWindow();
+        double rampEnd = startedAt + site.guarantees().slowStartDuration();
+        double meanFrontLoad =
+                sumWorkSeconds(warmFrontArrivals, startedAt, endTime)
+                        / warmFrontCount
+                        / (endTime - startedAt);
+        double fullShareAgeSeconds = Double.NaN;
+        double maxLoadRatioAfterRamp = 0;
+        for (double windowEnd = startedAt + windowSeconds; windowEnd <= endTime; windowEnd += 0.1) {
+            double windowWorkSeconds =
+                    sumWorkSeconds(newEngineArrivals, windowEnd - windowSeconds, windowEnd);
+            if (Double.isNaN(fullShareAgeSeconds)
+                    && windowWorkSeconds >= FULL_SHARE * meanFrontLoad * windowSeconds) {
+                fullShareAgeSeconds = windowEnd - startedAt;
             }
-            if (t >= warm) {
-                mostAfter = Math.max(mostAfter, got / site.mean() / line(t - up));
+            if (windowEnd >= rampEnd) {
+                maxLoadRatioAfterRamp =
+                        Math.max(
+                                maxLoadRatioAfterRamp,
+                                windowWorkSeconds
+                                        / site.meanRequestWorkSeconds()
+                                        / windowLimit(windowEnd - startedAt));
             }
         }
-        long late =
-                gateways.stream()
-                        .flatMap(g -> g.asked.values().stream())
-                        .filter(a -> a.out == null && a.r.deadlineAt() < now)
+        long unansweredCount =
+                dispatchers.stream()
+                        .flatMap(dispatcher -> dispatcher.openRequests.values().stream())
+                        .filter(each -> each.openAttempt == null && each.request.deadlineAt() < now)
                         .count();
-        double n =
+        double firstWindowCapacity =
                 site.cores()
-                        * site.warmth(0)
-                        * site.rules().overloadMultiple()
-                        * span
-                        / site.mean();
-        return new Joined(
-                engines.get(NEW_ID).judge(),
-                fresh.isEmpty() ? Double.NaN : fresh.get(0).at - up,
-                shareAge,
-                (int) fresh.stream().filter(a -> a.at <= up + span).count(),
-                work(fresh, up, warm) / usual / (warm - up),
-                work(fresh, warm, end) / usual / (end - warm),
-                mostAfter,
-                n,
-                asked / end,
-                (double) late / asked);
+                        * site.capacityShare(0)
+                        * site.guarantees().overloadMultiple()
+                        * windowSeconds
+                        / site.meanRequestWorkSeconds();
+        return new ReplacementResult(
+                engines.get(NEW_ENGINE_ID).evaluateRamp(),
+                newEngineArrivals.isEmpty()
+                        ? Double.NaN
+                        : newEngineArrivals.get(0).time - startedAt,
+                fullShareAgeSeconds,
+                (int)
+                        newEngineArrivals.stream()
+                                .filter(each -> each.time <= startedAt + windowSeconds)
+                                .count(),
+                sumWorkSeconds(newEngineArrivals, startedAt, rampEnd)
+                        / meanFrontLoad
+                        / (rampEnd - startedAt),
+                sumWorkSeconds(newEngineArrivals, rampEnd, endTime)
+                        / meanFrontLoad
+                        / (endTime - rampEnd),
+                maxLoadRatioAfterRamp,
+                firstWindowCapacity,
+                requestCount / endTime,
+                (double) unansweredCount / requestCount);
     }
 }
--- a/src/test/java/junipercourse/decision/EngineSelectionTest.java
+++ b/src/test/java/junipercourse/decision/EngineSelectionTest.java
@@ -27,36 +27,40 @@
     @Test
     void sendsFirstAttemptToFrontTierWhenBackTierHasNoLessLoad() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        assertTrue(dispatcher.sentTo() <= 3);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        assertTrue(dispatcher.takeSentEngineId() <= 3);
     }
 
     @Test
     void sendsFirstAttemptToBackTierWhenItHasLessLoad() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         for (int i = 1; i <= 12; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
         }
-        assertTrue(dispatcher.take().stream().anyMatch(a -> a.endsWith(" 4")));
+        assertTrue(dispatcher.takeActions().stream().anyMatch(action -> action.endsWith(" 4")));
     }
 
-    /** Of many dispatchers none hears much of the few back engines: all together would jam them. */
+    /**
+     * With many dispatchers each hears little of the few back tier engines, and all together would
+     * overload them.
+     */
     @Test
     void sendsFirstAttemptToBackTierOnlyOnAFreshReportAmongManyDispatchers() {
         RecordingDispatcher dispatcher =
-                new RecordingDispatcher(RecordingDispatcher.many(14, IDEMPOTENT));
-        dispatcher.engines(4);
-        for (long e = 1; e <= 3; e++) {
+                new RecordingDispatcher(RecordingDispatcher.fleetSettings(14, IDEMPOTENT));
+        dispatcher.listReadyEngines(4);
+        for (long engineId = 1; engineId <= 3; engineId++) {
             dispatcher.module.probeCompleted(
-                    dispatcher.now, new EngineId(e), AttemptOutcome.OK, 0, new float[] {7});
+                    dispatcher.now, new EngineId(engineId), AttemptOutcome.OK, 0, new float[] {7});
         }
-        dispatcher.take();
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        assertTrue(dispatcher.sentTo() <= 3, "it is not known to be less loaded");
+        dispatcher.takeActions();
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        assertTrue(
+                dispatcher.takeSentEngineId() <= 3, "no report shows less load on the back tier");
         dispatcher.module.probeCompleted(
                 dispatcher.now, new EngineId(4), AttemptOutcome.OK, 0, new float[] {1});
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
-        assertEquals(4, dispatcher.sentTo());
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
+        assertEquals(4, dispatcher.takeSentEngineId());
     }
 
     @Test
@@ -66,63 +70,69 @@
                 dispatcher.now,
                 EndpointUpdateKind.DELTA,
                 List.of(
-                        RecordingDispatcher.engine(1, EngineStage.DRAINING, 0),
-                        RecordingDispatcher.engine(2, EngineStage.GONE, 0)));
+                        RecordingDispatcher.listing(1, EngineStage.DRAINING, 0),
+                        RecordingDispatcher.listing(2, EngineStage.GONE, 0)));
         for (int i = 0; i < 40; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
         }
-        assertTrue(dispatcher.take().stream().noneMatch(a -> a.matches("send \\d+ [12]")));
+        assertTrue(
+                dispatcher.takeActions().stream()
+                        .noneMatch(action -> action.matches("send \\d+ [12]")));
     }
 
     @Test
     void waitsWhenNoEngineOfAnAllowedZoneIsReady() {
-        QueryClass bound =
+        QueryClass zoned =
                 new QueryClassBuilder("b", Idempotency.IDEMPOTENT)
                         .deadline(20)
                         .allowedZones(Set.of(1))
                         .build();
-        RecordingDispatcher dispatcher = withFourEngines(bound);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        assertEquals(1, dispatcher.sentTo() % 2);
+        RecordingDispatcher dispatcher = withFourEngines(zoned);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        assertEquals(1, dispatcher.takeSentEngineId() % 2);
         dispatcher.module.endpointsChanged(
                 dispatcher.now,
                 EndpointUpdateKind.DELTA,
                 List.of(
-                        RecordingDispatcher.engine(1, EngineStage.GONE, 0),
-                        RecordingDispatcher.engine(3, EngineStage.DRAINING, 0)));
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
-        assertEquals(List.of(), dispatcher.take());
+                        RecordingDispatcher.listing(1, EngineStage.GONE, 0),
+                        RecordingDispatcher.listing(3, EngineStage.DRAINING, 0)));
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
     /**
-     * A report of full cores does not tell how much others have there: they are taken to be like
-     * us.
+     * A report that all cores are busy does not show how much other dispatchers have in flight
+     * there. They are assumed to have as much as this one.
      */
     @Test
     void assumesOthersHaveAsMuchInFlightWhenAllCoresAreBusy() {
-        DecisionSettings many = RecordingDispatcher.many(3, IDEMPOTENT);
-        DecisionSettings s =
+        DecisionSettings base = RecordingDispatcher.fleetSettings(3, IDEMPOTENT);
+        DecisionSettings settings =
                 new DecisionSettings(
                         3,
                         0,
                         0,
                         false,
-                        many.capacityRating(),
+                        base.capacityRating(),
                         1,
                         LoadReportChannel.INLINE,
                         List.of(LoadMetric.BUSY),
-                        many.queryClasses(),
+                        base.queryClasses(),
                         List.of(),
-                        many.engineKinds(),
-                        many.limits(),
-                        many.guarantees(),
-                        many.engineCapabilities());
-        RecordingDispatcher dispatcher = new RecordingDispatcher(s);
-        dispatcher.engines(1);
-        for (int i = 0; i < 9; i++) { // of 16.5 threads that the engine is to have
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
+                        base.engineKinds(),
+                        base.limits(),
+                        base.guarantees(),
+                        base.engineCapabilities());
+        RecordingDispatcher dispatcher = new RecordingDispatcher(settings);
+        dispatcher.listReadyEngines(1);
+        for (int i = 0; i < 9; i++) { // of the target of 16.5 threads for the engine
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
         }
-        int sent = (int) dispatcher.take().stream().filter(a -> a.startsWith("send")).count();
+        int sent =
+                (int)
+                        dispatcher.takeActions().stream()
+                                .filter(action -> action.startsWith("send"))
+                                .count();
         dispatcher.module.attemptEnded(
                 dispatcher.now,
                 new AttemptResult(
@@ -136,20 +146,21 @@
                         0,
                         new float[] {1}));
         dispatcher.module.decide(dispatcher.now);
-        dispatcher.take();
-        dispatcher.request(50, 0, dispatcher.now + 10, 0);
-        assertEquals(7, sent, "what others usually have leaves no room for more");
+        dispatcher.takeActions();
+        dispatcher.receiveRequest(50, 0, dispatcher.now + 10, 0);
+        assertEquals(7, sent, "the usual load of other dispatchers leaves no capacity for more");
         assertEquals(
                 List.of(),
-                dispatcher.take(),
-                "6 of ours and as many of two others each leave no room");
+                dispatcher.takeActions(),
+                "6 of this dispatcher and as many of two others each leave no capacity");
     }
 
     /**
-     * Gateways that cannot talk put loads of a group in the same place, and reads of it elsewhere.
+     * Dispatchers without communication choose the same engine for loads of a table group and other
+     * engines for its reads.
      */
     @Test
-    void gathersLoadsOfATableGroupAndKeepsReadsAway() {
+    void sendsLoadsOfATableGroupToOneEngineAndReadsElsewhere() {
         QueryClass load =
                 new QueryClassBuilder("l", Idempotency.IDEMPOTENT_WITH_KEY)
                         .deadline(20)
@@ -160,19 +171,19 @@
                         .deadline(20)
                         .blockedByLoads()
                         .build();
-        Set<Long> homes = new java.util.HashSet<>();
-        for (int seed = 0; seed < 6; seed++) { // other gateways
+        Set<Long> loadEngineIds = new java.util.HashSet<>();
+        for (int seed = 0; seed < 6; seed++) { // another dispatcher
             RecordingDispatcher dispatcher =
                     new RecordingDispatcher(
                             RecordingDispatcher.settings(GUARANTEES, false, load, read), seed);
-            dispatcher.engines(8);
-            dispatcher.request(1, 0, dispatcher.now + 10, 0);
-            homes.add(dispatcher.sentTo());
-            dispatcher.end(1, 0, homes.iterator().next(), AttemptOutcome.OK, true);
-            dispatcher.request(2, 1, dispatcher.now + 10, 0);
-            assertTrue(!homes.contains(dispatcher.sentTo()));
+            dispatcher.listReadyEngines(8);
+            dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+            loadEngineIds.add(dispatcher.takeSentEngineId());
+            dispatcher.endAttempt(1, 0, loadEngineIds.iterator().next(), AttemptOutcome.OK, true);
+            dispatcher.receiveRequest(2, 1, dispatcher.now + 10, 0);
+            assertTrue(!loadEngineIds.contains(dispatcher.takeSentEngineId()));
         }
-        assertEquals(1, homes.size());
+        assertEquals(1, loadEngineIds.size());
     }
 
     @Test
@@ -180,27 +191,27 @@
         RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(GUARANTEES, false, IDEMPOTENT));
-        List<EngineListing> mixed =
+        List<EngineListing> listings =
                 List.of(
-                        RecordingDispatcher.engine(4, EngineStage.READY, 0),
-                        RecordingDispatcher.engine(1, EngineStage.READY, 0));
-        dispatcher.module.endpointsChanged(dispatcher.now, EndpointUpdateKind.FULL, mixed);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        assertEquals(1, dispatcher.sentTo());
+                        RecordingDispatcher.listing(4, EngineStage.READY, 0),
+                        RecordingDispatcher.listing(1, EngineStage.READY, 0));
+        dispatcher.module.endpointsChanged(dispatcher.now, EndpointUpdateKind.FULL, listings);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        assertEquals(1, dispatcher.takeSentEngineId());
     }
 
     @Test
     void ignoresPeerMessagesWithImpossibleSenders() {
         RecordingDispatcher dispatcher =
-                new RecordingDispatcher(RecordingDispatcher.many(3, IDEMPOTENT));
-        dispatcher.engines(4);
-        for (int from : new int[] {-1, 0, 1, 3, 1 << 30}) {
+                new RecordingDispatcher(RecordingDispatcher.fleetSettings(3, IDEMPOTENT));
+        dispatcher.listReadyEngines(4);
+        for (int sender : new int[] {-1, 0, 1, 3, 1 << 30}) {
             for (int length : new int[] {0, 3, 9, 256, 4000}) {
-                dispatcher.module.peerMessageReceived(dispatcher.now, from, new byte[length]);
+                dispatcher.module.peerMessageReceived(dispatcher.now, sender, new byte[length]);
                 dispatcher.module.decide(dispatcher.now);
             }
         }
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        assertTrue(dispatcher.sentTo() <= 4);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        assertTrue(dispatcher.takeSentEngineId() <= 4);
     }
 }
--- a/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
+++ b/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
@@ -25,17 +25,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Permission for the first byte of an attempt, and attempts of which nothing was written. */
+/**
+ * Permission to write the first byte of an attempt, and outcomes of attempts of which nothing was
+ * written.
+ */
 class FirstBytePermissionTest {
-    private static final RequestId FIRST = new RequestId(1);
+    private static final RequestId FIRST_REQUEST = new RequestId(1);
 
-    private static QueryClass kind(Idempotency effect, boolean serial) {
+    private static QueryClass queryClass(Idempotency idempotency, boolean orderedByKey) {
         return new QueryClass(
                 "c",
-                effect,
+                idempotency,
                 DeduplicationScope.CELL,
                 1.2,
-                serial,
+                orderedByKey,
                 0.5,
                 0,
                 4,
@@ -48,139 +51,154 @@
                 Set.of());
     }
 
-    private static RecordingDispatcher sent(Idempotency effect, double startedAt) {
-        RecordingDispatcher f =
+    private static RecordingDispatcher dispatcherWithOpenAttempt(
+            Idempotency idempotency, double startedAt) {
+        RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(
-                                RecordingDispatcher.GUARANTEES, false, kind(effect, true)));
-        f.module.endpointsChanged(
-                f.now,
+                                RecordingDispatcher.GUARANTEES,
+                                false,
+                                queryClass(idempotency, true)));
+        dispatcher.module.endpointsChanged(
+                dispatcher.now,
                 EndpointUpdateKind.FULL,
-                List.of(RecordingDispatcher.engine(1, EngineStage.READY, startedAt)));
-        f.request(1, 0, f.now + 4, 5);
-        assertEquals(1, f.sentTo());
-        assertTrue(f.module.attemptMayStart(f.now, FIRST, 0));
-        return f;
+                List.of(RecordingDispatcher.listing(1, EngineStage.READY, startedAt)));
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 4, 5);
+        assertEquals(1, dispatcher.takeSentEngineId());
+        assertTrue(dispatcher.module.attemptMayStart(dispatcher.now, FIRST_REQUEST, 0));
+        return dispatcher;
     }
 
-    private static void list(RecordingDispatcher f, EngineStage stage, double startedAt) {
-        f.module.endpointsChanged(
-                f.now,
+    private static void updateEngine(
+            RecordingDispatcher dispatcher, EngineStage stage, double startedAt) {
+        dispatcher.module.endpointsChanged(
+                dispatcher.now,
                 EndpointUpdateKind.DELTA,
-                List.of(RecordingDispatcher.engine(1, stage, startedAt)));
+                List.of(RecordingDispatcher.listing(1, stage, startedAt)));
     }
 
     @Test
-    void checksEachConditionAgain() {
-        RecordingDispatcher drained = sent(Idempotency.IDEMPOTENT, 0);
-        list(drained, EngineStage.DRAINING, 0);
-        assertFalse(drained.module.attemptMayStart(drained.now, FIRST, 0));
-        RecordingDispatcher gone = sent(Idempotency.IDEMPOTENT, 0);
-        list(gone, EngineStage.GONE, 0);
-        assertFalse(gone.module.attemptMayStart(gone.now, FIRST, 0));
+    void refusesFirstByteWhenAConditionNoLongerHolds() {
+        RecordingDispatcher drained = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
+        updateEngine(drained, EngineStage.DRAINING, 0);
+        assertFalse(drained.module.attemptMayStart(drained.now, FIRST_REQUEST, 0));
+        RecordingDispatcher removed = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
+        updateEngine(removed, EngineStage.GONE, 0);
+        assertFalse(removed.module.attemptMayStart(removed.now, FIRST_REQUEST, 0));
         RecordingDispatcher restarted =
-                sent(Idempotency.IDEMPOTENT, 0); // granted when warm, and cold now
-        list(restarted, EngineStage.READY, restarted.now);
-        assertFalse(restarted.module.attemptMayStart(restarted.now, FIRST, 0));
-        RecordingDispatcher left = sent(Idempotency.IDEMPOTENT, 0);
-        left.module.requestAbandoned(left.now, FIRST);
-        assertFalse(left.module.attemptMayStart(left.now, FIRST, 0));
-        RecordingDispatcher late = sent(Idempotency.IDEMPOTENT, 0);
-        assertTrue(late.module.attemptMayStart(late.now + 3.9, FIRST, 0));
-        assertFalse(late.module.attemptMayStart(late.now + 3.97, FIRST, 0));
-        assertFalse(late.module.attemptMayStart(late.now, FIRST, 1), "no such attempt");
-        RecordingDispatcher same = sent(Idempotency.IDEMPOTENT, 95); // cold, and told of once more
-        list(same, EngineStage.READY, 95);
-        assertTrue(same.module.attemptMayStart(same.now, FIRST, 0));
+                dispatcherWithOpenAttempt(
+                        Idempotency.IDEMPOTENT,
+                        0); // sent to a warm engine that has restarted since
+        updateEngine(restarted, EngineStage.READY, restarted.now);
+        assertFalse(restarted.module.attemptMayStart(restarted.now, FIRST_REQUEST, 0));
+        RecordingDispatcher abandoned = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
+        abandoned.module.requestAbandoned(abandoned.now, FIRST_REQUEST);
+        assertFalse(abandoned.module.attemptMayStart(abandoned.now, FIRST_REQUEST, 0));
+        RecordingDispatcher nearDeadline = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
+        assertTrue(nearDeadline.module.attemptMayStart(nearDeadline.now + 3.9, FIRST_REQUEST, 0));
+        assertFalse(nearDeadline.module.attemptMayStart(nearDeadline.now + 3.97, FIRST_REQUEST, 0));
+        assertFalse(
+                nearDeadline.module.attemptMayStart(nearDeadline.now, FIRST_REQUEST, 1),
+                "no such attempt");
+        RecordingDispatcher relisted =
+                dispatcherWithOpenAttempt(
+                        Idempotency.IDEMPOTENT, 95); // warming up, and listed again unchanged
+        updateEngine(relisted, EngineStage.READY, 95);
+        assertTrue(relisted.module.attemptMayStart(relisted.now, FIRST_REQUEST, 0));
     }
 
     /**
-     * A repeat is inside the window when its first byte leaves; what is unsafe to repeat is sent
-     * once.
+     * The first byte of a retry must be written within the deduplication window of its class. A
+     * request that is not idempotent is not sent again after it may have run.
      */
     @Test
-    void permitsRepeatsByTheirClassOnly() {
-        RecordingDispatcher keyed = sent(Idempotency.IDEMPOTENT_WITH_KEY, 0);
-        keyed.end(1, 0, 1, AttemptOutcome.ERROR, false);
-        assertEquals(1, keyed.sentTo());
-        assertTrue(keyed.module.attemptMayStart(keyed.now + 1.1, FIRST, 1));
-        assertFalse(keyed.module.attemptMayStart(keyed.now + 1.2, FIRST, 1));
-        RecordingDispatcher once = sent(Idempotency.NOT_IDEMPOTENT, 0);
-        once.end(1, 0, 1, AttemptOutcome.NOT_SENT, false);
-        assertEquals(1, once.sentTo());
-        assertTrue(once.module.attemptMayStart(once.now + 3, FIRST, 1));
-        once.end(1, 1, 1, AttemptOutcome.ERROR, false);
-        assertEquals(List.of("fail 1"), once.take());
-        assertFalse(once.module.attemptMayStart(once.now, FIRST, 1));
+    void permitsFirstByteOfARetryOnlyWhenItsClassAllows() {
+        RecordingDispatcher keyed = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT_WITH_KEY, 0);
+        keyed.endAttempt(1, 0, 1, AttemptOutcome.ERROR, false);
+        assertEquals(1, keyed.takeSentEngineId());
+        assertTrue(keyed.module.attemptMayStart(keyed.now + 1.1, FIRST_REQUEST, 1));
+        assertFalse(keyed.module.attemptMayStart(keyed.now + 1.2, FIRST_REQUEST, 1));
+        RecordingDispatcher nonIdempotent =
+                dispatcherWithOpenAttempt(Idempotency.NOT_IDEMPOTENT, 0);
+        nonIdempotent.endAttempt(1, 0, 1, AttemptOutcome.NOT_SENT, false);
+        assertEquals(1, nonIdempotent.takeSentEngineId());
+        assertTrue(nonIdempotent.module.attemptMayStart(nonIdempotent.now + 3, FIRST_REQUEST, 1));
+        nonIdempotent.endAttempt(1, 1, 1, AttemptOutcome.ERROR, false);
+        assertEquals(List.of("fail 1"), nonIdempotent.takeActions());
+        assertFalse(nonIdempotent.module.attemptMayStart(nonIdempotent.now, FIRST_REQUEST, 1));
     }
 
     /**
-     * The next of a key has no turn before the first is over, and needs no rest after one that
-     * never ran.
+     * The next request of a key waits until the first has finished, and without a pause if the
+     * first never ran.
      */
     @Test
-    void startsNextRequestOfAKeyAfterOneThatWasNotSent() {
-        RecordingDispatcher f = sent(Idempotency.NOT_IDEMPOTENT, 0);
-        f.request(2, 0, f.now + 4, 5);
-        f.module.requestAbandoned(f.now, FIRST);
-        f.module.decide(f.now);
-        assertEquals(List.of("cancel 1 0"), f.take());
-        f.end(1, 0, 1, AttemptOutcome.NOT_SENT, true);
-        assertEquals(List.of("send 2 1"), f.take());
-        assertTrue(f.module.attemptMayStart(f.now, new RequestId(2), 0));
+    void startsNextRequestOfAKeyWhenThePreviousWasNotSent() {
+        RecordingDispatcher dispatcher = dispatcherWithOpenAttempt(Idempotency.NOT_IDEMPOTENT, 0);
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 4, 5);
+        dispatcher.module.requestAbandoned(dispatcher.now, FIRST_REQUEST);
+        dispatcher.module.decide(dispatcher.now);
+        assertEquals(List.of("cancel 1 0"), dispatcher.takeActions());
+        dispatcher.endAttempt(1, 0, 1, AttemptOutcome.NOT_SENT, true);
+        assertEquals(List.of("send 2 1"), dispatcher.takeActions());
+        assertTrue(dispatcher.module.attemptMayStart(dispatcher.now, new RequestId(2), 0));
     }
 
     /**
-     * Attempts of which nothing was written count against no limit, engine or cold engine's budget.
+     * Attempts of which nothing was written count against neither the attempt limit, the engine,
+     * nor the slow start budget.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 99.9})
-    void countsAttemptsThatWereNotSentAgainstNothing(double startedAt) {
-        RecordingDispatcher f = sent(Idempotency.IDEMPOTENT, startedAt);
+    void countsNothingWhenAttemptsWereNotSent(double startedAt) {
+        RecordingDispatcher dispatcher =
+                dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, startedAt);
         for (int attempt = 0; attempt < 40; attempt++) {
-            f.end(1, attempt, 1, AttemptOutcome.NOT_SENT, false);
-            assertEquals(List.of("send 1 1"), f.take());
+            dispatcher.endAttempt(1, attempt, 1, AttemptOutcome.NOT_SENT, false);
+            assertEquals(List.of("send 1 1"), dispatcher.takeActions());
         }
-        assertEquals(List.of(), f.module.ejectedEngines());
-        f.end(1, 40, 1, AttemptOutcome.OK, true);
+        assertEquals(List.of(), dispatcher.module.ejectedEngines());
+        dispatcher.endAttempt(1, 40, 1, AttemptOutcome.OK, true);
     }
 
     /**
-     * A charge comes back once, for what was surely not written, and not to another life's budget.
+     * The charge to a slow start budget is refunded once, only if certainly nothing was written,
+     * and not to the budget of a later start of the engine.
      */
     @ParameterizedTest
     @EnumSource(AttemptOutcome.class)
-    void refundsTheChargeOfAttemptsThatWereNotWritten(AttemptOutcome outcome) {
-        boolean unwritten =
+    void refundsTheChargeWhenNothingWasWritten(AttemptOutcome outcome) {
+        boolean isUnwritten =
                 outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.UNREACHABLE;
-        assertEquals(unwritten ? 0 : -2, creditAfter(outcome, false));
+        assertEquals(isUnwritten ? 0 : -2, creditAfter(outcome, false));
         assertEquals(-2, creditAfter(outcome, true));
     }
 
-    private static double creditAfter(AttemptOutcome outcome, boolean startedAgain) {
+    private static double creditAfter(AttemptOutcome outcome, boolean isRestarted) {
         EngineState engine = new EngineState(new EngineId(1));
         engine.update(
-                RecordingDispatcher.engine(1, EngineStage.READY, 100), new EngineKind("k", 10, 0));
+                RecordingDispatcher.listing(1, EngineStage.READY, 100), new EngineKind("k", 10, 0));
         engine.slowStart().restart(100);
-        QueryRequest request = new QueryRequest(FIRST, 0, 0, 104, 0, 0, Double.NaN, 0, false);
-        ClassStatistics statistics = new ClassStatistics(kind(Idempotency.IDEMPOTENT, false));
+        QueryRequest request =
+                new QueryRequest(FIRST_REQUEST, 0, 0, 104, 0, 0, Double.NaN, 0, false);
+        ClassStatistics statistics = new ClassStatistics(queryClass(Idempotency.IDEMPOTENT, false));
         PendingRequest pending = new PendingRequest(request, statistics, 100, 0, false, 0);
         Attempt attempt = new Attempt(pending, engine, 101, 0, 1, 2);
         attempt.begin();
         assertEquals(-2, engine.slowStart().credit());
-        engine.slowStart().restart(startedAgain ? 101 : 100);
+        engine.slowStart().restart(isRestarted ? 101 : 100);
         attempt.end(outcome);
         return engine.slowStart().credit();
     }
 
-    /** An end that is told twice changes nothing the second time. */
+    /** An outcome that is reported twice has no effect the second time. */
     @Test
-    void countsTheEndOfAnAttemptOnce() {
-        RecordingDispatcher f = sent(Idempotency.IDEMPOTENT, 0);
-        f.end(1, 0, 1, AttemptOutcome.NOT_SENT, false);
-        assertEquals(List.of("send 1 1"), f.take());
-        f.end(1, 0, 1, AttemptOutcome.NOT_SENT, false);
-        assertEquals(List.of(), f.take());
-        assertTrue(f.module.attemptMayStart(f.now, FIRST, 1));
+    void ignoresASecondOutcomeOfAnAttempt() {
+        RecordingDispatcher dispatcher = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
+        dispatcher.endAttempt(1, 0, 1, AttemptOutcome.NOT_SENT, false);
+        assertEquals(List.of("send 1 1"), dispatcher.takeActions());
+        dispatcher.endAttempt(1, 0, 1, AttemptOutcome.NOT_SENT, false);
+        assertEquals(List.of(), dispatcher.takeActions());
+        assertTrue(dispatcher.module.attemptMayStart(dispatcher.now, FIRST_REQUEST, 1));
     }
 }
--- a/src/test/java/junipercourse/decision/FleetSlowStartTest.java
+++ b/src/test/java/junipercourse/decision/FleetSlowStartTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import junipercourse.decision.SlowStartSimulation.Trouble;
+import junipercourse.decision.SlowStartSimulation.Scenario;
 import junipercourse.decision.api.AttemptOutcome;
 import junipercourse.decision.api.EndpointUpdateKind;
 import junipercourse.decision.api.EngineStage;
@@ -14,155 +14,178 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Rule 4 over all dispatchers together: model days of fixed seeds, and what one dispatcher does for
- * them.
+ * The slow start rule (4) over all dispatchers together: simulated days of fixed seeds, and how one
+ * dispatcher keeps the budget.
  */
 class FleetSlowStartTest {
     private static final long SEED = 31_000;
 
-    /** What its engines got of what they could do; that is nothing where nobody uses them. */
-    private static double borne(SlowStartSite site, int size, Trouble trouble, long seed) {
-        List<StartingEngineModel.Verdict> starts =
-                new SlowStartSimulation(site, size, trouble, seed).starts();
-        starts.forEach(
-                v ->
+    /**
+     * Simulates a day, asserts that no start breaks the rule, and returns the mean share of their
+     * capacity that cold engines were given; it is 0 where no dispatcher uses them.
+     */
+    private static double simulateAndReturnUsedShare(
+            SlowStartSite site, int dispatchers, Scenario scenario, long seed) {
+        List<StartingEngineModel.RampResult> results =
+                new SlowStartSimulation(site, dispatchers, scenario, seed).evaluateStarts();
+        results.forEach(
+                result ->
                         assertTrue(
-                                !v.broken(),
+                                !result.isRuleBroken(),
                                 site.name()
                                         + " "
-                                        + size
+                                        + dispatchers
                                         + " "
-                                        + trouble
+                                        + scenario
                                         + " seed "
                                         + seed
                                         + ": "
-                                        + v));
-        return starts.stream()
-                .mapToDouble(StartingEngineModel.Verdict::used)
+                                        + result));
+        return results.stream()
+                .mapToDouble(StartingEngineModel.RampResult::usedCapacityShare)
                 .average()
                 .orElseThrow();
     }
 
     @Test
-    void fewDispatchersTogetherDoNotPushAColdEngineOver() {
-        double used = 0;
+    void keepsColdEnginesWithinTheLimitWithFewDispatchers() {
+        double usedShare = 0;
         for (SlowStartSite site :
                 List.of(SlowStartSite.MAIN, SlowStartSite.SHORT, SlowStartSite.LONG)) {
-            used += borne(site, 2, Trouble.REPLACED, SEED);
-            used += borne(site, 10, Trouble.ZONE_BACK, SEED + 1);
-            used += borne(site, 5, Trouble.RESTARTED, SEED + 2);
-            used += borne(site, 2, Trouble.TOLD_AT_ONCE, SEED + 3);
+            usedShare += simulateAndReturnUsedShare(site, 2, Scenario.REPLACED, SEED);
+            usedShare += simulateAndReturnUsedShare(site, 10, Scenario.ZONE_BACK, SEED + 1);
+            usedShare += simulateAndReturnUsedShare(site, 5, Scenario.RESTARTED, SEED + 2);
+            usedShare += simulateAndReturnUsedShare(site, 2, Scenario.TOLD_AT_ONCE, SEED + 3);
         }
-        assertTrue(used > 12 * 0.3, "left idle: " + used);
+        assertTrue(usedShare > 12 * 0.3, "left idle, sum of used shares: " + usedShare);
     }
 
     @Test
-    void manyDispatchersTogetherDoNotPushAColdEngineOver() {
-        double used =
-                borne(SlowStartSite.MAIN, 30, Trouble.TOLD_AT_ONCE, SEED + 20)
-                        + borne(SlowStartSite.SHORT, 30, Trouble.ZONE_BACK, SEED + 21)
-                        + borne(SlowStartSite.EVEN, 30, Trouble.REPLACED, SEED + 22)
-                        + borne(SlowStartSite.MAIN, 100, Trouble.ZONE_BACK, SEED + 23);
-        assertTrue(used > 4 * 0.1, "left idle: " + used);
+    void keepsColdEnginesWithinTheLimitWithManyDispatchers() {
+        double usedShare =
+                simulateAndReturnUsedShare(SlowStartSite.MAIN, 30, Scenario.TOLD_AT_ONCE, SEED + 20)
+                        + simulateAndReturnUsedShare(
+                                SlowStartSite.SHORT, 30, Scenario.ZONE_BACK, SEED + 21)
+                        + simulateAndReturnUsedShare(
+                                SlowStartSite.EVEN, 30, Scenario.REPLACED, SEED + 22)
+                        + simulateAndReturnUsedShare(
+                                SlowStartSite.MAIN, 100, Scenario.ZONE_BACK, SEED + 23);
+        assertTrue(usedShare > 4 * 0.1, "left idle, sum of used shares: " + usedShare);
     }
 
     /**
-     * Days on which one query of many times its class's mean pushed a cold engine over, all told of
-     * it.
+     * Days on which one query of many times the mean of its class overloaded a cold engine,
+     * although all dispatchers knew of it.
      */
     @Test
-    void noSingleQueryPushesAColdEngineOver() {
-        borne(SlowStartSite.MAIN, 10, Trouble.ZONE_BACK, 500_005);
-        borne(SlowStartSite.MAIN, 10, Trouble.TOLD_AT_ONCE, 500_022);
-        borne(SlowStartSite.MAIN, 10, Trouble.REPLACED, 500_030);
-        borne(SlowStartSite.MAIN, 2, Trouble.ZONE_BACK, 500_035);
+    void keepsColdEnginesWithinTheLimitWhenAQueryIsFarAboveItsMean() {
+        simulateAndReturnUsedShare(SlowStartSite.MAIN, 10, Scenario.ZONE_BACK, 500_005);
+        simulateAndReturnUsedShare(SlowStartSite.MAIN, 10, Scenario.TOLD_AT_ONCE, 500_022);
+        simulateAndReturnUsedShare(SlowStartSite.MAIN, 10, Scenario.REPLACED, 500_030);
+        simulateAndReturnUsedShare(SlowStartSite.MAIN, 2, Scenario.ZONE_BACK, 500_035);
     }
 
     /**
-     * One dispatcher and an engine that has just come up, which bears 13.4 s of work in its first
-     * window.
+     * Returns one dispatcher with an engine that has just started and can do 13.4 s of work in its
+     * first window.
      */
-    private static RecordingDispatcher cold(double aim, int threads) {
-        RecordingDispatcher f =
+    private static RecordingDispatcher dispatcherWithColdEngine(
+            double objectiveSeconds, int threads) {
+        RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(
                                 RecordingDispatcher.GUARANTEES,
                                 false,
                                 RecordingDispatcher.queryClass(
-                                        Idempotency.IDEMPOTENT, aim, 30, threads)));
-        f.module.endpointsChanged(
-                f.now,
+                                        Idempotency.IDEMPOTENT, objectiveSeconds, 30, threads)));
+        dispatcher.module.endpointsChanged(
+                dispatcher.now,
                 EndpointUpdateKind.FULL,
-                List.of(RecordingDispatcher.engine(1, EngineStage.READY, f.now)));
-        f.module.decide(f.now);
-        return f;
+                List.of(RecordingDispatcher.listing(1, EngineStage.READY, dispatcher.now)));
+        dispatcher.module.decide(dispatcher.now);
+        return dispatcher;
     }
 
-    private static void ask(RecordingDispatcher f, long id, double cost) {
-        f.module.requestReceived(
-                f.now, new QueryRequest(new RequestId(id), 0, 0, f.now + 30, 0, 0, cost, 0, false));
-        f.module.decide(f.now);
+    private static void receiveRequest(
+            RecordingDispatcher dispatcher, long id, double costEstimate) {
+        dispatcher.module.requestReceived(
+                dispatcher.now,
+                new QueryRequest(
+                        new RequestId(id),
+                        0,
+                        0,
+                        dispatcher.now + 30,
+                        0,
+                        0,
+                        costEstimate,
+                        0,
+                        false));
+        dispatcher.module.decide(dispatcher.now);
     }
 
-    private static long sends(RecordingDispatcher f) {
-        return f.take().stream().filter(a -> a.startsWith("send")).count();
+    private static long takeSendCount(RecordingDispatcher dispatcher) {
+        return dispatcher.takeActions().stream()
+                .filter(action -> action.startsWith("send"))
+                .count();
     }
 
-    /**
-     * By its own estimate it brings more than a window's work; it is also the first that is seen.
-     */
+    /** Its estimate is above the work of a window, and it is the first query on the engine. */
     @Test
-    void aHugeQueryWaitsUntilTheEngineIsWarm() {
-        RecordingDispatcher f = cold(1, 1);
-        ask(f, 1, 20);
-        f.run(5);
-        assertEquals(0, sends(f), "one query may bring 6.7 s of work at the start");
-        ask(f, 2, 0.3);
-        f.run(0.5);
-        assertEquals(1, sends(f), "others pass it by");
-        f.run(5);
-        assertEquals(1, sends(f), "once warm it goes");
+    void delaysAHugeQueryUntilTheEngineIsWarm() {
+        RecordingDispatcher dispatcher = dispatcherWithColdEngine(1, 1);
+        receiveRequest(dispatcher, 1, 20);
+        dispatcher.advance(5);
+        assertEquals(
+                0, takeSendCount(dispatcher), "one query may bring 6.7 s of work at the start");
+        receiveRequest(dispatcher, 2, 0.3);
+        dispatcher.advance(0.5);
+        assertEquals(1, takeSendCount(dispatcher), "other queries are sent before it");
+        dispatcher.advance(5);
+        assertEquals(1, takeSendCount(dispatcher), "sent once the engine is warm");
     }
 
     @Test
-    void aUsualQueryOfAHeavyClassIsNotShutOut() {
-        RecordingDispatcher f = cold(3, 4);
-        ask(f, 1, 9);
-        assertEquals(1, sends(f));
+    void sendsAUsualQueryOfAHeavyClassToAColdEngine() {
+        RecordingDispatcher dispatcher = dispatcherWithColdEngine(3, 4);
+        receiveRequest(dispatcher, 1, 9);
+        assertEquals(1, takeSendCount(dispatcher));
     }
 
-    /** Each query pays for what it will do: after a light one another may follow soon. */
+    /**
+     * Each query is charged the work that it will do: after a light one another may follow soon.
+     */
     @Test
-    void aQueryIsChargedItsOwnEstimate() {
-        RecordingDispatcher f = cold(1, 1);
-        ask(f, 1, 0.3);
-        ask(f, 2, 6);
-        f.run(0.1);
-        assertEquals(2, sends(f), "0.3 s of work are worth 0.07 s at 4.5 s a second");
-        ask(f, 3, 0.3);
-        f.run(1);
-        assertEquals(0, sends(f), "6 s of work are worth 1.3 s");
-        f.run(0.5);
-        assertEquals(1, sends(f));
+    void chargesAQueryItsOwnEstimate() {
+        RecordingDispatcher dispatcher = dispatcherWithColdEngine(1, 1);
+        receiveRequest(dispatcher, 1, 0.3);
+        receiveRequest(dispatcher, 2, 6);
+        dispatcher.advance(0.1);
+        assertEquals(
+                2, takeSendCount(dispatcher), "0.3 s of work are worth 0.07 s at 4.5 s a second");
+        receiveRequest(dispatcher, 3, 0.3);
+        dispatcher.advance(1);
+        assertEquals(0, takeSendCount(dispatcher), "6 s of work are worth 1.3 s");
+        dispatcher.advance(0.5);
+        assertEquals(1, takeSendCount(dispatcher));
     }
 
     /**
-     * An attempt that was never written may give back its charge, but an end told twice not two of
-     * them.
+     * The charge of an attempt that was never written is refunded, but not twice when its outcome
+     * is reported twice.
      */
     @Test
-    void anEndToldTwiceGivesNoBudgetBackTwice() {
-        RecordingDispatcher f = cold(1, 1);
-        ask(f, 1, 1);
-        f.end(1, 0, 1, AttemptOutcome.OK, true);
-        ask(f, 2, 1);
-        f.run(0.3);
-        assertEquals(2, sends(f));
+    void refundsTheChargeOnceWhenAnOutcomeIsReportedTwice() {
+        RecordingDispatcher dispatcher = dispatcherWithColdEngine(1, 1);
+        receiveRequest(dispatcher, 1, 1);
+        dispatcher.endAttempt(1, 0, 1, AttemptOutcome.OK, true);
+        receiveRequest(dispatcher, 2, 1);
+        dispatcher.advance(0.3);
+        assertEquals(2, takeSendCount(dispatcher));
         for (long id = 3; id < 8; id++) {
-            ask(f, id, 1);
+            receiveRequest(dispatcher, id, 1);
         }
-        f.end(2, 0, 1, AttemptOutcome.UNREACHABLE, false);
-        f.end(2, 0, 1, AttemptOutcome.UNREACHABLE, false);
-        assertTrue(sends(f) <= 1, "one charge is one send");
+        dispatcher.endAttempt(2, 0, 1, AttemptOutcome.UNREACHABLE, false);
+        dispatcher.endAttempt(2, 0, 1, AttemptOutcome.UNREACHABLE, false);
+        assertTrue(takeSendCount(dispatcher) <= 1, "one refunded charge allows one attempt");
     }
 }
--- a/src/test/java/junipercourse/decision/ModuleAtSize.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSize.java
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The pure module from 2 dispatchers to 720, each before engines in the ratio of 980 to 720. A long
- * run, not part of the build: {@code mvn -o -q -B -ntp test -Dtest=ModuleAtSize -Dscale.out=FILE},
- * with {@code -Dsizes=2,15,30,100,180,360,720}, {@code -Dseeds=3} (2 from 360 on) and {@code
- * -Dseed=} for others. Each line's seed is the first of its days. One thread.
+ * Measures the module alone for 2 to 720 dispatchers, with engines in the ratio of 980 to 720. A
+ * long run that is not part of the build: {@code mvn -o -q -B -ntp test -Dtest=ModuleAtSize
+ * -Dscale.out=FILE}, with {@code -Dsizes=2,15,30,100,180,360,720}, {@code -Dseeds=3} (2 from 360
+ * on) and {@code -Dseed=} for others. The seed of a line is the first of its runs. Single-threaded.
  */
 class ModuleAtSize {
-    private static final double LOAD = 0.7; // of what the warm engines can do
-    private static final double STEP_S = 0.02;
-    private static final double LIGHT_STEP_S = 0.005;
-    private static final int LIGHT_ENGINES =
-            98; // modelled at most: 310,000 queries a second take too long
-    private static final double UNANSWERED =
-            0.05; // beyond it the few engines are seen, not the module
-    private static final int[] LISTED = {10, 100, 300, 980};
+    private static final double LOAD = 0.7; // of the capacity of the warm engines
+    private static final double STEP_SECONDS = 0.02;
+    private static final double LIGHT_STEP_SECONDS = 0.005;
+    private static final int MAX_LIGHT_ENGINES =
+            98; // 310,000 queries a second for all engines take too long
+    private static final double MAX_UNANSWERED_SHARE =
+            0.05; // above it the result shows the small number of engines, not the module
+    private static final int[] LISTED_ENGINE_COUNTS = {10, 100, 300, 980};
 
     private final long seed = Long.getLong("seed", 34_000);
     private final int seeds = Integer.getInteger("seeds", 3);
@@ -33,283 +33,383 @@
             new Results(
                     Path.of(System.getProperty("scale.out", "target/module.jsonl")),
                     "module",
-                    machine(),
+                    describeMachine(),
                     System.getProperty("scale.variant", "landed"),
                     seed);
 
-    private String unusable = ""; // why the figures at hand do not count
+    private String invalidReason =
+            ""; // why the current results are invalid; empty if they are valid
 
-    private static String machine() {
-        OperatingSystemMXBean os =
+    private static String describeMachine() {
+        OperatingSystemMXBean system =
                 (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-        return os.getAvailableProcessors() + " cores, " + (os.getTotalMemorySize() >> 30) + " GiB";
+        return system.getAvailableProcessors()
+                + " cores, "
+                + (system.getTotalMemorySize() >> 30)
+                + " GiB";
     }
 
-    static int engines(int gateways) {
-        return Math.round(gateways * 980f / 720);
+    static int engineCount(int dispatchers) {
+        return Math.round(dispatchers * 980f / 720);
     }
 
     @Test
-    void oneInstance() {
-        for (int engines : LISTED) {
-            figure(
+    void measuresProcessorTimeOfOneInstance() {
+        for (int engineCount : LISTED_ENGINE_COUNTS) {
+            recordMetric(
                     "one_instance",
-                    engines,
+                    engineCount,
                     "cpu_per_query",
                     "us",
-                    new DecisionCost(SlowStartSite.MAIN, engines).perQuery(5, 10_000));
-            figure(
+                    new DecisionCost(SlowStartSite.MAIN, engineCount)
+                            .measureMicrosPerQuery(5, 10_000));
+            recordMetric(
                     "one_instance_no_loads",
-                    engines,
+                    engineCount,
                     "cpu_per_query",
                     "us",
-                    new DecisionCost(SlowStartSite.EVEN, engines).perQuery(5, 10_000));
-            figure(
+                    new DecisionCost(SlowStartSite.EVEN, engineCount)
+                            .measureMicrosPerQuery(5, 10_000));
+            recordMetric(
                     "one_instance",
-                    engines,
+                    engineCount,
                     "cpu_per_change",
                     "us",
-                    new DecisionCost(SlowStartSite.MAIN, engines).perChange(5, 1_000));
+                    new DecisionCost(SlowStartSite.MAIN, engineCount)
+                            .measureMicrosPerChange(5, 1_000));
         }
     }
 
     @Test
-    void heapOfOneInstance() {
-        for (int engines : LISTED) {
-            figure(
+    void measuresHeapOfOneInstance() {
+        for (int engineCount : LISTED_ENGINE_COUNTS) {
+            recordMetric(
                     "one_instance",
-                    engines,
+                    engineCount,
                     "heap",
                     "B",
-                    DecisionCost.heap(SlowStartSite.MAIN, engines));
+                    DecisionCost.measureHeapBytes(SlowStartSite.MAIN, engineCount));
         }
     }
 
-    private static int[] sizes(String usual) {
-        return Arrays.stream(System.getProperty("sizes", usual).split(","))
+    private static int[] readSizes(String defaultSizes) {
+        return Arrays.stream(System.getProperty("sizes", defaultSizes).split(","))
                 .mapToInt(Integer::parseInt)
                 .toArray();
     }
 
-    /** Queries of a second of work, so that few fit a cold engine: all engines are modelled. */
+    /**
+     * Queries of about a second of work, so that few fit on a cold engine. All engines are
+     * modelled.
+     */
     @Test
-    void oneColdEngine() {
-        for (int size : sizes("2,15,30,100,180,360,720")) {
-            join(
+    void measuresOneColdEngine() {
+        for (int dispatchers : readSizes("2,15,30,100,180,360,720")) {
+            measureReplacement(
                     "one_cold_engine",
-                    size,
+                    dispatchers,
                     SlowStartSite.MAIN,
-                    STEP_S,
-                    engines(size),
-                    size < 360 ? seeds : 2);
+                    STEP_SECONDS,
+                    engineCount(dispatchers),
+                    dispatchers < 360 ? seeds : 2);
         }
     }
 
     /**
-     * The same on 316 queries a second for each engine, of which 41 of 136 and 98 of 980 are
-     * modelled. With too few a dispatcher's part of all their threads is under one query, and
-     * queries find no room.
+     * The same with 316 queries a second for each engine, of which 41 of 136 and 98 of 980 are
+     * modelled. With fewer, the share of a dispatcher in all their threads is below one query, and
+     * queries are not admitted.
      */
     @Test
-    void oneColdEngineOfLightQueries() {
-        for (int size : sizes("2,100,720")) {
-            int count = Math.min(engines(size), Math.max(41, LIGHT_ENGINES * size / 720));
-            join("one_cold_engine_light", size, light(), LIGHT_STEP_S, count, size < 360 ? 2 : 1);
+    void measuresOneColdEngineWithLightQueries() {
+        for (int dispatchers : readSizes("2,100,720")) {
+            int engineCount =
+                    Math.min(
+                            engineCount(dispatchers),
+                            Math.max(41, MAX_LIGHT_ENGINES * dispatchers / 720));
+            measureReplacement(
+                    "one_cold_engine_light",
+                    dispatchers,
+                    lightSite(),
+                    LIGHT_STEP_SECONDS,
+                    engineCount,
+                    dispatchers < 360 ? 2 : 1);
         }
     }
 
-    /** Work of the mean query such that an engine at this load does 316 of them a second. */
-    static SlowStartSite light() {
-        SlowStartSite m = SlowStartSite.MAIN;
-        double part = m.cores() * LOAD / 316 / m.mean();
+    /**
+     * Returns a site whose mean query is so short that an engine at this load serves 316 queries a
+     * second.
+     */
+    static SlowStartSite lightSite() {
+        SlowStartSite main = SlowStartSite.MAIN;
+        double scale = main.cores() * LOAD / 316 / main.meanRequestWorkSeconds();
         return new SlowStartSite(
                 "light",
-                m.cores(),
-                m.rules(),
-                m.classes(),
-                m.share(),
-                Arrays.stream(m.meanWork()).map(w -> w * part).toArray(),
-                m.cv());
+                main.cores(),
+                main.guarantees(),
+                main.classes(),
+                main.classWeights(),
+                Arrays.stream(main.meanWorkSeconds())
+                        .map(workSeconds -> workSeconds * scale)
+                        .toArray(),
+                main.variationCoefficients());
     }
 
     /**
-     * The days of {@link FleetSlowStartTest} with their 24 engines, of which a part comes up cold
-     * at once.
+     * The scenarios of {@link FleetSlowStartTest} with their 24 engines, some of which start cold
+     * at the same time.
      */
     @Test
-    void daysOfManyColdEngines() {
-        for (int size : sizes("100,720")) {
-            for (SlowStartSimulation.Trouble t : SlowStartSimulation.Trouble.values()) {
-                List<StartingEngineModel.Verdict> starts = new ArrayList<>();
+    void measuresManyColdEngines() {
+        for (int dispatchers : readSizes("100,720")) {
+            for (SlowStartSimulation.Scenario scenario : SlowStartSimulation.Scenario.values()) {
+                List<StartingEngineModel.RampResult> results = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    starts.addAll(
-                            new SlowStartSimulation(SlowStartSite.MAIN, size, t, seed + i)
-                                    .starts());
+                    results.addAll(
+                            new SlowStartSimulation(
+                                            SlowStartSite.MAIN, dispatchers, scenario, seed + i)
+                                    .evaluateStarts());
                 }
-                String play = "cold_day_" + t.name().toLowerCase(Locale.ROOT);
-                figure(
-                        play,
-                        size,
+                String scenarioName = "cold_day_" + scenario.name().toLowerCase(Locale.ROOT);
+                recordMetric(
+                        scenarioName,
+                        dispatchers,
                         "sum_by_line",
                         "ratio",
-                        starts.stream().mapToDouble(StartingEngineModel.Verdict::most).toArray());
-                figure(
-                        play,
-                        size,
+                        results.stream()
+                                .mapToDouble(StartingEngineModel.RampResult::maxLoadRatio)
+                                .toArray());
+                recordMetric(
+                        scenarioName,
+                        dispatchers,
                         "starts_broken",
                         "starts",
-                        starts.stream().mapToDouble(v -> v.broken() ? 1 : 0).toArray());
-                figure(
-                        play,
-                        size,
+                        results.stream()
+                                .mapToDouble(result -> result.isRuleBroken() ? 1 : 0)
+                                .toArray());
+                recordMetric(
+                        scenarioName,
+                        dispatchers,
                         "ramp_used",
                         "ratio",
-                        starts.stream().mapToDouble(StartingEngineModel.Verdict::used).toArray());
+                        results.stream()
+                                .mapToDouble(StartingEngineModel.RampResult::usedCapacityShare)
+                                .toArray());
             }
         }
     }
 
-    private void join(String play, int size, SlowStartSite site, double step, int count, int most) {
-        List<EngineReplacementSimulation.Joined> days = new ArrayList<>();
-        for (int i = 0; i < Math.min(seeds, most); i++) {
-            long from = System.nanoTime();
-            days.add(
-                    new EngineReplacementSimulation(site, step, size, count, LOAD, seed + i)
-                            .joined());
+    private void measureReplacement(
+            String scenario,
+            int dispatchers,
+            SlowStartSite site,
+            double stepSeconds,
+            int engineCount,
+            int maxSeeds) {
+        List<EngineReplacementSimulation.ReplacementResult> runs = new ArrayList<>();
+        for (int i = 0; i < Math.min(seeds, maxSeeds); i++) {
+            long startNanos = System.nanoTime();
+            runs.add(
+                    new EngineReplacementSimulation(
+                                    site, stepSeconds, dispatchers, engineCount, LOAD, seed + i)
+                            .evaluate());
             System.out.printf(
                     Locale.ROOT,
                     "%s, %d dispatchers, %d engines, %.0f s: %s%n",
-                    play,
-                    size,
-                    count,
-                    (System.nanoTime() - from) / 1e9,
-                    days.get(i));
+                    scenario,
+                    dispatchers,
+                    engineCount,
+                    (System.nanoTime() - startNanos) / 1e9,
+                    runs.get(i));
         }
-        double unanswered =
-                days.stream()
-                        .mapToDouble(EngineReplacementSimulation.Joined::missed)
+        double unansweredShare =
+                runs.stream()
+                        .mapToDouble(EngineReplacementSimulation.ReplacementResult::unansweredShare)
                         .max()
                         .orElseThrow();
-        unusable =
-                unanswered > UNANSWERED && count < engines(size)
+        invalidReason =
+                unansweredShare > MAX_UNANSWERED_SHARE && engineCount < engineCount(dispatchers)
                         ? "too few engines modelled: "
-                                + Math.round(100 * unanswered)
+                                + Math.round(100 * unansweredShare)
                                 + "% found no room"
                         : "";
-        many(play, size, "engines", "engines", days, d -> count);
-        many(play, size, "sum_by_line", "ratio", days, d -> d.cold().most());
-        many(play, size, "windows_over_line", "windows", days, d -> d.cold().over());
-        many(play, size, "starts_broken", "starts", days, d -> d.cold().broken() ? 1 : 0);
-        many(
-                play,
-                size,
+        recordRuns(scenario, dispatchers, "engines", "engines", runs, run -> engineCount);
+        recordRuns(
+                scenario,
+                dispatchers,
+                "sum_by_line",
+                "ratio",
+                runs,
+                run -> run.ramp().maxLoadRatio());
+        recordRuns(
+                scenario,
+                dispatchers,
+                "windows_over_line",
+                "windows",
+                runs,
+                run -> run.ramp().overloadedWindows());
+        recordRuns(
+                scenario,
+                dispatchers,
+                "starts_broken",
+                "starts",
+                runs,
+                run -> run.ramp().isRuleBroken() ? 1 : 0);
+        recordRuns(
+                scenario,
+                dispatchers,
                 "sum_by_line_once_warm",
                 "ratio",
-                days,
-                EngineReplacementSimulation.Joined::mostAfter);
-        age(play, size, "first_query_age", days, EngineReplacementSimulation.Joined::firstAge);
-        age(play, size, "full_share_age", days, EngineReplacementSimulation.Joined::shareAge);
-        many(
-                play,
-                size,
+                runs,
+                EngineReplacementSimulation.ReplacementResult::maxLoadRatioAfterRamp);
+        recordAge(
+                scenario,
+                dispatchers,
+                "first_query_age",
+                runs,
+                EngineReplacementSimulation.ReplacementResult::firstQueryAgeSeconds);
+        recordAge(
+                scenario,
+                dispatchers,
+                "full_share_age",
+                runs,
+                EngineReplacementSimulation.ReplacementResult::fullShareAgeSeconds);
+        recordRuns(
+                scenario,
+                dispatchers,
                 "queries_first_window",
                 "queries",
-                days,
-                EngineReplacementSimulation.Joined::firstWindow);
-        many(
-                play,
-                size,
+                runs,
+                EngineReplacementSimulation.ReplacementResult::firstWindowQueries);
+        recordRuns(
+                scenario,
+                dispatchers,
                 "borne_first_window",
                 "queries",
-                days,
-                EngineReplacementSimulation.Joined::bears);
-        many(play, size, "ramp_used", "ratio", days, d -> d.cold().used());
-        many(
-                play,
-                size,
+                runs,
+                EngineReplacementSimulation.ReplacementResult::firstWindowCapacity);
+        recordRuns(
+                scenario,
+                dispatchers,
+                "ramp_used",
+                "ratio",
+                runs,
+                run -> run.ramp().usedCapacityShare());
+        recordRuns(
+                scenario,
+                dispatchers,
                 "ramp_by_warm_engine",
                 "ratio",
-                days,
-                EngineReplacementSimulation.Joined::rampPart);
-        many(
-                play,
-                size,
+                runs,
+                EngineReplacementSimulation.ReplacementResult::rampShare);
+        recordRuns(
+                scenario,
+                dispatchers,
                 "once_warm_by_engine",
                 "ratio",
-                days,
-                EngineReplacementSimulation.Joined::shareAfter);
-        many(play, size, "queries_per_dispatcher", "1/s", days, d -> d.queriesPerS() / size);
-        many(play, size, "unanswered", "ratio", days, EngineReplacementSimulation.Joined::missed);
+                runs,
+                EngineReplacementSimulation.ReplacementResult::shareAfterRamp);
+        recordRuns(
+                scenario,
+                dispatchers,
+                "queries_per_dispatcher",
+                "1/s",
+                runs,
+                run -> run.queriesPerSecond() / dispatchers);
+        recordRuns(
+                scenario,
+                dispatchers,
+                "unanswered",
+                "ratio",
+                runs,
+                EngineReplacementSimulation.ReplacementResult::unansweredShare);
     }
 
-    /** An age that was not reached in the day is told as the day's end and does not count. */
-    private void age(
-            String play,
-            int size,
-            String figure,
-            List<EngineReplacementSimulation.Joined> days,
-            ToDoubleFunction<EngineReplacementSimulation.Joined> value) {
-        double end =
-                SlowStartSite.MAIN.rules().slowStartDuration()
-                        + EngineReplacementSimulation.AFTER_S;
-        double[] ages = days.stream().mapToDouble(value).toArray();
-        long never = Arrays.stream(ages).filter(Double::isNaN).count();
-        if (never == 0) {
-            figure(play, size, figure, "s", ages);
+    /**
+     * Records an age. If some runs did not reach it, they count as the end of the run and the
+     * result is invalid.
+     */
+    private void recordAge(
+            String scenario,
+            int dispatchers,
+            String metric,
+            List<EngineReplacementSimulation.ReplacementResult> runs,
+            ToDoubleFunction<EngineReplacementSimulation.ReplacementResult> valueOfRun) {
+        double maxAgeSeconds =
+                SlowStartSite.MAIN.guarantees().slowStartDuration()
+                        + EngineReplacementSimulation.AFTER_RAMP_SECONDS;
+        double[] ages = runs.stream().mapToDouble(valueOfRun).toArray();
+        long unreachedCount = Arrays.stream(ages).filter(Double::isNaN).count();
+        if (unreachedCount == 0) {
+            recordMetric(scenario, dispatchers, metric, "s", ages);
         } else {
             double[] sorted =
-                    Arrays.stream(ages).map(a -> Double.isNaN(a) ? end : a).sorted().toArray();
+                    Arrays.stream(ages)
+                            .map(age -> Double.isNaN(age) ? maxAgeSeconds : age)
+                            .sorted()
+                            .toArray();
             results.invalid(
-                    play,
-                    size,
-                    figure,
+                    scenario,
+                    dispatchers,
+                    metric,
                     "s",
                     sorted[sorted.length / 2],
-                    end,
+                    maxAgeSeconds,
                     sorted.length,
-                    never + " of " + sorted.length + " days ended before");
+                    unreachedCount + " of " + sorted.length + " days ended before");
         }
     }
 
-    private void many(
-            String play,
-            int size,
-            String figure,
+    private void recordRuns(
+            String scenario,
+            int dispatchers,
+            String metric,
             String unit,
-            List<EngineReplacementSimulation.Joined> days,
-            ToDoubleFunction<EngineReplacementSimulation.Joined> value) {
-        figure(play, size, figure, unit, days.stream().mapToDouble(value).toArray());
+            List<EngineReplacementSimulation.ReplacementResult> runs,
+            ToDoubleFunction<EngineReplacementSimulation.ReplacementResult> valueOfRun) {
+        recordMetric(
+                scenario,
+                dispatchers,
+                metric,
+                unit,
+                runs.stream().mapToDouble(valueOfRun).toArray());
     }
 
-    /** The largest passes for the worst; of what is better the more there is, the least. */
-    private void figure(String play, int size, String figure, String unit, double... values) {
+    /**
+     * Records the median and the worst value: the largest, or the smallest where a higher value is
+     * better.
+     */
+    private void recordMetric(
+            String scenario, int dispatchers, String metric, String unit, double... values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
-        boolean more =
+        boolean isHigherBetter =
                 List.of(
                                 "queries_first_window",
                                 "borne_first_window",
                                 "ramp_used",
                                 "ramp_by_warm_engine",
                                 "queries_per_dispatcher")
-                        .contains(figure);
-        int n = sorted.length;
-        double median = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
-        double worst = more ? sorted[0] : sorted[n - 1];
-        if (unusable.isEmpty()) {
-            results.add(play, size, figure, unit, median, worst, n);
+                        .contains(metric);
+        int count = sorted.length;
+        double median = (sorted[(count - 1) / 2] + sorted[count / 2]) / 2;
+        double worst = isHigherBetter ? sorted[0] : sorted[count - 1];
+        if (invalidReason.isEmpty()) {
+            results.add(scenario, dispatchers, metric, unit, median, worst, count);
         } else {
-            results.invalid(play, size, figure, unit, median, worst, n, unusable);
+            results.invalid(
+                    scenario, dispatchers, metric, unit, median, worst, count, invalidReason);
         }
         System.out.printf(
                 Locale.ROOT,
                 "%-22s %4d %-22s %10.3f %10.3f %s (%d)%n",
-                play,
-                size,
-                figure,
+                scenario,
+                dispatchers,
+                metric,
                 median,
                 worst,
                 unit,
-                n);
+                count);
     }
 }
--- a/src/test/java/junipercourse/decision/OutlierDetectionTest.java
+++ b/src/test/java/junipercourse/decision/OutlierDetectionTest.java
@@ -14,119 +14,127 @@
 
 /** Which engines are ejected and reinstated. */
 class OutlierDetectionTest {
-    /**
-     * One broken connection at an engine that answers others all the while does not leave it out.
-     */
+    /** One broken connection does not eject an engine that answers other requests. */
     @Test
     void ejectsAnAnsweringEngineOnlyAfterThreeFailedConnections() {
         RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(GUARANTEES, false, IDEMPOTENT));
-        dispatcher.engines(1);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.end(1, 0, dispatcher.sentTo(), AttemptOutcome.OK, true);
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
+        dispatcher.listReadyEngines(1);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.endAttempt(1, 0, dispatcher.takeSentEngineId(), AttemptOutcome.OK, true);
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
         for (int attempt = 0; attempt < 2; attempt++) {
-            dispatcher.end(2, attempt, 1, AttemptOutcome.UNREACHABLE, false);
-            assertTrue(dispatcher.take().stream().noneMatch(a -> a.startsWith("log ejected")));
+            dispatcher.endAttempt(2, attempt, 1, AttemptOutcome.UNREACHABLE, false);
+            assertTrue(
+                    dispatcher.takeActions().stream()
+                            .noneMatch(action -> action.startsWith("log ejected")));
         }
-        dispatcher.end(2, 2, 1, AttemptOutcome.UNREACHABLE, false);
-        assertTrue(dispatcher.take().contains("log ejected engine 1: dead"), "the third in a row");
+        dispatcher.endAttempt(2, 2, 1, AttemptOutcome.UNREACHABLE, false);
+        assertTrue(
+                dispatcher.takeActions().contains("log ejected engine 1: dead"),
+                "third failed connection in a row");
     }
 
     /**
-     * What fails at one engine after the other is at fault itself: no engine is left out for it.
+     * A query that fails on one engine after another is the cause itself, so no engine is ejected
+     * for it.
      */
     @Test
     void ejectsNoEngineForAPoisonQuery() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         for (int i = 0; i < 5; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
             for (int attempt = 0; attempt < 3; attempt++) {
-                dispatcher.end(i, attempt, dispatcher.sentTo(), AttemptOutcome.ERROR, false);
+                dispatcher.endAttempt(
+                        i, attempt, dispatcher.takeSentEngineId(), AttemptOutcome.ERROR, false);
             }
-            assertEquals(List.of("refuse " + i + " 0.5"), dispatcher.take());
+            assertEquals(List.of("reject " + i + " 0.5"), dispatcher.takeActions());
         }
     }
 
-    /** A trial is to tell whether its engine is back: it is not called off for being there. */
+    /** A probation attempt tests whether its engine has recovered, so its cutoff does not apply. */
     @Test
     void doesNotCancelAProbation() {
         RecordingDispatcher dispatcher = withFourEngines(IDEMPOTENT);
         trainCutoff(dispatcher, 0);
         for (int i = 0; i < 2; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
-            dispatcher.end(i, 0, dispatcher.sentTo(), AttemptOutcome.OK, true);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
+            dispatcher.endAttempt(i, 0, dispatcher.takeSentEngineId(), AttemptOutcome.OK, true);
         }
-        dispatcher.request(10, 0, dispatcher.now + 10, 0);
-        long dead = dispatcher.sentTo();
-        dispatcher.end(10, 0, dead, AttemptOutcome.RESET, false);
-        dispatcher.end(10, 1, dispatcher.sentTo(), AttemptOutcome.OK, true);
-        dispatcher.run(1.1);
-        for (int i = 11; i < 30; i++) { // one of them is the trial
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
+        dispatcher.receiveRequest(10, 0, dispatcher.now + 10, 0);
+        long ejectedId = dispatcher.takeSentEngineId();
+        dispatcher.endAttempt(10, 0, ejectedId, AttemptOutcome.RESET, false);
+        dispatcher.endAttempt(10, 1, dispatcher.takeSentEngineId(), AttemptOutcome.OK, true);
+        dispatcher.advance(1.1);
+        for (int i = 11; i < 30; i++) { // one of them is the probation attempt
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
         }
-        assertTrue(dispatcher.take().stream().anyMatch(a -> a.matches("send \\d+ " + dead)));
-        dispatcher.run(0.6);
-        assertEquals(List.of(), dispatcher.take());
+        assertTrue(
+                dispatcher.takeActions().stream()
+                        .anyMatch(action -> action.matches("send \\d+ " + ejectedId)));
+        dispatcher.advance(0.6);
+        assertEquals(List.of(), dispatcher.takeActions());
     }
 
-    /** A site whose classes are all NOT_IDEMPOTENT must get an ejected engine back too. */
+    /** A site whose classes are all NOT_IDEMPOTENT must reinstate an ejected engine too. */
     @Test
     void startsAProbationWithoutAnyIdempotentClass() {
         RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(GUARANTEES, false, NOT_IDEMPOTENT));
-        dispatcher.engines(1);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.end(1, 0, 1, AttemptOutcome.RESET, false);
-        dispatcher.take();
-        dispatcher.run(5);
-        dispatcher.request(2, 0, dispatcher.now + 20, 0);
-        assertEquals(List.of(), dispatcher.take());
-        dispatcher.run(5);
-        assertEquals(1, dispatcher.sentTo());
+        dispatcher.listReadyEngines(1);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.endAttempt(1, 0, 1, AttemptOutcome.RESET, false);
+        dispatcher.takeActions();
+        dispatcher.advance(5);
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 20, 0);
+        assertEquals(List.of(), dispatcher.takeActions());
+        dispatcher.advance(5);
+        assertEquals(1, dispatcher.takeSentEngineId());
     }
 
-    /** Errors come fast, so the engine would look idle and draw all traffic. */
+    /**
+     * Errors return fast, so without ejection the engine would look idle and attract all traffic.
+     */
     @Test
     void ejectsAfterTwoErrorsAndReinstatesAfterAnAnswer() {
         RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(GUARANTEES, false, IDEMPOTENT));
-        dispatcher.engines(1);
-        dispatcher.take();
+        dispatcher.listReadyEngines(1);
+        dispatcher.takeActions();
         for (int i = 1; i <= 2; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
-            dispatcher.take();
-            dispatcher.end(i, 0, 1, AttemptOutcome.ERROR, true);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
+            dispatcher.takeActions();
+            dispatcher.endAttempt(i, 0, 1, AttemptOutcome.ERROR, true);
             assertEquals(
                     i < 2 ? List.of() : List.of("log ejected engine 1: failing"),
-                    dispatcher.take());
+                    dispatcher.takeActions());
         }
-        dispatcher.request(3, 0, dispatcher.now + 10, 0);
-        assertEquals(List.of(), dispatcher.take());
-        dispatcher.run(1.1);
-        assertEquals(1, dispatcher.sentTo());
-        dispatcher.end(3, 0, 1, AttemptOutcome.OK, true);
-        assertEquals(List.of("log readmitted engine 1"), dispatcher.take());
+        dispatcher.receiveRequest(3, 0, dispatcher.now + 10, 0);
+        assertEquals(List.of(), dispatcher.takeActions());
+        dispatcher.advance(1.1);
+        assertEquals(1, dispatcher.takeSentEngineId());
+        dispatcher.endAttempt(3, 0, 1, AttemptOutcome.OK, true);
+        assertEquals(List.of("log readmitted engine 1"), dispatcher.takeActions());
     }
 
-    /** Answers lost by reset on most engines at once must leave engines to send to. */
+    /** Answers lost by a reset on most engines at once must leave engines to send to. */
     @Test
     void ejectsAtMostAThirdOfTheEngines() {
         RecordingDispatcher dispatcher =
                 new RecordingDispatcher(
                         RecordingDispatcher.settings(GUARANTEES, false, IDEMPOTENT));
-        dispatcher.engines(12);
+        dispatcher.listReadyEngines(12);
         int ejected = 0;
         for (int i = 1; i <= 40; i++) {
-            dispatcher.request(i, 0, dispatcher.now + 10, 0);
-            dispatcher.end(i, 0, dispatcher.sentTo(), AttemptOutcome.RESET, true);
+            dispatcher.receiveRequest(i, 0, dispatcher.now + 10, 0);
+            dispatcher.endAttempt(i, 0, dispatcher.takeSentEngineId(), AttemptOutcome.RESET, true);
             ejected +=
                     (int)
-                            dispatcher.take().stream()
-                                    .filter(a -> a.startsWith("log ejected"))
+                            dispatcher.takeActions().stream()
+                                    .filter(action -> action.startsWith("log ejected"))
                                     .count();
         }
         assertEquals(4, ejected);
--- a/src/test/java/junipercourse/decision/OverloadedFleetTest.java
+++ b/src/test/java/junipercourse/decision/OverloadedFleetTest.java
@@ -15,17 +15,20 @@
 import junipercourse.decision.api.ServiceGuarantees;
 import org.junit.jupiter.api.Test;
 
-/** What many dispatchers do together to engines of 10 cores; each knows only its own part. */
+/**
+ * Combined behaviour of many dispatchers, each of which knows only its own attempts, on engines of
+ * 10 cores.
+ */
 class OverloadedFleetTest {
     static final int DISPATCHERS = 14;
     static final double WORK_SECONDS = 0.3;
     private static final double CONGESTED_SECONDS = WORK_SECONDS * 5;
-    private static final long NEW = 99;
+    private static final long NEW_ENGINE_ID = 99;
 
-    private static List<SimulatedDispatcher> fleet(LoadMetric told, int engines) {
+    private static List<SimulatedDispatcher> newFleet(LoadMetric loadMetric, int engineCount) {
         List<SimulatedDispatcher> fleet = new ArrayList<>();
         for (int i = 0; i < DISPATCHERS; i++) {
-            fleet.add(new SimulatedDispatcher(i, told, engines));
+            fleet.add(new SimulatedDispatcher(i, loadMetric, engineCount));
         }
         return fleet;
     }
@@ -33,98 +36,116 @@
     @Test
     void limitsAttemptsWhenTheFleetIsCongested() {
         long sent = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.BUSY, 12)) {
-            simulated.serve(15, e -> CONGESTED_SECONDS, e -> 0.4);
-            simulated.ask(100, e -> CONGESTED_SECONDS);
-            sent += simulated.out.size();
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 12)) {
+            simulated.serveSteadyLoad(15, engineId -> CONGESTED_SECONDS, engineId -> 0.4);
+            simulated.sendRequests(100, engineId -> CONGESTED_SECONDS);
+            sent += simulated.openAttemptsByAnswerTime.size();
         }
-        assertTrue(sent > 72, "they still get work, 0.6 threads a core: " + sent);
-        assertTrue(sent <= 120 * 2.2, "threads out on 120 cores: " + sent);
+        assertTrue(sent > 72, "too few open attempts, below 0.6 threads a core: " + sent);
+        assertTrue(sent <= 120 * 2.2, "threads in use on 120 cores: " + sent);
     }
 
     @Test
     void admitsABurstWhenEnginesAreIdle() {
-        SimulatedDispatcher simulated = fleet(LoadMetric.BUSY, 12).get(0);
-        simulated.serve(15, e -> WORK_SECONDS, e -> 0.1);
+        SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 12).get(0);
+        simulated.serveSteadyLoad(15, engineId -> WORK_SECONDS, engineId -> 0.1);
         assertEquals(
                 40,
-                simulated.ask(40, e -> WORK_SECONDS).size(),
-                "far over our part, which others leave free");
+                simulated.sendRequests(40, engineId -> WORK_SECONDS).size(),
+                "far above its own share, since others leave theirs unused");
     }
 
-    /** In a jam the engine that thrashes most tells of the least busy cores. */
+    /** During congestion the engine that thrashes most reports the least busy cores. */
     @Test
-    void doesNotCrowdAnEngineWithIdleCoresDuringCongestion() {
-        long crowd = 0;
-        long all = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.BUSY, 12)) {
-            simulated.serve(10, e -> CONGESTED_SECONDS, e -> 0.6);
-            int before = simulated.sentTo.size();
-            simulated.serve(20, e -> CONGESTED_SECONDS, e -> e == 1 ? 0 : 0.6);
-            List<Long> then = simulated.sentTo.subList(before, simulated.sentTo.size());
-            crowd += then.stream().filter(e -> e == 1).count();
-            all += then.size();
+    void doesNotOverloadAnEngineThatReportsIdleCoresDuringCongestion() {
+        long sentToIdle = 0;
+        long sentInTotal = 0;
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 12)) {
+            simulated.serveSteadyLoad(10, engineId -> CONGESTED_SECONDS, engineId -> 0.6);
+            int countBefore = simulated.sentEngineIds.size();
+            simulated.serveSteadyLoad(
+                    20, engineId -> CONGESTED_SECONDS, engineId -> engineId == 1 ? 0 : 0.6);
+            List<Long> recent =
+                    simulated.sentEngineIds.subList(countBefore, simulated.sentEngineIds.size());
+            sentToIdle += recent.stream().filter(engineId -> engineId == 1).count();
+            sentInTotal += recent.size();
         }
-        assertTrue(crowd < all / 6, crowd + " of " + all + " to one of 12");
+        assertTrue(
+                sentToIdle < sentInTotal / 6,
+                sentToIdle + " of " + sentInTotal + " sent to one engine of 12");
     }
 
     /**
-     * What outlives its cutoff because all do is not started anew: that would crowd the fleet more.
+     * An attempt that passes its cutoff because all attempts are slow is not restarted, since that
+     * would add to the congestion.
      */
     @Test
     void restartsLessWhenTheFleetIsCongested() {
-        SimulatedDispatcher quick = fleet(LoadMetric.BUSY, 12).get(0);
-        SimulatedDispatcher jammed = fleet(LoadMetric.BUSY, 12).get(0);
-        quick.serve(15, e -> WORK_SECONDS * 1.2, e -> 0.5);
-        jammed.serve(15, e -> WORK_SECONDS * 6, e -> 0.5);
-        long before = jammed.cancels;
-        quick.ask(1, e -> 60);
-        quick.run(3, e -> 60, e -> 0.5);
-        jammed.ask(1, e -> 60);
-        jammed.run(3, e -> 60, e -> 0.5);
-        assertEquals(1, quick.cancels);
-        assertEquals(before, jammed.cancels, "at a time that most need in the jam");
+        SimulatedDispatcher uncongested = newFleet(LoadMetric.BUSY, 12).get(0);
+        SimulatedDispatcher congested = newFleet(LoadMetric.BUSY, 12).get(0);
+        uncongested.serveSteadyLoad(15, engineId -> WORK_SECONDS * 1.2, engineId -> 0.5);
+        congested.serveSteadyLoad(15, engineId -> WORK_SECONDS * 6, engineId -> 0.5);
+        long countBefore = congested.cancelCount;
+        uncongested.sendRequests(1, engineId -> 60);
+        uncongested.advance(3, engineId -> 60, engineId -> 0.5);
+        congested.sendRequests(1, engineId -> 60);
+        congested.advance(3, engineId -> 60, engineId -> 0.5);
+        assertEquals(1, uncongested.cancelCount);
+        assertEquals(
+                countBefore,
+                congested.cancelCount,
+                "cancelled at an age that is usual during congestion");
     }
 
-    /** One slow answer of a quick fleet is chance, and its engine's idle cores are believed. */
+    /**
+     * One slow answer of a fast fleet is chance, so the idle cores that its engine reports count.
+     */
     @Test
     void choosesAnEngineWithIdleCoresWithoutCongestion() {
         long chosen = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.BUSY, 3)) {
-            simulated.serve(10, e -> WORK_SECONDS, e -> 0.8);
-            simulated.ask(8, e -> e == 1 ? CONGESTED_SECONDS : WORK_SECONDS);
-            simulated.run(CONGESTED_SECONDS + 0.1, e -> WORK_SECONDS, e -> e == 1 ? 0 : 0.8);
-            chosen += simulated.ask(1, e -> WORK_SECONDS).get(0) == 1 ? 1 : 0;
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 3)) {
+            simulated.serveSteadyLoad(10, engineId -> WORK_SECONDS, engineId -> 0.8);
+            simulated.sendRequests(8, engineId -> engineId == 1 ? CONGESTED_SECONDS : WORK_SECONDS);
+            simulated.advance(
+                    CONGESTED_SECONDS + 0.1,
+                    engineId -> WORK_SECONDS,
+                    engineId -> engineId == 1 ? 0 : 0.8);
+            chosen += simulated.sendRequests(1, engineId -> WORK_SECONDS).get(0) == 1 ? 1 : 0;
         }
-        assertTrue(chosen > DISPATCHERS / 2, "chosen by " + chosen);
+        assertTrue(chosen > DISPATCHERS / 2, "number of dispatchers that chose it: " + chosen);
     }
 
     /**
-     * A first try that the less loaded back tier has no room for does not wait while the front has.
+     * A first attempt for which the less loaded back tier has no capacity does not wait while the
+     * front tier has some.
      */
     @Test
     void sendsFirstAttemptsToTheFrontTierWhenTheBackTierIsFull() {
-        long asked = 0;
-        long atOnce = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.IN_FLIGHT, 12)) {
-            ToDoubleFunction<Long> latency = e -> e >= 10 ? WORK_SECONDS * 2 : WORK_SECONDS * 6;
-            ToDoubleFunction<Long> inHand = e -> e >= 10 ? 24 : 10;
-            simulated.serve(15, latency, inHand);
+        long requestCount = 0;
+        long sentAtOnce = 0;
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 12)) {
+            ToDoubleFunction<Long> latency =
+                    engineId -> engineId >= 10 ? WORK_SECONDS * 2 : WORK_SECONDS * 6;
+            ToDoubleFunction<Long> reportedInFlight = engineId -> engineId >= 10 ? 24 : 10;
+            simulated.serveSteadyLoad(15, latency, reportedInFlight);
             for (int i = 0; i < 8; i++) {
-                asked++;
-                atOnce += simulated.ask(1, latency).size();
-                simulated.run(0.5, latency, inHand);
+                requestCount++;
+                sentAtOnce += simulated.sendRequests(1, latency).size();
+                simulated.advance(0.5, latency, reportedInFlight);
             }
         }
         assertTrue(
-                atOnce > asked * 0.8,
-                atOnce + " of " + asked + ", which fit by chance into our part");
+                sentAtOnce > requestCount * 0.8,
+                sentAtOnce
+                        + " of "
+                        + requestCount
+                        + " sent at once, within the share of a dispatcher by chance");
     }
 
     @Test
     void treatsAnEngineThatRejectsAsFull() {
-        SimulatedDispatcher simulated = fleet(LoadMetric.BUSY, 1).get(0);
-        simulated.ask(1, e -> WORK_SECONDS);
+        SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 1).get(0);
+        simulated.sendRequests(1, engineId -> WORK_SECONDS);
         simulated.dispatcher.module.attemptEnded(
                 simulated.dispatcher.now,
                 new AttemptResult(
@@ -140,98 +161,131 @@
         simulated.dispatcher.module.decide(simulated.dispatcher.now);
         assertEquals(
                 List.of(),
-                simulated.dispatcher.take().stream().filter(a -> a.startsWith("send")).toList());
+                simulated.dispatcher.takeActions().stream()
+                        .filter(action -> action.startsWith("send"))
+                        .toList());
     }
 
     @Test
     void ignoresAttemptsAtDrainingEnginesInTheLimit() {
-        SimulatedDispatcher simulated = fleet(LoadMetric.BUSY, 4).get(0);
-        simulated.serve(15, e -> WORK_SECONDS, e -> 0.1);
-        assertEquals(20, simulated.ask(20, e -> 30).size());
-        for (long e = 1; e <= 3; e++) {
-            simulated.list(e, EngineStage.DRAINING, 0);
+        SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 4).get(0);
+        simulated.serveSteadyLoad(15, engineId -> WORK_SECONDS, engineId -> 0.1);
+        assertEquals(20, simulated.sendRequests(20, engineId -> 30).size());
+        for (long engineId = 1; engineId <= 3; engineId++) {
+            simulated.updateEngine(engineId, EngineStage.DRAINING, 0);
         }
-        assertTrue(simulated.ask(10, e -> 30).size() > 0, "the last one has room");
+        assertTrue(
+                simulated.sendRequests(10, engineId -> 30).size() > 0,
+                "the last engine has capacity");
     }
 
     /**
-     * All are so full that nobody's guess of a new one leaves room: it must not be guessed alike.
+     * All engines are so full that the same estimate for a new engine would leave no capacity: it
+     * must be estimated differently.
      */
     @Test
     void usesANewEngineWhenAllOthersAreFull() {
         long sent = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.IN_FLIGHT, 4)) {
-            simulated.serve(5, e -> WORK_SECONDS, e -> 60);
-            simulated.list(NEW, EngineStage.READY, simulated.dispatcher.now);
-            simulated.ask(1, e -> 30);
-            simulated.run(3, e -> 30, e -> 60);
-            sent += simulated.sentTo.stream().filter(e -> e == NEW).count();
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 4)) {
+            simulated.serveSteadyLoad(5, engineId -> WORK_SECONDS, engineId -> 60);
+            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, simulated.dispatcher.now);
+            simulated.sendRequests(1, engineId -> 30);
+            simulated.advance(3, engineId -> 30, engineId -> 60);
+            sent +=
+                    simulated.sentEngineIds.stream()
+                            .filter(engineId -> engineId == NEW_ENGINE_ID)
+                            .count();
         }
-        assertTrue(sent > 3, "sent by all " + sent);
+        assertTrue(sent > 3, "sent by all dispatchers: " + sent);
     }
 
-    /** Once its last word is old, a cold engine is taken to have as much less as it bears less. */
+    /**
+     * Once its last report is old, a warming engine is assumed to have less external load in
+     * proportion to its lower capacity.
+     */
     @Test
     void assumesLessExternalLoadOnAWarmingEngine() {
         long sent = 0;
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.IN_FLIGHT, 4)) {
-            simulated.serve(5, e -> WORK_SECONDS, e -> 14);
-            simulated.list(NEW, EngineStage.READY, simulated.dispatcher.now);
-            simulated.run(0.1, e -> WORK_SECONDS, e -> 14);
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 4)) {
+            simulated.serveSteadyLoad(5, engineId -> WORK_SECONDS, engineId -> 14);
+            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, simulated.dispatcher.now);
+            simulated.advance(0.1, engineId -> WORK_SECONDS, engineId -> 14);
             simulated.dispatcher.module.probeCompleted(
                     simulated.dispatcher.now,
-                    new EngineId(NEW),
+                    new EngineId(NEW_ENGINE_ID),
                     AttemptOutcome.OK,
                     0,
                     new float[] {0});
-            simulated.serve(4, e -> WORK_SECONDS, e -> e == NEW ? 0 : 14);
-            simulated.dispatcher.run(1);
-            int before = simulated.sentTo.size();
-            simulated.serve(1, e -> WORK_SECONDS, e -> e == NEW ? 0 : 14);
+            simulated.serveSteadyLoad(
+                    4, engineId -> WORK_SECONDS, engineId -> engineId == NEW_ENGINE_ID ? 0 : 14);
+            simulated.dispatcher.advance(1);
+            int countBefore = simulated.sentEngineIds.size();
+            simulated.serveSteadyLoad(
+                    1, engineId -> WORK_SECONDS, engineId -> engineId == NEW_ENGINE_ID ? 0 : 14);
             sent +=
-                    simulated.sentTo.subList(before, simulated.sentTo.size()).stream()
-                            .filter(e -> e == NEW)
+                    simulated
+                            .sentEngineIds
+                            .subList(countBefore, simulated.sentEngineIds.size())
+                            .stream()
+                            .filter(engineId -> engineId == NEW_ENGINE_ID)
                             .count();
         }
-        assertTrue(sent > DISPATCHERS, "sent by all " + sent);
+        assertTrue(sent > DISPATCHERS, "sent by all dispatchers: " + sent);
     }
 
     /**
-     * All hear of a new engine at once while the others are full: it is used, and not pushed over.
+     * All dispatchers learn of a new engine at the same time while the others are full: it is used
+     * and not overloaded.
      */
     @Test
-    void useANewEngineTogetherWithinItsSlowStartBudget() {
-        ServiceGuarantees g = RecordingDispatcher.GUARANTEES;
+    void usesANewEngineWithinItsSlowStartBudgetAcrossDispatchers() {
+        ServiceGuarantees guarantees = RecordingDispatcher.GUARANTEES;
         List<Double> sentAt = new ArrayList<>();
-        for (SimulatedDispatcher simulated : fleet(LoadMetric.BUSY, 4)) {
-            simulated.serve(15, e -> CONGESTED_SECONDS, e -> 1);
-            double start = simulated.dispatcher.now;
-            simulated.list(NEW, EngineStage.READY, start);
+        for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 4)) {
+            simulated.serveSteadyLoad(15, engineId -> CONGESTED_SECONDS, engineId -> 1);
+            double listedAt = simulated.dispatcher.now;
+            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, listedAt);
             for (int i = 0; i < 80; i++) {
-                simulated.ask(1, e -> e == NEW ? WORK_SECONDS : CONGESTED_SECONDS);
-                simulated.run(
+                simulated.sendRequests(
+                        1,
+                        engineId -> engineId == NEW_ENGINE_ID ? WORK_SECONDS : CONGESTED_SECONDS);
+                simulated.advance(
                         0.075,
-                        e -> e == NEW ? WORK_SECONDS : CONGESTED_SECONDS,
-                        e -> e == NEW ? 0.3 : 1);
+                        engineId -> engineId == NEW_ENGINE_ID ? WORK_SECONDS : CONGESTED_SECONDS,
+                        engineId -> engineId == NEW_ENGINE_ID ? 0.3 : 1);
             }
-            for (int i = 0; i < simulated.sentTo.size(); i++) {
-                if (simulated.sentTo.get(i) == NEW) {
-                    sentAt.add(simulated.sentAt.get(i) - start);
+            for (int i = 0; i < simulated.sentEngineIds.size(); i++) {
+                if (simulated.sentEngineIds.get(i) == NEW_ENGINE_ID) {
+                    sentAt.add(simulated.sendTimes.get(i) - listedAt);
                 }
             }
         }
-        long soon = sentAt.stream().filter(t -> t < 3).count();
+        long sentInFirstWindow = sentAt.stream().filter(time -> time < 3).count();
         assertTrue(
-                soon * WORK_SECONDS > 0.3 * g.slowStartInitialCapacity() * 10 * 3,
-                "left idle, sent " + soon);
-        for (double from = 0; from < 6; from += 0.1) {
-            double at = from;
-            double work =
-                    sentAt.stream().filter(t -> t >= at && t < at + g.overloadWindow()).count()
+                sentInFirstWindow * WORK_SECONDS
+                        > 0.3 * guarantees.slowStartInitialCapacity() * 10 * 3,
+                "left idle, attempts sent: " + sentInFirstWindow);
+        for (double start = 0; start < 6; start += 0.1) {
+            double windowStart = start;
+            double workSeconds =
+                    sentAt.stream()
+                                    .filter(
+                                            time ->
+                                                    time >= windowStart
+                                                            && time
+                                                                    < windowStart
+                                                                            + guarantees
+                                                                                    .overloadWindow())
+                                    .count()
                             * WORK_SECONDS;
-            double most =
-                    g.overloadMultiple() * g.slowStartInitialCapacity() * 10 * g.overloadWindow();
-            assertTrue(work <= most, "work " + work + " of " + most + " from " + from);
+            double maxWorkSeconds =
+                    guarantees.overloadMultiple()
+                            * guarantees.slowStartInitialCapacity()
+                            * 10
+                            * guarantees.overloadWindow();
+            assertTrue(
+                    workSeconds <= maxWorkSeconds,
+                    "work " + workSeconds + " of " + maxWorkSeconds + " from " + start);
         }
     }
 }
--- a/src/test/java/junipercourse/decision/RecordingDispatcher.java
+++ b/src/test/java/junipercourse/decision/RecordingDispatcher.java
@@ -25,12 +25,12 @@
 import junipercourse.decision.api.RequestId;
 import junipercourse.decision.api.ServiceGuarantees;
 
-/** A module with recorded actions and a hand-set clock. */
+/** A module whose actions are recorded as text, with a clock that the test sets. */
 final class RecordingDispatcher implements DispatcherActions {
     static final ServiceGuarantees GUARANTEES =
             new ServiceGuarantees(0.02, 0.5, 0.3, 10, 2.5, 3, 1, 0, 0, 0, 10);
 
-    final List<String> log = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     final List<byte[]> peerPayloads = new ArrayList<>();
     final TagsDispatcher module;
     double now = 100;
@@ -43,35 +43,36 @@
         module = new TagsDispatcher(settings, seed, this);
     }
 
-    static DecisionSettings many(int gateways, QueryClass... classes) {
-        DecisionSettings s = settings(GUARANTEES, false, classes);
+    static DecisionSettings fleetSettings(int dispatchers, QueryClass... classes) {
+        DecisionSettings base = settings(GUARANTEES, false, classes);
         return new DecisionSettings(
-                gateways,
+                dispatchers,
                 0,
                 0,
                 false,
-                s.capacityRating(),
+                base.capacityRating(),
                 1,
-                s.loadReportChannel(),
-                s.loadMetrics(),
-                s.queryClasses(),
+                base.loadReportChannel(),
+                base.loadMetrics(),
+                base.queryClasses(),
                 List.of(),
-                s.engineKinds(),
-                s.limits(),
-                s.guarantees(),
-                s.engineCapabilities());
+                base.engineKinds(),
+                base.limits(),
+                base.guarantees(),
+                base.engineCapabilities());
     }
 
-    static QueryClass queryClass(Idempotency effect, double aim, double deadline, int threads) {
+    static QueryClass queryClass(
+            Idempotency idempotency, double objectiveSeconds, double deadlineSeconds, int threads) {
         return new QueryClass(
                 "c",
-                effect,
+                idempotency,
                 DeduplicationScope.ALL,
                 5,
                 false,
-                aim,
+                objectiveSeconds,
                 0,
-                deadline,
+                deadlineSeconds,
                 1,
                 0.5,
                 threads,
@@ -82,7 +83,7 @@
     }
 
     static DecisionSettings settings(
-            ServiceGuarantees guarantees, boolean copies, QueryClass... classes) {
+            ServiceGuarantees guarantees, boolean hedgingAllowed, QueryClass... classes) {
         return new DecisionSettings(
                 1,
                 0,
@@ -95,35 +96,43 @@
                 List.of(classes),
                 List.of(),
                 List.of(new EngineKind("k", 10, 10000)),
-                new PlatformLimits(true, false, false, copies, true, 0.5, 4, 0.25),
+                new PlatformLimits(true, false, false, hedgingAllowed, true, 0.5, 4, 0.25),
                 guarantees,
                 new EngineCapabilities(
                         false, false, 0.4, OutOfMemoryPolicy.SHRINK_GRANT, 0, false));
     }
 
-    static EngineListing engine(long id, EngineStage stage, double startedAt) {
+    static EngineListing listing(long id, EngineStage stage, double startedAt) {
         return new EngineListing(
                 new EngineId(id), (int) (id % 2), 0, (int) id, stage, 1, startedAt);
     }
 
-    void engines(int count) {
-        List<EngineListing> list = new ArrayList<>();
+    void listReadyEngines(int count) {
+        List<EngineListing> listings = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            list.add(engine(i, EngineStage.READY, 0));
+            listings.add(listing(i, EngineStage.READY, 0));
         }
-        module.endpointsChanged(now, EndpointUpdateKind.FULL, list);
+        module.endpointsChanged(now, EndpointUpdateKind.FULL, listings);
         module.decide(now);
     }
 
-    void request(long id, int queryClass, double notAfter, long key) {
+    void receiveRequest(long id, int queryClass, double deadlineAt, long key) {
         module.requestReceived(
                 now,
                 new QueryRequest(
-                        new RequestId(id), queryClass, 0, notAfter, key, 0, Double.NaN, 0, false));
+                        new RequestId(id),
+                        queryClass,
+                        0,
+                        deadlineAt,
+                        key,
+                        0,
+                        Double.NaN,
+                        0,
+                        false));
         module.decide(now);
     }
 
-    void end(long id, int attempt, long engine, AttemptOutcome outcome, boolean ended) {
+    void endAttempt(long id, int attempt, long engine, AttemptOutcome outcome, boolean isFinished) {
         module.attemptEnded(
                 now,
                 new AttemptResult(
@@ -132,15 +141,15 @@
                         new EngineId(engine),
                         outcome,
                         0,
-                        ended,
+                        isFinished,
                         0,
                         0,
                         new float[0]));
         module.decide(now);
     }
 
-    /** Moves the clock on, firing the module's timer as a gateway would. */
-    void run(double seconds) {
+    /** Advances the clock in steps of 25 ms and fires the timer at each, as a gateway does. */
+    void advance(double seconds) {
         int ticks = (int) Math.round(seconds / 0.025);
         for (int i = 0; i < ticks; i++) {
             now += 0.025;
@@ -149,72 +158,73 @@
         }
     }
 
-    /** The actions so far, timers left out; starts afresh. */
-    List<String> take() {
-        List<String> out = List.copyOf(log);
-        log.clear();
-        return out;
+    /** Returns and clears the recorded actions; timers are not recorded. */
+    List<String> takeActions() {
+        List<String> recorded = List.copyOf(actions);
+        actions.clear();
+        return recorded;
     }
 
-    /** The engine of the only send among the actions so far. */
-    long sentTo() {
-        List<String> sends = take().stream().filter(a -> a.startsWith("send")).toList();
+    /** Returns the engine id of the only attempt among the recorded actions and clears them. */
+    long takeSentEngineId() {
+        List<String> sends =
+                takeActions().stream().filter(action -> action.startsWith("send")).toList();
         if (sends.size() != 1) {
-            throw new AssertionError("sends: " + sends);
+            throw new AssertionError("expected one attempt: " + sends);
         }
         return Long.parseLong(sends.get(0).split(" ")[2]);
     }
 
     @Override
-    public void startAttempt(RequestId id, EngineId engine, double giveUpAfter) {
-        log.add("send " + id.value() + " " + engine.value());
+    public void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
+        actions.add("send " + id.value() + " " + engine.value());
     }
 
     @Override
     public void cancelAttempt(RequestId id, int attempt) {
-        log.add("cancel " + id.value() + " " + attempt);
+        actions.add("cancel " + id.value() + " " + attempt);
     }
 
     @Override
-    public void reject(RequestId id, double coolDown) {
-        log.add("refuse " + id.value() + " " + coolDown);
+    public void reject(RequestId id, double retryAfterSeconds) {
+        actions.add("reject " + id.value() + " " + retryAfterSeconds);
     }
 
     @Override
     public void fail(RequestId id) {
-        log.add("fail " + id.value());
+        actions.add("fail " + id.value());
     }
 
     @Override
     public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
-        log.add("terms " + id.value() + " " + priority + " " + memoryMb);
+        actions.add("terms " + id.value() + " " + priority + " " + memoryMb);
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        if (!(delay > 0)) {
-            throw new AssertionError("timer " + delay);
+    public void scheduleTimer(double delaySeconds, long token) {
+        if (!(delaySeconds > 0)) {
+            throw new AssertionError("timer delay " + delaySeconds);
         }
     }
 
     @Override
     public void probeEngine(EngineId engine) {
-        log.add("probe " + engine.value());
+        actions.add("probe " + engine.value());
     }
 
     @Override
     public void broadcastToPeers(byte[] payload) {
-        log.add("tell " + payload.length);
+        actions.add("broadcast " + payload.length);
         peerPayloads.add(payload);
     }
 
     @Override
     public void subscribeToEndpoints() {
-        log.add("subscribe");
+        actions.add("subscribe");
     }
 
     @Override
     public void log(String line) {
-        log.add("log " + line);
+        actions.add("log " + line);
     }
 }
--- a/src/test/java/junipercourse/decision/RetryTest.java
+++ b/src/test/java/junipercourse/decision/RetryTest.java
@@ -21,39 +21,46 @@
     void failsNonIdempotentRequestAfterAReset() {
         RecordingDispatcher dispatcher = withFourEngines(NOT_IDEMPOTENT);
         trainCutoff(dispatcher, 0);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        long engine = dispatcher.sentTo();
-        dispatcher.run(5);
-        assertEquals(List.of(), dispatcher.take());
-        dispatcher.end(1, 0, engine, AttemptOutcome.RESET, false);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        long engine = dispatcher.takeSentEngineId();
+        dispatcher.advance(5);
+        assertEquals(List.of(), dispatcher.takeActions());
+        dispatcher.endAttempt(1, 0, engine, AttemptOutcome.RESET, false);
         assertEquals(
-                List.of("log ejected engine " + engine + ": dead", "fail 1"), dispatcher.take());
+                List.of("log ejected engine " + engine + ": dead", "fail 1"),
+                dispatcher.takeActions());
     }
 
     @Test
     void retriesNonIdempotentRequestThatNeverRan() {
         RecordingDispatcher dispatcher = withFourEngines(NOT_IDEMPOTENT);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        long engine = dispatcher.sentTo();
-        dispatcher.end(1, 0, engine, AttemptOutcome.REJECTED, false);
-        assertTrue(dispatcher.sentTo() != engine);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        long engine = dispatcher.takeSentEngineId();
+        dispatcher.endAttempt(1, 0, engine, AttemptOutcome.REJECTED, false);
+        assertTrue(dispatcher.takeSentEngineId() != engine);
     }
 
     @Test
     void rejectsWhenTheRetryBudgetIsSpent() {
-        ServiceGuarantees g = new ServiceGuarantees(0.02, 0.5, 0.3, 10, 2.5, 3, 1, 10, 1, 0, 10);
+        ServiceGuarantees guarantees =
+                new ServiceGuarantees(0.02, 0.5, 0.3, 10, 2.5, 3, 1, 10, 1, 0, 10);
         RecordingDispatcher dispatcher =
-                new RecordingDispatcher(RecordingDispatcher.settings(g, false, IDEMPOTENT));
-        dispatcher.engines(4);
-        dispatcher.request(1, 0, dispatcher.now + 10, 0);
-        dispatcher.request(2, 0, dispatcher.now + 10, 0);
-        List<String> sends = dispatcher.take();
-        dispatcher.end(
+                new RecordingDispatcher(
+                        RecordingDispatcher.settings(guarantees, false, IDEMPOTENT));
+        dispatcher.listReadyEngines(4);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 10, 0);
+        dispatcher.receiveRequest(2, 0, dispatcher.now + 10, 0);
+        List<String> sends = dispatcher.takeActions();
+        dispatcher.endAttempt(
                 1, 0, Long.parseLong(sends.get(0).split(" ")[2]), AttemptOutcome.REJECTED, false);
-        assertEquals(1, dispatcher.take().stream().filter(a -> a.startsWith("send 1")).count());
-        dispatcher.end(
+        assertEquals(
+                1,
+                dispatcher.takeActions().stream()
+                        .filter(action -> action.startsWith("send 1"))
+                        .count());
+        dispatcher.endAttempt(
                 2, 0, Long.parseLong(sends.get(1).split(" ")[2]), AttemptOutcome.REJECTED, false);
-        assertEquals(List.of("refuse 2 0.5"), dispatcher.take());
+        assertEquals(List.of("reject 2 0.5"), dispatcher.takeActions());
     }
 
     @Test
@@ -64,13 +71,14 @@
                         .deadline(20)
                         .build();
         RecordingDispatcher dispatcher = withFourEngines(keyed);
-        dispatcher.request(1, 0, dispatcher.now + 20, 0);
-        long engine = dispatcher.sentTo();
-        dispatcher.end(1, 0, engine, AttemptOutcome.ERROR, false);
-        assertEquals(engine, dispatcher.sentTo());
-        dispatcher.run(6);
-        dispatcher.end(1, 1, engine, AttemptOutcome.ERROR, false);
+        dispatcher.receiveRequest(1, 0, dispatcher.now + 20, 0);
+        long engine = dispatcher.takeSentEngineId();
+        dispatcher.endAttempt(1, 0, engine, AttemptOutcome.ERROR, false);
+        assertEquals(engine, dispatcher.takeSentEngineId());
+        dispatcher.advance(6);
+        dispatcher.endAttempt(1, 1, engine, AttemptOutcome.ERROR, false);
         assertEquals(
-                List.of("log ejected engine " + engine + ": failing", "fail 1"), dispatcher.take());
+                List.of("log ejected engine " + engine + ": failing", "fail 1"),
+                dispatcher.takeActions());
     }
 }
--- a/src/test/java/junipercourse/decision/RuleChecker.java
+++ b/src/test/java/junipercourse/decision/RuleChecker.java
@@ -16,230 +16,260 @@
 import junipercourse.decision.api.QueryRequest;
 import junipercourse.decision.api.RequestId;
 
-/** Checks the seven rules on every action; knows only events and actions, not the module. */
+/**
+ * Checks the seven dispatch rules on every action, from the events and actions alone. The number
+ * before a violation is the number of its rule.
+ */
 final class RuleChecker implements DispatcherActions {
     final DecisionSettings settings;
     final Map<EngineId, EngineListing> engines = new TreeMap<>();
-    final Map<Long, Taken> requests = new LinkedHashMap<>();
-    final List<Out> out = new ArrayList<>();
-    final List<String> breaches = new ArrayList<>();
-    private final List<Double> takenAt = new ArrayList<>();
-    private final List<Double> resentAt = new ArrayList<>();
-    private final Map<Long, List<Taken>> lines = new LinkedHashMap<>();
-    private final Map<Long, Double> rest = new LinkedHashMap<>();
-    private final List<double[]> cold = new ArrayList<>();
+    final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
+    final List<TrackedAttempt> openAttempts = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
+    private final List<Double> receivedTimes = new ArrayList<>();
+    private final List<Double> retryTimes = new ArrayList<>();
+    private final Map<Long, List<TrackedRequest>> requestsByKey = new LinkedHashMap<>();
+    private final Map<Long, Double> pausedUntilByKey = new LinkedHashMap<>();
+    private final List<double[]> slowStartSends = new ArrayList<>();
     double now;
 
-    /** A request the module was given. */
-    static final class Taken {
-        final QueryRequest r;
-        final QueryClass c;
-        int attempts;
-        int open;
-        Out ran;
-        boolean over;
+    /** A request that the module received, with the state of its attempts. */
+    static final class TrackedRequest {
+        final QueryRequest request;
+        final QueryClass queryClass;
+        int attemptCount;
+        int openAttemptCount;
+        TrackedAttempt firstExecutedAttempt;
+        boolean isFinished;
 
-        Taken(QueryRequest r, QueryClass c) {
-            this.r = r;
-            this.c = c;
+        TrackedRequest(QueryRequest request, QueryClass queryClass) {
+            this.request = request;
+            this.queryClass = queryClass;
         }
     }
 
-    /** An attempt the module made. */
-    static final class Out {
-        Taken of;
+    /** An attempt that the module started and that has no outcome yet. */
+    static final class TrackedAttempt {
+        TrackedRequest request;
         int index;
         EngineListing engine;
-        double at;
-        boolean cancelled;
+        double startedAt;
+        boolean isCancelled;
     }
 
     RuleChecker(DecisionSettings settings) {
         this.settings = settings;
     }
 
-    void taken(QueryRequest r) {
-        Taken t = new Taken(r, settings.queryClasses().get(r.queryClass()));
-        requests.put(r.id().value(), t);
-        takenAt.add(now);
-        if (t.c.orderedByKey()) {
-            lines.computeIfAbsent(r.key(), k -> new ArrayList<>()).add(t);
+    void recordRequest(QueryRequest request) {
+        TrackedRequest tracked =
+                new TrackedRequest(request, settings.queryClasses().get(request.queryClass()));
+        requests.put(request.id().value(), tracked);
+        receivedTimes.add(now);
+        if (tracked.queryClass.orderedByKey()) {
+            requestsByKey.computeIfAbsent(request.key(), key -> new ArrayList<>()).add(tracked);
         }
     }
 
-    void ended(Out a, AttemptOutcome outcome, boolean over) {
-        out.remove(a);
-        a.of.open--;
-        a.of.over |= over;
-        if (!outcome.neverRan() && a.of.ran == null) {
-            a.of.ran = a;
+    void recordOutcome(TrackedAttempt attempt, AttemptOutcome outcome, boolean isFinished) {
+        openAttempts.remove(attempt);
+        attempt.request.openAttemptCount--;
+        attempt.request.isFinished |= isFinished;
+        if (!outcome.neverRan() && attempt.request.firstExecutedAttempt == null) {
+            attempt.request.firstExecutedAttempt = attempt;
         }
-        boolean unsure =
+        boolean isUncertain =
                 outcome == AttemptOutcome.TIMEOUT
                         || outcome == AttemptOutcome.RESET
                         || outcome == AttemptOutcome.CANCELLED;
-        if (unsure && a.of.c.orderedByKey()) {
-            rest.put(a.of.r.key(), now + settings.guarantees().keySettleTime());
+        if (isUncertain && attempt.request.queryClass.orderedByKey()) {
+            pausedUntilByKey.put(
+                    attempt.request.request.key(), now + settings.guarantees().keySettleTime());
         }
     }
 
-    void lookForLost() {
-        for (Taken t : requests.values()) {
+    void checkAnswersAreOnTime() {
+        for (TrackedRequest tracked : requests.values()) {
             check(
-                    t.over || now <= t.r.deadlineAt() + settings.guarantees().answerGrace(),
-                    "1 lost",
-                    t.r.id());
+                    tracked.isFinished
+                            || now
+                                    <= tracked.request.deadlineAt()
+                                            + settings.guarantees().answerGrace(),
+                    "1 unanswered",
+                    tracked.request.id());
         }
     }
 
-    private void check(boolean kept, String rule, RequestId id) {
-        if (!kept) {
-            breaches.add(rule + " " + id.value());
+    private void check(boolean holds, String rule, RequestId id) {
+        if (!holds) {
+            violations.add(rule + " " + id.value());
         }
     }
 
     @Override
-    public void startAttempt(RequestId id, EngineId engine, double giveUpAfter) {
-        Taken t = requests.get(id.value());
-        EngineListing e = engines.get(engine);
-        check(!t.over, "1 sent after its end", id);
-        effects(t, e, id);
-        check(e.stage() == EngineStage.READY, "3 drain", id);
-        coldBudget(e, id);
-        if (t.c.orderedByKey()) {
-            List<Taken> line = lines.get(t.r.key());
-            boolean first =
-                    line.subList(0, line.indexOf(t)).stream().allMatch(x -> x.over && x.open == 0);
-            boolean rested = t.attempts > 0 || now >= rest.getOrDefault(t.r.key(), 0.0);
-            check(first && rested, "5 order", id);
-        }
-        boolean zone = t.c.allowedZones().isEmpty() || t.c.allowedZones().contains(e.zone());
+    public void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
+        TrackedRequest tracked = requests.get(id.value());
+        EngineListing listing = engines.get(engine);
+        check(!tracked.isFinished, "1 sent after completion", id);
+        checkRepeatIsSafe(tracked, listing, id);
+        check(listing.stage() == EngineStage.READY, "3 engine not ready", id);
+        checkSlowStartBudget(listing, id);
+        if (tracked.queryClass.orderedByKey()) {
+            List<TrackedRequest> requestsOfKey = requestsByKey.get(tracked.request.key());
+            boolean isFirstOfKey =
+                    requestsOfKey.subList(0, requestsOfKey.indexOf(tracked)).stream()
+                            .allMatch(
+                                    earlier -> earlier.isFinished && earlier.openAttemptCount == 0);
+            boolean isPauseOver =
+                    tracked.attemptCount > 0
+                            || now >= pausedUntilByKey.getOrDefault(tracked.request.key(), 0.0);
+            check(isFirstOfKey && isPauseOver, "5 key order", id);
+        }
+        boolean isZoneAllowed =
+                tracked.queryClass.allowedZones().isEmpty()
+                        || tracked.queryClass.allowedZones().contains(listing.zone());
         check(
-                zone && (t.c.allowedKinds().isEmpty() || t.c.allowedKinds().contains(e.kind())),
+                isZoneAllowed
+                        && (tracked.queryClass.allowedKinds().isEmpty()
+                                || tracked.queryClass.allowedKinds().contains(listing.kind())),
                 "6 placement",
                 id);
-        if (t.attempts > 0) {
-            resentAt.add(now);
-            double window = settings.guarantees().retryBudgetWindow();
-            double most =
+        if (tracked.attemptCount > 0) {
+            retryTimes.add(now);
+            double windowSeconds = settings.guarantees().retryBudgetWindow();
+            double maxRetries =
                     settings.guarantees().retryBudgetMinimum()
                             + settings.guarantees().retryBudgetRatio()
-                                    * takenAt.stream().filter(x -> x > now - window).count();
-            check(resentAt.stream().filter(x -> x > now - window).count() <= most, "7 budget", id);
+                                    * receivedTimes.stream()
+                                            .filter(time -> time > now - windowSeconds)
+                                            .count();
+            check(
+                    retryTimes.stream().filter(time -> time > now - windowSeconds).count()
+                            <= maxRetries,
+                    "7 retry budget",
+                    id);
         }
-        Out a = new Out();
-        a.of = t;
-        a.index = t.attempts++;
-        a.engine = e;
-        a.at = now;
-        t.open++;
-        out.add(a);
+        TrackedAttempt attempt = new TrackedAttempt();
+        attempt.request = tracked;
+        attempt.index = tracked.attemptCount++;
+        attempt.engine = listing;
+        attempt.startedAt = now;
+        tracked.openAttemptCount++;
+        openAttempts.add(attempt);
     }
 
-    private void effects(Taken t, EngineListing e, RequestId id) {
-        check(t.open == 0 || settings.limits().hedgingAllowed(), "2 two at once", id);
-        check(t.attempts < settings.limits().maxAttempts(), "2 try limit", id);
-        if (t.ran != null && t.c.idempotency() == Idempotency.NOT_IDEMPOTENT) {
-            check(false, "2 once again", id);
+    private void checkRepeatIsSafe(TrackedRequest tracked, EngineListing listing, RequestId id) {
+        check(
+                tracked.openAttemptCount == 0 || settings.limits().hedgingAllowed(),
+                "2 concurrent attempts",
+                id);
+        check(tracked.attemptCount < settings.limits().maxAttempts(), "2 attempt limit", id);
+        if (tracked.firstExecutedAttempt != null
+                && tracked.queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+            check(false, "2 repeated, not idempotent", id);
         }
-        if (t.ran != null && t.c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+        if (tracked.firstExecutedAttempt != null
+                && tracked.queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
             check(
-                    t.ran.engine.cell() == e.cell() && now <= t.ran.at + t.c.deduplicationWindow(),
-                    "2 group or window",
+                    tracked.firstExecutedAttempt.engine.cell() == listing.cell()
+                            && now
+                                    <= tracked.firstExecutedAttempt.startedAt
+                                            + tracked.queryClass.deduplicationWindow(),
+                    "2 repeated outside cell or window",
                     id);
         }
     }
 
-    /** Each send weighs the usual work here: an end is drawn after 0.3 s on average. */
-    private void coldBudget(EngineListing e, RequestId id) {
-        var g = settings.guarantees();
-        if (e.startedAt() > 0 && now < e.startedAt() + g.slowStartDuration()) {
-            cold.add(new double[] {now, e.id().value()});
-            double work =
+    /** Counts 0.3 s of work for each attempt: outcomes are drawn after 0.3 s on average. */
+    private void checkSlowStartBudget(EngineListing listing, RequestId id) {
+        var guarantees = settings.guarantees();
+        if (listing.startedAt() > 0 && now < listing.startedAt() + guarantees.slowStartDuration()) {
+            slowStartSends.add(new double[] {now, listing.id().value()});
+            double workSeconds =
                     0.3
-                            * cold.stream()
+                            * slowStartSends.stream()
                                     .filter(
-                                            x ->
-                                                    x[0] > now - g.overloadWindow()
-                                                            && x[1] == e.id().value())
+                                            send ->
+                                                    send[0] > now - guarantees.overloadWindow()
+                                                            && send[1] == listing.id().value())
                                     .count();
-            double cores = settings.engineKinds().get(e.kind()).cores();
+            double cores = settings.engineKinds().get(listing.kind()).cores();
             check(
-                    work
-                            <= g.overloadMultiple()
-                                    * g.slowStartInitialCapacity()
+                    workSeconds
+                            <= guarantees.overloadMultiple()
+                                    * guarantees.slowStartInitialCapacity()
                                     * cores
-                                    * g.overloadWindow(),
-                    "4 cold",
+                                    * guarantees.overloadWindow(),
+                    "4 slow start budget",
                     id);
         }
     }
 
     @Override
-    public void cancelAttempt(RequestId id, int attempt) {
-        for (Out a : out) {
-            if (a.of.r.id().equals(id) && a.index == attempt) {
-                a.cancelled = true;
+    public void cancelAttempt(RequestId id, int index) {
+        for (TrackedAttempt open : openAttempts) {
+            if (open.request.request.id().equals(id) && open.index == index) {
+                open.isCancelled = true;
                 return;
             }
         }
-        breaches.add("cancel of no attempt " + id.value());
+        violations.add("cancelled unknown attempt of " + id.value());
     }
 
     @Override
-    public void reject(RequestId id, double coolDown) {
-        Taken t = requests.get(id.value());
-        boolean ran = t.ran != null || t.open > 0;
+    public void reject(RequestId id, double retryAfterSeconds) {
+        TrackedRequest tracked = requests.get(id.value());
+        boolean mayHaveRun = tracked.firstExecutedAttempt != null || tracked.openAttemptCount > 0;
         check(
-                !ran || t.c.idempotency() == Idempotency.IDEMPOTENT,
-                "2 refused what may have run",
+                !mayHaveRun || tracked.queryClass.idempotency() == Idempotency.IDEMPOTENT,
+                "2 rejected after possible execution",
                 id);
-        check(!t.over, "1 two answers", id);
-        t.over = true;
+        check(!tracked.isFinished, "1 answered twice", id);
+        tracked.isFinished = true;
     }
 
     @Override
     public void fail(RequestId id) {
-        Taken t = requests.get(id.value());
-        check(!t.over, "1 two answers", id);
-        t.over = true;
+        TrackedRequest tracked = requests.get(id.value());
+        check(!tracked.isFinished, "1 answered twice", id);
+        tracked.isFinished = true;
     }
 
     @Override
     public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
-        check(priority >= 0 && priority <= 3 && memoryMb >= 0, "terms", id);
+        check(priority >= 0 && priority <= 3 && memoryMb >= 0, "attempt terms", id);
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        if (!(delay > 0)) {
-            breaches.add("timer " + delay);
+    public void scheduleTimer(double delaySeconds, long token) {
+        if (!(delaySeconds > 0)) {
+            violations.add("timer delay " + delaySeconds);
         }
     }
 
     @Override
     public void probeEngine(EngineId engine) {
         if (!engines.containsKey(engine)) {
-            breaches.add("probe of unknown engine");
+            violations.add("probed unknown engine");
         }
     }
 
     @Override
     public void broadcastToPeers(byte[] payload) {
         if (payload.length > 256) {
-            breaches.add("message of " + payload.length);
+            violations.add("peer message length " + payload.length);
         }
     }
 
     @Override
     public void subscribeToEndpoints() {
-        breaches.add("subscribed at a pushing site");
+        violations.add("subscribed although endpoint updates are pushed");
     }
 
     @Override
     public void log(String line) {
         if (line.isBlank()) {
-            breaches.add("empty log line");
+            violations.add("empty log line");
         }
     }
 }
