--- a/src/test/java/junipercourse/decision/EngineSelectionTest.java
+++ b/src/test/java/junipercourse/decision/EngineSelectionTest.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * With many dispatchers each hears little of the few back tier engines, and all together would
-     * overload them.
+     * With many dispatchers each gets few load reports of the few back tier engines, and all
+     * together would overload them.
      */
     @Test
     void sendsFirstAttemptToBackTierOnlyOnAFreshReportAmongManyDispatchers() {
--- a/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
+++ b/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
@@ -85,10 +85,8 @@
         RecordingDispatcher removed = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
         updateEngine(removed, EngineStage.GONE, 0);
         assertFalse(removed.module.attemptMayStart(removed.now, FIRST_REQUEST, 0));
-        RecordingDispatcher restarted =
-                dispatcherWithOpenAttempt(
-                        Idempotency.IDEMPOTENT,
-                        0); // sent to a warm engine that has restarted since
+        // The attempt was sent to a warm engine that restarts before the first byte.
+        RecordingDispatcher restarted = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
         updateEngine(restarted, EngineStage.READY, restarted.now);
         assertFalse(restarted.module.attemptMayStart(restarted.now, FIRST_REQUEST, 0));
         RecordingDispatcher abandoned = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 0);
@@ -100,9 +98,8 @@
         assertFalse(
                 nearDeadline.module.attemptMayStart(nearDeadline.now, FIRST_REQUEST, 1),
                 "no such attempt");
-        RecordingDispatcher relisted =
-                dispatcherWithOpenAttempt(
-                        Idempotency.IDEMPOTENT, 95); // warming up, and listed again unchanged
+        // The engine is warming up and is listed again unchanged.
+        RecordingDispatcher relisted = dispatcherWithOpenAttempt(Idempotency.IDEMPOTENT, 95);
         updateEngine(relisted, EngineStage.READY, 95);
         assertTrue(relisted.module.attemptMayStart(relisted.now, FIRST_REQUEST, 0));
     }
