--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -75,7 +75,7 @@
         this.gateway = gateway;
         this.classes = config.settings().queryClasses();
         this.files = new MaintenanceMarkers(folder);
-        this.server = new AdminServer(config.admin(), this, connections(config));
+        this.server = new AdminServer(config.adminAddress(), this, connections(config));
         look();
         looks =
                 new ScheduledThreadPoolExecutor(
@@ -112,9 +112,9 @@
                         ? "ending"
                         : !listening
                                 ? "not listening yet"
-                                : !gateway.engines().known()
+                                : !gateway.engineRegistry().hasReceivedList()
                                         ? "no list of engines yet"
-                                        : loop.catchingUp()
+                                        : loop.isCatchingUp()
                                                 ? "catching up after a stall"
                                                 : "serving";
         state =
@@ -122,7 +122,7 @@
                         why.equals("serving"),
                         why,
                         figures(),
-                        gateway.engines().listed(),
+                        gateway.engineRegistry().listedEngines(),
                         System.nanoTime());
         if (!publishing) {
             publishing = true;
@@ -131,7 +131,7 @@
     }
 
     private void publishLater() {
-        loop.after(
+        loop.scheduleAfter(
                 PUBLISH_S,
                 () -> {
                     publish();
@@ -140,15 +140,15 @@
     }
 
     private String figures() {
-        ClassMetrics f = gateway.figures();
+        ClassMetrics f = gateway.classMetrics();
         return new JsonObject()
-                .add("passed", byClass(f::passedOf))
-                .add("dropped", byClass(f::droppedOf))
-                .add("bad_gateway", byClass(f::failedOf))
-                .add("upstream_tries", byClass(f::triesOf))
-                .add("in_progress", gateway.open())
-                .add("known_engines", gateway.engines().listed().size())
-                .add("skipped_engines", gateway.engines().skipped())
+                .add("passed", byClass(f::servedCount))
+                .add("dropped", byClass(f::rejectedCount))
+                .add("bad_gateway", byClass(f::failedCount))
+                .add("upstream_tries", byClass(f::attemptCount))
+                .add("in_progress", gateway.openQueryCount())
+                .add("known_engines", gateway.engineRegistry().listedEngines().size())
+                .add("skipped_engines", gateway.engineRegistry().skippedEngineCount())
                 .toString();
     }
 
@@ -167,7 +167,7 @@
             out = now;
             Logger.info(
                     "engines taken out by hand: {}", now.stream().map(EngineId::value).toList());
-            loop.execute(() -> gateway.engines().takenOut(now));
+            loop.execute(() -> gateway.engineRegistry().setEnginesInMaintenance(now));
         }
         forget(now);
     }
@@ -185,40 +185,40 @@
         }
     }
 
-    private Verdict change(String id, boolean takeOut) {
-        Optional<EngineId> engine = MaintenanceMarkers.engine(id);
+    private MaintenanceResult change(String id, boolean takeOut) {
+        Optional<EngineId> engine = MaintenanceMarkers.parseEngineId(id);
         if (engine.isEmpty()
                 || !state.engines().contains(engine.get()) && !out.contains(engine.get())) {
-            return Verdict.UNKNOWN;
+            return MaintenanceResult.UNKNOWN_ENGINE;
         }
         return change(engine.get(), takeOut);
     }
 
-    private Verdict change(EngineId id, boolean takeOut) {
+    private MaintenanceResult change(EngineId id, boolean takeOut) {
         try {
             if (takeOut) {
-                files.out(id);
+                files.add(id);
             } else {
-                files.in(id);
+                files.remove(id);
             }
         } catch (IOException e) {
             Logger.error("engine {} cannot be taken {}: {}", id.value(), takeOut ? "out" : "in", e);
-            return Verdict.FAILED;
+            return MaintenanceResult.FAILED;
         }
         look();
-        return Verdict.DONE;
+        return MaintenanceResult.DONE;
     }
 
     // ---- the second address's own thread ----
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         State s = state;
         return s.ready() && !ending && System.nanoTime() - s.at() < OLD_S * 1e9;
     }
 
     @Override
-    public String readyWhy() {
+    public String describeReadiness() {
         State s = state;
         return ending
                 ? "ending"
@@ -226,17 +226,17 @@
     }
 
     @Override
-    public String stats() {
+    public String getStatisticsJson() {
         return state.figures();
     }
 
     @Override
-    public Verdict down(String id) {
+    public MaintenanceResult startMaintenance(String id) {
         return change(id, true);
     }
 
     @Override
-    public Verdict up(String id) {
+    public MaintenanceResult endMaintenance(String id) {
         return change(id, false);
     }
 
--- a/src/main/java/junipercourse/cli/DispatcherServer.java
+++ b/src/main/java/junipercourse/cli/DispatcherServer.java
@@ -79,8 +79,10 @@
     DispatcherServer(Config config, OptionalComponent part) throws IOException {
         this.config = config;
         this.part = part;
-        loop = new EventLoop(() -> counters.add(Count.INTERNAL_ERRORS), DispatcherServer::die);
-        boolean administered = config.admin() != null;
+        loop =
+                new EventLoop(
+                        () -> counters.increment(Count.INTERNAL_ERRORS), DispatcherServer::die);
+        boolean administered = config.adminAddress() != null;
         descriptors =
                 new DescriptorBudget(
                         config.resources().sockets(),
@@ -89,21 +91,22 @@
                                         ? STAFF_SOCKETS + AdminService.connections(config)
                                         : 0));
         DescriptorAllocation shares =
-                DescriptorAllocation.of(descriptors.limit(), descriptors.free());
+                DescriptorAllocation.of(descriptors.limit(), descriptors.unallocated());
         DescriptorBudget.Share engineShare =
-                descriptors.share("engines", shares.engines(), shares.closing());
-        DescriptorBudget.Share clientShare = descriptors.share("clients", shares.clients(), 0);
+                descriptors.allocateShare("engines", shares.engines(), shares.closing());
+        DescriptorBudget.Share clientShare =
+                descriptors.allocateShare("clients", shares.clients(), 0);
         EngineClient engines = new EngineClient(loop, config.settings(), engineShare, counters);
         mostTaken =
                 (int)
                         (config.resources().sockets()
-                                * (config.listenOn() == null
+                                * (config.listenFd() == null
                                         ? TAKEN_PART
                                         : HandoverCoordinator.ALONE_PART));
         gateway = new Gateway(loop, config.settings(), config.seed(), mostTaken, engines, counters);
         StatusTables shows = ProcessStatusTables.of(loop, counters, descriptors);
         if (part != null) {
-            part.showIn(shows);
+            part.addTables(shows);
         }
         front =
                 new PgServer(
@@ -118,11 +121,11 @@
         roster =
                 new EndpointWatcher(
                         loop,
-                        config.bus(),
-                        config.known(),
+                        config.busAddress(),
+                        config.initialEvents(),
                         config.zones(),
                         config.settings().engineKinds().stream().map(EngineKind::name).toList(),
-                        gateway::roster,
+                        gateway::updateEndpoints,
                         counters);
         staff =
                 administered
@@ -130,7 +133,7 @@
                                 loop, gateway, config, HandoverCoordinator.folder(config, "out"))
                         : null;
         overlap =
-                config.listenOn() == null
+                config.listenFd() == null
                         ? null
                         : new HandoverCoordinator(
                                 loop,
@@ -184,34 +187,37 @@
         }
         double waited = loop.now() - since;
         try {
-            if (config.listenOn() == null) {
-                front.listen(config.listen());
+            if (config.listenFd() == null) {
+                front.listen(config.listenAddress());
             } else {
                 front.listen(inherited());
             }
             ending.listening();
-            loop.attend();
+            loop.startStallDetection();
             if (staff != null) {
                 staff.listening();
             }
             if (waited >= LISTEN_AGAIN_S) {
-                Logger.info("{} was in use for {} ms", config.listen(), Math.round(waited * 1e3));
+                Logger.info(
+                        "{} was in use for {} ms",
+                        config.listenAddress(),
+                        Math.round(waited * 1e3));
             }
             started.complete(null);
         } catch (IOException e) {
-            if (waited < LISTEN_PATIENCE_S && inUse(config.listen(), e)) {
+            if (waited < LISTEN_PATIENCE_S && inUse(config.listenAddress(), e)) {
                 if (waited < LISTEN_AGAIN_S) {
                     Logger.warn(
                             "{} is in use; trying again for {} s",
-                            config.listen(),
+                            config.listenAddress(),
                             LISTEN_PATIENCE_S);
                 }
-                loop.after(LISTEN_AGAIN_S, () -> listen(started, since));
+                loop.scheduleAfter(LISTEN_AGAIN_S, () -> listen(started, since));
             } else {
                 started.completeExceptionally(
                         new IOException(
                                 "cannot listen on "
-                                        + config.listen()
+                                        + config.listenAddress()
                                         + ": "
                                         + e.getMessage()
                                         + "; waited "
@@ -225,7 +231,7 @@
 
     private ServerSocketChannel inherited() {
         try {
-            return InheritedSocket.take(config.listenOn(), config.listen());
+            return InheritedSocket.takeOver(config.listenFd(), config.listenAddress());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("RELAY_FD", e.getMessage());
         }
@@ -263,10 +269,10 @@
                             }
                             ending.run();
                             if (part != null) {
-                                part.end();
+                                part.shutDown();
                             }
                             Logger.info("{} ends: {}; {}", config.name(), counters, descriptors);
-                            BoundedConsoleWriter.end();
+                            BoundedConsoleWriter.closeAll();
                         },
                         "finish");
         Runtime.getRuntime().addShutdownHook(finish);
@@ -289,7 +295,7 @@
     private static void die(Throwable error) {
         try {
             Logger.error(error, "the JVM failed; this process ends");
-            BoundedConsoleWriter.end();
+            BoundedConsoleWriter.closeAll();
         } finally {
             Runtime.getRuntime().halt(DEAD);
         }
--- a/src/test/java/junipercourse/decision/DecisionCost.java
+++ b/src/test/java/junipercourse/decision/DecisionCost.java
@@ -70,7 +70,7 @@
                             new RequestId(++lastId),
                             classIndex,
                             tenantDraw < 0.41 ? 0 : tenantDraw < 0.81 ? 1 : 2,
-                            now + site.classes().get(classIndex).deadline(),
+                            now + site.classes().get(classIndex).deadlineSeconds(),
                             key,
                             random.nextInt(40),
                             workSeconds,
--- a/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
+++ b/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
@@ -151,7 +151,7 @@
         double capacity = engineCount * site.cores() / site.meanRequestWorkSeconds();
         queriesPerSecond = load * capacity;
         startedAt = STEADY_SECONDS;
-        endTime = startedAt + site.guarantees().slowStartDuration() + AFTER_RAMP_SECONDS;
+        endTime = startedAt + site.guarantees().slowStartSeconds() + AFTER_RAMP_SECONDS;
         List<EngineListing> listings = new ArrayList<>();
         for (long id = NEW_ENGINE_ID + 1; id <= NEW_ENGINE_ID + engineCount; id++) {
             engines.put(
@@ -246,7 +246,7 @@
                                 new RequestId(++lastId),
                                 classIndex,
                                 tenantDraw < 0.41 ? 0 : tenantDraw < 0.81 ? 1 : 2,
-                                now + site.classes().get(classIndex).deadline(),
+                                now + site.classes().get(classIndex).deadlineSeconds(),
                                 key,
                                 random.nextInt(40),
                                 costEstimate,
@@ -332,7 +332,7 @@
     }
 
     private double windowLimit(double ageSeconds) {
-        double windowSeconds = site.guarantees().overloadWindow();
+        double windowSeconds = site.guarantees().overloadWindowSeconds();
         double meanQueries =
                 site.cores()
                         * site.capacityShare(ageSeconds)
@@ -343,8 +343,8 @@
     }
 
     ReplacementResult evaluate() {
-        double windowSeconds = site.guarantees().overloadWindow();
-        double rampEnd = startedAt + site.guarantees().slowStartDuration();
+        double windowSeconds = site.guarantees().overloadWindowSeconds();
+        double rampEnd = startedAt + site.guarantees().slowStartSeconds();
         double meanFrontLoad =
                 sumWorkSeconds(warmFrontArrivals, startedAt, endTime)
                         / warmFrontCount
--- a/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
+++ b/src/test/java/junipercourse/decision/FirstBytePermissionTest.java
@@ -173,7 +173,7 @@
 
     private static double creditAfter(AttemptOutcome outcome, boolean isRestarted) {
         EngineState engine = new EngineState(new EngineId(1));
-        engine.update(
+        engine.applyListing(
                 RecordingDispatcher.listing(1, EngineStage.READY, 100), new EngineKind("k", 10, 0));
         engine.slowStart().restart(100);
         QueryRequest request =
--- a/src/test/java/junipercourse/decision/ModuleAtSize.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSize.java
@@ -337,7 +337,7 @@
             List<EngineReplacementSimulation.ReplacementResult> runs,
             ToDoubleFunction<EngineReplacementSimulation.ReplacementResult> valueOfRun) {
         double maxAgeSeconds =
-                SlowStartSite.MAIN.guarantees().slowStartDuration()
+                SlowStartSite.MAIN.guarantees().slowStartSeconds()
                         + EngineReplacementSimulation.AFTER_RAMP_SECONDS;
         double[] ages = runs.stream().mapToDouble(valueOfRun).toArray();
         long unreachedCount = Arrays.stream(ages).filter(Double::isNaN).count();
--- a/src/test/java/junipercourse/decision/ModuleAtSizeTest.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSizeTest.java
@@ -20,7 +20,7 @@
                                 SlowStartSite.MAIN, 0.02, 180, engineCount, 0.7, SEED)
                         .evaluate();
         String description = "seed " + SEED + ": " + result;
-        double slowStartSeconds = SlowStartSite.MAIN.guarantees().slowStartDuration();
+        double slowStartSeconds = SlowStartSite.MAIN.guarantees().slowStartSeconds();
         assertEquals(
                 0,
                 result.ramp().overloadedWindows(),
--- a/src/test/java/junipercourse/decision/OverloadedFleetTest.java
+++ b/src/test/java/junipercourse/decision/OverloadedFleetTest.java
@@ -275,14 +275,14 @@
                                                             && time
                                                                     < windowStart
                                                                             + guarantees
-                                                                                    .overloadWindow())
+                                                                                    .overloadWindowSeconds())
                                     .count()
                             * WORK_SECONDS;
             double maxWorkSeconds =
                     guarantees.overloadMultiple()
                             * guarantees.slowStartInitialCapacity()
                             * 10
-                            * guarantees.overloadWindow();
+                            * guarantees.overloadWindowSeconds();
             assertTrue(
                     workSeconds <= maxWorkSeconds,
                     "work " + workSeconds + " of " + maxWorkSeconds + " from " + start);
--- a/src/test/java/junipercourse/decision/RecordingDispatcher.java
+++ b/src/test/java/junipercourse/decision/RecordingDispatcher.java
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         actions.add("terms " + id.value() + " " + priority + " " + memoryMb);
     }
 
--- a/src/test/java/junipercourse/decision/RuleChecker.java
+++ b/src/test/java/junipercourse/decision/RuleChecker.java
@@ -84,7 +84,7 @@
                         || outcome == AttemptOutcome.CANCELLED;
         if (isUncertain && attempt.request.queryClass.orderedByKey()) {
             pausedUntilByKey.put(
-                    attempt.request.request.key(), now + settings.guarantees().keySettleTime());
+                    attempt.request.request.key(), now + settings.guarantees().keySettleSeconds());
         }
     }
 
@@ -94,7 +94,7 @@
                     tracked.isFinished
                             || now
                                     <= tracked.request.deadlineAt()
-                                            + settings.guarantees().answerGrace(),
+                                            + settings.guarantees().answerGraceSeconds(),
                     "1 unanswered",
                     tracked.request.id());
         }
@@ -136,7 +136,7 @@
                 id);
         if (tracked.attemptCount > 0) {
             retryTimes.add(now);
-            double windowSeconds = settings.guarantees().retryBudgetWindow();
+            double windowSeconds = settings.guarantees().retryBudgetWindowSeconds();
             double maxRetries =
                     settings.guarantees().retryBudgetMinimum()
                             + settings.guarantees().retryBudgetRatio()
@@ -174,7 +174,7 @@
                     tracked.firstExecutedAttempt.engine.cell() == listing.cell()
                             && now
                                     <= tracked.firstExecutedAttempt.startedAt
-                                            + tracked.queryClass.deduplicationWindow(),
+                                            + tracked.queryClass.deduplicationWindowSeconds(),
                     "2 repeated outside cell or window",
                     id);
         }
@@ -183,14 +183,17 @@
     /** Counts 0.3 s of work for each attempt: outcomes are drawn after 0.3 s on average. */
     private void checkSlowStartBudget(EngineListing listing, RequestId id) {
         var guarantees = settings.guarantees();
-        if (listing.startedAt() > 0 && now < listing.startedAt() + guarantees.slowStartDuration()) {
+        if (listing.startedAt() > 0 && now < listing.startedAt() + guarantees.slowStartSeconds()) {
             slowStartSends.add(new double[] {now, listing.id().value()});
             double workSeconds =
                     0.3
                             * slowStartSends.stream()
                                     .filter(
                                             send ->
-                                                    send[0] > now - guarantees.overloadWindow()
+                                                    send[0]
+                                                                    > now
+                                                                            - guarantees
+                                                                                    .overloadWindowSeconds()
                                                             && send[1] == listing.id().value())
                                     .count();
             double cores = settings.engineKinds().get(listing.kind()).cores();
@@ -199,7 +202,7 @@
                             <= guarantees.overloadMultiple()
                                     * guarantees.slowStartInitialCapacity()
                                     * cores
-                                    * guarantees.overloadWindow(),
+                                    * guarantees.overloadWindowSeconds(),
                     "4 slow start budget",
                     id);
         }
@@ -236,7 +239,7 @@
     }
 
     @Override
-    public void setAttemptTerms(RequestId id, int priority, double memoryMb) {
+    public void setAttemptParameters(RequestId id, int priority, double memoryMb) {
         check(priority >= 0 && priority <= 3 && memoryMb >= 0, "attempt terms", id);
     }
 
--- a/src/test/java/junipercourse/decision/SlowStartSimulation.java
+++ b/src/test/java/junipercourse/decision/SlowStartSimulation.java
@@ -105,7 +105,7 @@
         double capacity = engineCount * site.cores() / site.meanRequestWorkSeconds();
         queriesPerSecond = capacity * (0.45 + 0.75 * random.nextDouble());
         quotaPerSecond = capacity * (0.73 + 0.15 * random.nextDouble());
-        endTime = STEADY_SECONDS + CHANGE_SECONDS + 2 + site.guarantees().slowStartDuration();
+        endTime = STEADY_SECONDS + CHANGE_SECONDS + 2 + site.guarantees().slowStartSeconds();
         // Estimates are too high or too low by class, by up to a third.
         estimateBiasByClass =
                 random.doubles(site.classes().size()).map(u -> Math.exp((u - 0.5) * 0.7)).toArray();
@@ -119,7 +119,7 @@
             double restartAt =
                     STEADY_SECONDS
                             + random.nextDouble()
-                                    * (CHANGE_SECONDS + site.guarantees().slowStartDuration() / 2);
+                                    * (CHANGE_SECONDS + site.guarantees().slowStartSeconds() / 2);
             dispatchers.add(
                     new SlowStartDispatcher(i, updateDelaySeconds, restarts ? restartAt : NEVER));
         }
@@ -149,7 +149,7 @@
         double publishDelaySeconds = 0.23 + 2.2 * random.nextDouble();
         double fraction = random.nextDouble();
         double changeAt = STEADY_SECONDS + CHANGE_SECONDS * fraction;
-        double slowStartSeconds = site.guarantees().slowStartDuration();
+        double slowStartSeconds = site.guarantees().slowStartSeconds();
         // Otherwise the engine would be warm before dispatchers learn of it.
         if (scenario == Scenario.TOLD_AT_ONCE && changeAt + slowStartSeconds < discoveryBackAt) {
             changeAt = discoveryBackAt - slowStartSeconds * (1 - fraction);
@@ -292,7 +292,7 @@
                 workSeconds
                         * estimateBiasByClass[classIndex]
                         * Math.exp(0.3 * random.nextGaussian());
-        double deadlineAt = now + site.classes().get(classIndex).deadline();
+        double deadlineAt = now + site.classes().get(classIndex).deadlineSeconds();
         double tenantDraw = random.nextDouble();
         long key = site.classes().get(classIndex).orderedByKey() ? ++lastId % 50 + 1 : 0;
         dispatchers
--- a/src/test/java/junipercourse/decision/SlowStartSite.java
+++ b/src/test/java/junipercourse/decision/SlowStartSite.java
@@ -168,7 +168,7 @@
     double capacityShare(double ageSeconds) {
         return guarantees.slowStartInitialCapacity()
                 + (1 - guarantees.slowStartInitialCapacity())
-                        * Math.min(1, ageSeconds / guarantees.slowStartDuration());
+                        * Math.min(1, ageSeconds / guarantees.slowStartSeconds());
     }
 
     /**
--- a/src/test/java/junipercourse/decision/StartingEngineModel.java
+++ b/src/test/java/junipercourse/decision/StartingEngineModel.java
@@ -85,7 +85,7 @@
     }
 
     void recordArrival(double now, double workSeconds, boolean senderKnewOfStart) {
-        if (startedAt > 0 && now < startedAt + site.guarantees().slowStartDuration()) {
+        if (startedAt > 0 && now < startedAt + site.guarantees().slowStartSeconds()) {
             arrivals.add(new Arrival(now, workSeconds, senderKnewOfStart));
         }
     }
@@ -96,7 +96,7 @@
      * allows for chance.
      */
     RampResult evaluateRamp() {
-        double windowSeconds = site.guarantees().overloadWindow();
+        double windowSeconds = site.guarantees().overloadWindowSeconds();
         int windowCount = 0;
         int overloadedWindows = 0;
         double maxLoadRatio = 0;
@@ -104,7 +104,7 @@
         boolean isOverloaded = false;
         boolean isRuleBroken = false;
         for (double windowEnd = startedAt;
-                windowEnd < startedAt + site.guarantees().slowStartDuration();
+                windowEnd < startedAt + site.guarantees().slowStartSeconds();
                 windowEnd += SlowStartSimulation.STEP_SECONDS) {
             double load = 0;
             double informedLoad = 0;
@@ -135,7 +135,7 @@
         double capacityWorkSeconds =
                 site.cores()
                         * speedFactor
-                        * site.guarantees().slowStartDuration()
+                        * site.guarantees().slowStartSeconds()
                         * (1 + site.guarantees().slowStartInitialCapacity())
                         / 2;
         return new RampResult(
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -82,6 +82,11 @@
 
     /** Starts a member, for the first time or again, and returns once it serves. */
     void start(int member) throws IOException {
+        start(member, "");
+    }
+
+    /** The same after a shell command, which may run another build in the shell's place. */
+    void start(int member, String command) throws IOException {
         Path own = Files.createDirectories(folder.resolve(name(member) + "-" + ++starts[member]));
         Files.writeString(
                 own.resolve("config.json"),
@@ -100,7 +105,7 @@
                                 + "'; ");
         DispatcherProcess process = processes[member];
         int life = starts[member];
-        SocketTestSupport.daemon(() -> observe(member, life, process));
+        SocketTestSupport.startDaemon(() -> observe(member, life, process));
     }
 
     private String product(int member) {
@@ -122,17 +127,17 @@
     /** Asks one process for its view over and over, and every few times for a query's answer. */
     private void observe(int member, int life, DispatcherProcess process) throws IOException {
         try (SocketTestSupport.Client client = new SocketTestSupport.Client(process.address())) {
-            client.start();
+            client.startSession();
             for (int round = 0; processes[member] == process; round++) {
                 FleetObservation look =
-                        FleetObservation.parse(now(), member, life, client.ask("SHOW FLEET"));
+                        FleetObservation.parse(now(), member, life, client.query("SHOW FLEET"));
                 synchronized (history) {
                     history.add(look);
                     newest[member] = look;
                 }
                 if (round % 5 == 0) {
                     String answer =
-                            client.ask(
+                            client.query(
                                     SocketTestSupport.query(
                                             "check", queries.incrementAndGet(), 7000));
                     if (answer.equals("T D(a b c) C(SELECT 1)")) {
@@ -143,7 +148,7 @@
                         }
                     }
                 }
-                SocketTestSupport.pause(POLL_MS);
+                SocketTestSupport.sleepMillis(POLL_MS);
             }
         }
     }
