--- a/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
+++ b/src/test/java/junipercourse/decision/EngineReplacementSimulation.java
@@ -61,7 +61,7 @@
             double firstWindowCapacity,
             double queriesPerSecond,
             double unansweredShare) {
-        /** Keeps the field names that printed results have always had. */
+        /** Prints the field names that readers of the measurements know. */
         @Override
         public String toString() {
             return "Joined[cold="
@@ -324,9 +324,10 @@
         attempt.dispatcher.hasUnhandledEvents = true;
     }
 
-    private static double sumWorkSeconds(List<Arrival> arrivals, double from, double to) {
+    private static double sumWorkSeconds(
+            List<Arrival> arrivals, double windowStart, double windowEnd) {
         return arrivals.stream()
-                .filter(arrival -> arrival.time > from && arrival.time <= to)
+                .filter(arrival -> arrival.time > windowStart && arrival.time <= windowEnd)
                 .mapToDouble(Arrival::workSeconds)
                 .sum();
     }
--- a/src/test/java/junipercourse/decision/SlowStartSimulation.java
+++ b/src/test/java/junipercourse/decision/SlowStartSimulation.java
@@ -108,7 +108,9 @@
         endTime = STEADY_SECONDS + CHANGE_SECONDS + 2 + site.guarantees().slowStartSeconds();
         // Estimates are too high or too low by class, by up to a third.
         estimateBiasByClass =
-                random.doubles(site.classes().size()).map(u -> Math.exp((u - 0.5) * 0.7)).toArray();
+                random.doubles(site.classes().size())
+                        .map(uniform -> Math.exp((uniform - 0.5) * 0.7))
+                        .toArray();
         discoveryBackAt = STEADY_SECONDS + CHANGE_SECONDS + 1 + 8 * random.nextDouble();
         double weightExponent = 0.4 + 0.5 * random.nextDouble();
         for (int i = 0; i < dispatcherCount; i++) {
--- a/src/test/java/junipercourse/decision/StartingEngineModel.java
+++ b/src/test/java/junipercourse/decision/StartingEngineModel.java
@@ -41,7 +41,7 @@
             double maxLoadRatio,
             double maxLoadAgeSeconds,
             double usedCapacityShare) {
-        /** Keeps the field names that printed results have always had. */
+        /** Prints the field names that readers of the measurements know. */
         @Override
         public String toString() {
             return "Verdict[windows="
