--- a/src/test/java/junipercourse/decision/DelayedFirstByteTest.java
+++ b/src/test/java/junipercourse/decision/DelayedFirstByteTest.java
@@ -129,7 +129,7 @@
         };
         for (RuleChecker.TrackedAttempt attempt : List.copyOf(checker.openAttempts)) {
             AttemptOutcome outcome =
-                    checker.now >= attempt.request.request.deadlineAt()
+                    checker.now >= attempt.request.query.deadlineAt()
                             ? AttemptOutcome.TIMEOUT
                             : attempt.isCancelled
                                     ? AttemptOutcome.CANCELLED
@@ -142,7 +142,7 @@
                 module.attemptEnded(
                         checker.now,
                         new AttemptResult(
-                                attempt.request.request.id(),
+                                attempt.request.query.id(),
                                 attempt.index,
                                 attempt.engine.id(),
                                 outcome,
--- a/src/test/java/junipercourse/decision/DelayedFirstBytes.java
+++ b/src/test/java/junipercourse/decision/DelayedFirstBytes.java
@@ -82,7 +82,7 @@
                     checker.violations.add(
                             "3 first byte to restarted engine " + attempt.id.value());
                 }
-                if (checker.now >= checker.requests.get(attempt.id.value()).request.deadlineAt()) {
+                if (checker.now >= checker.requests.get(attempt.id.value()).query.deadlineAt()) {
                     checker.violations.add("1 first byte after deadline " + attempt.id.value());
                 }
                 checker.startAttempt(attempt.id, attempt.engine.id(), 0);
--- a/src/test/java/junipercourse/decision/OverloadedFleetTest.java
+++ b/src/test/java/junipercourse/decision/OverloadedFleetTest.java
@@ -23,7 +23,7 @@
     static final int DISPATCHERS = 14;
     static final double WORK_SECONDS = 0.3;
     private static final double CONGESTED_SECONDS = WORK_SECONDS * 5;
-    private static final long NEW_ENGINE_ID = 99;
+    private static final long NEW_ENGINE = 99;
 
     private static List<SimulatedDispatcher> newFleet(LoadMetric loadMetric, int engineCount) {
         List<SimulatedDispatcher> fleet = new ArrayList<>();
@@ -37,8 +37,8 @@
     void limitsAttemptsWhenTheFleetIsCongested() {
         long sent = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 12)) {
-            simulated.serveSteadyLoad(15, engineId -> CONGESTED_SECONDS, engineId -> 0.4);
-            simulated.sendRequests(100, engineId -> CONGESTED_SECONDS);
+            simulated.serve(15, id -> CONGESTED_SECONDS, id -> 0.4);
+            simulated.offer(100, id -> CONGESTED_SECONDS);
             sent += simulated.openAttemptsByAnswerTime.size();
         }
         assertTrue(sent > 72, "too few open attempts, below 0.6 threads a core: " + sent);
@@ -48,10 +48,10 @@
     @Test
     void admitsABurstWhenEnginesAreIdle() {
         SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 12).get(0);
-        simulated.serveSteadyLoad(15, engineId -> WORK_SECONDS, engineId -> 0.1);
+        simulated.serve(15, id -> WORK_SECONDS, id -> 0.1);
         assertEquals(
                 40,
-                simulated.sendRequests(40, engineId -> WORK_SECONDS).size(),
+                simulated.offer(40, id -> WORK_SECONDS).size(),
                 "far above its own share, since others leave theirs unused");
     }
 
@@ -61,13 +61,12 @@
         long sentToIdle = 0;
         long sentInTotal = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 12)) {
-            simulated.serveSteadyLoad(10, engineId -> CONGESTED_SECONDS, engineId -> 0.6);
-            int countBefore = simulated.sentEngineIds.size();
-            simulated.serveSteadyLoad(
-                    20, engineId -> CONGESTED_SECONDS, engineId -> engineId == 1 ? 0 : 0.6);
+            simulated.serve(10, id -> CONGESTED_SECONDS, id -> 0.6);
+            int countBefore = simulated.engineIds.size();
+            simulated.serve(20, id -> CONGESTED_SECONDS, id -> id == 1 ? 0 : 0.6);
             List<Long> recent =
-                    simulated.sentEngineIds.subList(countBefore, simulated.sentEngineIds.size());
-            sentToIdle += recent.stream().filter(engineId -> engineId == 1).count();
+                    simulated.engineIds.subList(countBefore, simulated.engineIds.size());
+            sentToIdle += recent.stream().filter(id -> id == 1).count();
             sentInTotal += recent.size();
         }
         assertTrue(
@@ -83,13 +82,13 @@
     void restartsLessWhenTheFleetIsCongested() {
         SimulatedDispatcher uncongested = newFleet(LoadMetric.BUSY, 12).get(0);
         SimulatedDispatcher congested = newFleet(LoadMetric.BUSY, 12).get(0);
-        uncongested.serveSteadyLoad(15, engineId -> WORK_SECONDS * 1.2, engineId -> 0.5);
-        congested.serveSteadyLoad(15, engineId -> WORK_SECONDS * 6, engineId -> 0.5);
+        uncongested.serve(15, id -> WORK_SECONDS * 1.2, id -> 0.5);
+        congested.serve(15, id -> WORK_SECONDS * 6, id -> 0.5);
         long countBefore = congested.cancelCount;
-        uncongested.sendRequests(1, engineId -> 60);
-        uncongested.advance(3, engineId -> 60, engineId -> 0.5);
-        congested.sendRequests(1, engineId -> 60);
-        congested.advance(3, engineId -> 60, engineId -> 0.5);
+        uncongested.offer(1, id -> 60);
+        uncongested.advance(3, id -> 60, id -> 0.5);
+        congested.offer(1, id -> 60);
+        congested.advance(3, id -> 60, id -> 0.5);
         assertEquals(1, uncongested.cancelCount);
         assertEquals(
                 countBefore,
@@ -104,13 +103,10 @@
     void choosesAnEngineWithIdleCoresWithoutCongestion() {
         long chosen = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 3)) {
-            simulated.serveSteadyLoad(10, engineId -> WORK_SECONDS, engineId -> 0.8);
-            simulated.sendRequests(8, engineId -> engineId == 1 ? CONGESTED_SECONDS : WORK_SECONDS);
-            simulated.advance(
-                    CONGESTED_SECONDS + 0.1,
-                    engineId -> WORK_SECONDS,
-                    engineId -> engineId == 1 ? 0 : 0.8);
-            chosen += simulated.sendRequests(1, engineId -> WORK_SECONDS).get(0) == 1 ? 1 : 0;
+            simulated.serve(10, id -> WORK_SECONDS, id -> 0.8);
+            simulated.offer(8, id -> id == 1 ? CONGESTED_SECONDS : WORK_SECONDS);
+            simulated.advance(CONGESTED_SECONDS + 0.1, id -> WORK_SECONDS, id -> id == 1 ? 0 : 0.8);
+            chosen += simulated.offer(1, id -> WORK_SECONDS).get(0) == 1 ? 1 : 0;
         }
         assertTrue(chosen > DISPATCHERS / 2, "number of dispatchers that chose it: " + chosen);
     }
@@ -124,13 +120,12 @@
         long requestCount = 0;
         long sentAtOnce = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 12)) {
-            ToDoubleFunction<Long> latency =
-                    engineId -> engineId >= 10 ? WORK_SECONDS * 2 : WORK_SECONDS * 6;
-            ToDoubleFunction<Long> reportedInFlight = engineId -> engineId >= 10 ? 24 : 10;
-            simulated.serveSteadyLoad(15, latency, reportedInFlight);
+            ToDoubleFunction<Long> latency = id -> id >= 10 ? WORK_SECONDS * 2 : WORK_SECONDS * 6;
+            ToDoubleFunction<Long> reportedInFlight = id -> id >= 10 ? 24 : 10;
+            simulated.serve(15, latency, reportedInFlight);
             for (int i = 0; i < 8; i++) {
                 requestCount++;
-                sentAtOnce += simulated.sendRequests(1, latency).size();
+                sentAtOnce += simulated.offer(1, latency).size();
                 simulated.advance(0.5, latency, reportedInFlight);
             }
         }
@@ -145,7 +140,7 @@
     @Test
     void treatsAnEngineThatRejectsAsFull() {
         SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 1).get(0);
-        simulated.sendRequests(1, engineId -> WORK_SECONDS);
+        simulated.offer(1, id -> WORK_SECONDS);
         simulated.dispatcher.module.attemptEnded(
                 simulated.dispatcher.now,
                 new AttemptResult(
@@ -169,14 +164,12 @@
     @Test
     void ignoresAttemptsAtDrainingEnginesInTheLimit() {
         SimulatedDispatcher simulated = newFleet(LoadMetric.BUSY, 4).get(0);
-        simulated.serveSteadyLoad(15, engineId -> WORK_SECONDS, engineId -> 0.1);
-        assertEquals(20, simulated.sendRequests(20, engineId -> 30).size());
-        for (long engineId = 1; engineId <= 3; engineId++) {
-            simulated.updateEngine(engineId, EngineStage.DRAINING, 0);
+        simulated.serve(15, id -> WORK_SECONDS, id -> 0.1);
+        assertEquals(20, simulated.offer(20, id -> 30).size());
+        for (long id = 1; id <= 3; id++) {
+            simulated.updateEngine(id, EngineStage.DRAINING, 0);
         }
-        assertTrue(
-                simulated.sendRequests(10, engineId -> 30).size() > 0,
-                "the last engine has capacity");
+        assertTrue(simulated.offer(10, id -> 30).size() > 0, "the last engine has capacity");
     }
 
     /**
@@ -187,14 +180,11 @@
     void usesANewEngineWhenAllOthersAreFull() {
         long sent = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 4)) {
-            simulated.serveSteadyLoad(5, engineId -> WORK_SECONDS, engineId -> 60);
-            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, simulated.dispatcher.now);
-            simulated.sendRequests(1, engineId -> 30);
-            simulated.advance(3, engineId -> 30, engineId -> 60);
-            sent +=
-                    simulated.sentEngineIds.stream()
-                            .filter(engineId -> engineId == NEW_ENGINE_ID)
-                            .count();
+            simulated.serve(5, id -> WORK_SECONDS, id -> 60);
+            simulated.updateEngine(NEW_ENGINE, EngineStage.READY, simulated.dispatcher.now);
+            simulated.offer(1, id -> 30);
+            simulated.advance(3, id -> 30, id -> 60);
+            sent += simulated.engineIds.stream().filter(id -> id == NEW_ENGINE).count();
         }
         assertTrue(sent > 3, "sent by all dispatchers: " + sent);
     }
@@ -207,27 +197,22 @@
     void assumesLessExternalLoadOnAWarmingEngine() {
         long sent = 0;
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.IN_FLIGHT, 4)) {
-            simulated.serveSteadyLoad(5, engineId -> WORK_SECONDS, engineId -> 14);
-            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, simulated.dispatcher.now);
-            simulated.advance(0.1, engineId -> WORK_SECONDS, engineId -> 14);
+            simulated.serve(5, id -> WORK_SECONDS, id -> 14);
+            simulated.updateEngine(NEW_ENGINE, EngineStage.READY, simulated.dispatcher.now);
+            simulated.advance(0.1, id -> WORK_SECONDS, id -> 14);
             simulated.dispatcher.module.probeCompleted(
                     simulated.dispatcher.now,
-                    new EngineId(NEW_ENGINE_ID),
+                    new EngineId(NEW_ENGINE),
                     AttemptOutcome.OK,
                     0,
                     new float[] {0});
-            simulated.serveSteadyLoad(
-                    4, engineId -> WORK_SECONDS, engineId -> engineId == NEW_ENGINE_ID ? 0 : 14);
+            simulated.serve(4, id -> WORK_SECONDS, id -> id == NEW_ENGINE ? 0 : 14);
             simulated.dispatcher.advance(1);
-            int countBefore = simulated.sentEngineIds.size();
-            simulated.serveSteadyLoad(
-                    1, engineId -> WORK_SECONDS, engineId -> engineId == NEW_ENGINE_ID ? 0 : 14);
+            int countBefore = simulated.engineIds.size();
+            simulated.serve(1, id -> WORK_SECONDS, id -> id == NEW_ENGINE ? 0 : 14);
             sent +=
-                    simulated
-                            .sentEngineIds
-                            .subList(countBefore, simulated.sentEngineIds.size())
-                            .stream()
-                            .filter(engineId -> engineId == NEW_ENGINE_ID)
+                    simulated.engineIds.subList(countBefore, simulated.engineIds.size()).stream()
+                            .filter(id -> id == NEW_ENGINE)
                             .count();
         }
         assertTrue(sent > DISPATCHERS, "sent by all dispatchers: " + sent);
@@ -239,53 +224,48 @@
      */
     @Test
     void usesANewEngineWithinItsSlowStartBudgetAcrossDispatchers() {
-        ServiceGuarantees guarantees = RecordingDispatcher.GUARANTEES;
+        ServiceGuarantees limits = RecordingDispatcher.GUARANTEES;
         List<Double> sentAt = new ArrayList<>();
         for (SimulatedDispatcher simulated : newFleet(LoadMetric.BUSY, 4)) {
-            simulated.serveSteadyLoad(15, engineId -> CONGESTED_SECONDS, engineId -> 1);
+            simulated.serve(15, id -> CONGESTED_SECONDS, id -> 1);
             double listedAt = simulated.dispatcher.now;
-            simulated.updateEngine(NEW_ENGINE_ID, EngineStage.READY, listedAt);
+            simulated.updateEngine(NEW_ENGINE, EngineStage.READY, listedAt);
             for (int i = 0; i < 80; i++) {
-                simulated.sendRequests(
-                        1,
-                        engineId -> engineId == NEW_ENGINE_ID ? WORK_SECONDS : CONGESTED_SECONDS);
+                simulated.offer(1, id -> id == NEW_ENGINE ? WORK_SECONDS : CONGESTED_SECONDS);
                 simulated.advance(
                         0.075,
-                        engineId -> engineId == NEW_ENGINE_ID ? WORK_SECONDS : CONGESTED_SECONDS,
-                        engineId -> engineId == NEW_ENGINE_ID ? 0.3 : 1);
+                        id -> id == NEW_ENGINE ? WORK_SECONDS : CONGESTED_SECONDS,
+                        id -> id == NEW_ENGINE ? 0.3 : 1);
             }
-            for (int i = 0; i < simulated.sentEngineIds.size(); i++) {
-                if (simulated.sentEngineIds.get(i) == NEW_ENGINE_ID) {
+            for (int i = 0; i < simulated.engineIds.size(); i++) {
+                if (simulated.engineIds.get(i) == NEW_ENGINE) {
                     sentAt.add(simulated.sendTimes.get(i) - listedAt);
                 }
             }
         }
         long sentInFirstWindow = sentAt.stream().filter(time -> time < 3).count();
         assertTrue(
-                sentInFirstWindow * WORK_SECONDS
-                        > 0.3 * guarantees.slowStartInitialCapacity() * 10 * 3,
+                sentInFirstWindow * WORK_SECONDS > 0.3 * limits.slowStartInitialCapacity() * 10 * 3,
                 "left idle, attempts sent: " + sentInFirstWindow);
         for (double start = 0; start < 6; start += 0.1) {
             double windowStart = start;
-            double workSeconds =
+            double work =
                     sentAt.stream()
                                     .filter(
                                             time ->
                                                     time >= windowStart
                                                             && time
                                                                     < windowStart
-                                                                            + guarantees
+                                                                            + limits
                                                                                     .overloadWindowSeconds())
                                     .count()
                             * WORK_SECONDS;
-            double maxWorkSeconds =
-                    guarantees.overloadMultiple()
-                            * guarantees.slowStartInitialCapacity()
+            double maxWork =
+                    limits.overloadMultiple()
+                            * limits.slowStartInitialCapacity()
                             * 10
-                            * guarantees.overloadWindowSeconds();
-            assertTrue(
-                    workSeconds <= maxWorkSeconds,
-                    "work " + workSeconds + " of " + maxWorkSeconds + " from " + start);
+                            * limits.overloadWindowSeconds();
+            assertTrue(work <= maxWork, "work " + work + " of " + maxWork + " from " + start);
         }
     }
 }
--- a/src/test/java/junipercourse/decision/RuleChecker.java
+++ b/src/test/java/junipercourse/decision/RuleChecker.java
@@ -29,21 +29,21 @@
     private final List<Double> receivedTimes = new ArrayList<>();
     private final List<Double> retryTimes = new ArrayList<>();
     private final Map<Long, List<TrackedRequest>> requestsByKey = new LinkedHashMap<>();
-    private final Map<Long, Double> pausedUntilByKey = new LinkedHashMap<>();
+    private final Map<Long, Double> pausedUntil = new LinkedHashMap<>();
     private final List<double[]> slowStartSends = new ArrayList<>();
     double now;
 
     /** A request that the module received, with the state of its attempts. */
     static final class TrackedRequest {
-        final QueryRequest request;
+        final QueryRequest query;
         final QueryClass queryClass;
         int attemptCount;
-        int openAttemptCount;
-        TrackedAttempt firstExecutedAttempt;
+        int openCount;
+        TrackedAttempt firstRun;
         boolean isFinished;
 
-        TrackedRequest(QueryRequest request, QueryClass queryClass) {
-            this.request = request;
+        TrackedRequest(QueryRequest query, QueryClass queryClass) {
+            this.query = query;
             this.queryClass = queryClass;
         }
     }
@@ -73,30 +73,30 @@
 
     void recordOutcome(TrackedAttempt attempt, AttemptOutcome outcome, boolean isFinished) {
         openAttempts.remove(attempt);
-        attempt.request.openAttemptCount--;
+        attempt.request.openCount--;
         attempt.request.isFinished |= isFinished;
-        if (!outcome.neverRan() && attempt.request.firstExecutedAttempt == null) {
-            attempt.request.firstExecutedAttempt = attempt;
+        if (!outcome.neverRan() && attempt.request.firstRun == null) {
+            attempt.request.firstRun = attempt;
         }
         boolean isUncertain =
                 outcome == AttemptOutcome.TIMEOUT
                         || outcome == AttemptOutcome.RESET
                         || outcome == AttemptOutcome.CANCELLED;
         if (isUncertain && attempt.request.queryClass.orderedByKey()) {
-            pausedUntilByKey.put(
-                    attempt.request.request.key(), now + settings.guarantees().keySettleSeconds());
+            pausedUntil.put(
+                    attempt.request.query.key(), now + settings.guarantees().keySettleSeconds());
         }
     }
 
     void checkAnswersAreOnTime() {
-        for (TrackedRequest tracked : requests.values()) {
+        for (TrackedRequest request : requests.values()) {
             check(
-                    tracked.isFinished
+                    request.isFinished
                             || now
-                                    <= tracked.request.deadlineAt()
+                                    <= request.query.deadlineAt()
                                             + settings.guarantees().answerGraceSeconds(),
                     "1 unanswered",
-                    tracked.request.id());
+                    request.query.id());
         }
     }
 
@@ -108,73 +108,71 @@
 
     @Override
     public void startAttempt(RequestId id, EngineId engine, double timeoutSeconds) {
-        TrackedRequest tracked = requests.get(id.value());
+        TrackedRequest request = requests.get(id.value());
         EngineListing listing = engines.get(engine);
-        check(!tracked.isFinished, "1 sent after completion", id);
-        checkRepeatIsSafe(tracked, listing, id);
+        check(!request.isFinished, "1 sent after completion", id);
+        checkRepeatIsSafe(request, listing, id);
         check(listing.stage() == EngineStage.READY, "3 engine not ready", id);
         checkSlowStartBudget(listing, id);
-        if (tracked.queryClass.orderedByKey()) {
-            List<TrackedRequest> requestsOfKey = requestsByKey.get(tracked.request.key());
-            boolean isFirstOfKey =
-                    requestsOfKey.subList(0, requestsOfKey.indexOf(tracked)).stream()
-                            .allMatch(
-                                    earlier -> earlier.isFinished && earlier.openAttemptCount == 0);
+        if (request.queryClass.orderedByKey()) {
+            List<TrackedRequest> sameKey = requestsByKey.get(request.query.key());
+            boolean isFirst =
+                    sameKey.subList(0, sameKey.indexOf(request)).stream()
+                            .allMatch(earlier -> earlier.isFinished && earlier.openCount == 0);
             boolean isPauseOver =
-                    tracked.attemptCount > 0
-                            || now >= pausedUntilByKey.getOrDefault(tracked.request.key(), 0.0);
-            check(isFirstOfKey && isPauseOver, "5 key order", id);
+                    request.attemptCount > 0
+                            || now >= pausedUntil.getOrDefault(request.query.key(), 0.0);
+            check(isFirst && isPauseOver, "5 key order", id);
         }
         boolean isZoneAllowed =
-                tracked.queryClass.allowedZones().isEmpty()
-                        || tracked.queryClass.allowedZones().contains(listing.zone());
+                request.queryClass.allowedZones().isEmpty()
+                        || request.queryClass.allowedZones().contains(listing.zone());
         check(
                 isZoneAllowed
-                        && (tracked.queryClass.allowedKinds().isEmpty()
-                                || tracked.queryClass.allowedKinds().contains(listing.kind())),
+                        && (request.queryClass.allowedKinds().isEmpty()
+                                || request.queryClass.allowedKinds().contains(listing.kind())),
                 "6 placement",
                 id);
-        if (tracked.attemptCount > 0) {
+        if (request.attemptCount > 0) {
             retryTimes.add(now);
-            double windowSeconds = settings.guarantees().retryBudgetWindowSeconds();
+            double window = settings.guarantees().retryBudgetWindowSeconds();
             double maxRetries =
                     settings.guarantees().retryBudgetMinimum()
                             + settings.guarantees().retryBudgetRatio()
                                     * receivedTimes.stream()
-                                            .filter(time -> time > now - windowSeconds)
+                                            .filter(time -> time > now - window)
                                             .count();
             check(
-                    retryTimes.stream().filter(time -> time > now - windowSeconds).count()
-                            <= maxRetries,
+                    retryTimes.stream().filter(time -> time > now - window).count() <= maxRetries,
                     "7 retry budget",
                     id);
         }
         TrackedAttempt attempt = new TrackedAttempt();
-        attempt.request = tracked;
-        attempt.index = tracked.attemptCount++;
+        attempt.request = request;
+        attempt.index = request.attemptCount++;
         attempt.engine = listing;
         attempt.startedAt = now;
-        tracked.openAttemptCount++;
+        request.openCount++;
         openAttempts.add(attempt);
     }
 
-    private void checkRepeatIsSafe(TrackedRequest tracked, EngineListing listing, RequestId id) {
+    private void checkRepeatIsSafe(TrackedRequest request, EngineListing listing, RequestId id) {
         check(
-                tracked.openAttemptCount == 0 || settings.limits().hedgingAllowed(),
+                request.openCount == 0 || settings.limits().hedgingAllowed(),
                 "2 concurrent attempts",
                 id);
-        check(tracked.attemptCount < settings.limits().maxAttempts(), "2 attempt limit", id);
-        if (tracked.firstExecutedAttempt != null
-                && tracked.queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+        check(request.attemptCount < settings.limits().maxAttempts(), "2 attempt limit", id);
+        if (request.firstRun != null
+                && request.queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             check(false, "2 repeated, not idempotent", id);
         }
-        if (tracked.firstExecutedAttempt != null
-                && tracked.queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+        if (request.firstRun != null
+                && request.queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
             check(
-                    tracked.firstExecutedAttempt.engine.cell() == listing.cell()
+                    request.firstRun.engine.cell() == listing.cell()
                             && now
-                                    <= tracked.firstExecutedAttempt.startedAt
-                                            + tracked.queryClass.deduplicationWindowSeconds(),
+                                    <= request.firstRun.startedAt
+                                            + request.queryClass.deduplicationWindowSeconds(),
                     "2 repeated outside cell or window",
                     id);
         }
@@ -182,27 +180,24 @@
 
     /** Counts 0.3 s of work for each attempt: outcomes are drawn after 0.3 s on average. */
     private void checkSlowStartBudget(EngineListing listing, RequestId id) {
-        var guarantees = settings.guarantees();
-        if (listing.startedAt() > 0 && now < listing.startedAt() + guarantees.slowStartSeconds()) {
+        var limits = settings.guarantees();
+        if (listing.startedAt() > 0 && now < listing.startedAt() + limits.slowStartSeconds()) {
             slowStartSends.add(new double[] {now, listing.id().value()});
-            double workSeconds =
+            double work =
                     0.3
                             * slowStartSends.stream()
                                     .filter(
                                             send ->
-                                                    send[0]
-                                                                    > now
-                                                                            - guarantees
-                                                                                    .overloadWindowSeconds()
+                                                    send[0] > now - limits.overloadWindowSeconds()
                                                             && send[1] == listing.id().value())
                                     .count();
             double cores = settings.engineKinds().get(listing.kind()).cores();
             check(
-                    workSeconds
-                            <= guarantees.overloadMultiple()
-                                    * guarantees.slowStartInitialCapacity()
+                    work
+                            <= limits.overloadMultiple()
+                                    * limits.slowStartInitialCapacity()
                                     * cores
-                                    * guarantees.overloadWindowSeconds(),
+                                    * limits.overloadWindowSeconds(),
                     "4 slow start budget",
                     id);
         }
@@ -211,7 +206,7 @@
     @Override
     public void cancelAttempt(RequestId id, int index) {
         for (TrackedAttempt open : openAttempts) {
-            if (open.request.request.id().equals(id) && open.index == index) {
+            if (open.request.query.id().equals(id) && open.index == index) {
                 open.isCancelled = true;
                 return;
             }
@@ -221,21 +216,21 @@
 
     @Override
     public void reject(RequestId id, double retryAfterSeconds) {
-        TrackedRequest tracked = requests.get(id.value());
-        boolean mayHaveRun = tracked.firstExecutedAttempt != null || tracked.openAttemptCount > 0;
+        TrackedRequest request = requests.get(id.value());
+        boolean mayHaveRun = request.firstRun != null || request.openCount > 0;
         check(
-                !mayHaveRun || tracked.queryClass.idempotency() == Idempotency.IDEMPOTENT,
+                !mayHaveRun || request.queryClass.idempotency() == Idempotency.IDEMPOTENT,
                 "2 rejected after possible execution",
                 id);
-        check(!tracked.isFinished, "1 answered twice", id);
-        tracked.isFinished = true;
+        check(!request.isFinished, "1 answered twice", id);
+        request.isFinished = true;
     }
 
     @Override
     public void fail(RequestId id) {
-        TrackedRequest tracked = requests.get(id.value());
-        check(!tracked.isFinished, "1 answered twice", id);
-        tracked.isFinished = true;
+        TrackedRequest request = requests.get(id.value());
+        check(!request.isFinished, "1 answered twice", id);
+        request.isFinished = true;
     }
 
     @Override
--- a/src/test/java/junipercourse/decision/RulesTest.java
+++ b/src/test/java/junipercourse/decision/RulesTest.java
@@ -122,7 +122,7 @@
     private static void endSomeAttempts(Random random, RuleChecker checker, TagsDispatcher module) {
         for (RuleChecker.TrackedAttempt attempt : List.copyOf(checker.openAttempts)) {
             AttemptOutcome outcome = null;
-            if (checker.now >= attempt.request.request.deadlineAt()) {
+            if (checker.now >= attempt.request.query.deadlineAt()) {
                 outcome = AttemptOutcome.TIMEOUT;
             } else if (attempt.isCancelled) {
                 outcome = random.nextInt(4) == 0 ? AttemptOutcome.CANCELLED : null;
@@ -135,7 +135,7 @@
                 module.attemptEnded(
                         checker.now,
                         new AttemptResult(
-                                attempt.request.request.id(),
+                                attempt.request.query.id(),
                                 attempt.index,
                                 attempt.engine.id(),
                                 outcome,
--- a/src/test/java/junipercourse/decision/SimulatedDispatcher.java
+++ b/src/test/java/junipercourse/decision/SimulatedDispatcher.java
@@ -24,7 +24,7 @@
  */
 final class SimulatedDispatcher {
     final RecordingDispatcher dispatcher;
-    final List<Long> sentEngineIds = new ArrayList<>();
+    final List<Long> engineIds = new ArrayList<>();
     final List<Double> sendTimes = new ArrayList<>();
     final Queue<Map.Entry<Double, String>> openAttemptsByAnswerTime =
             new PriorityQueue<>(Map.Entry.comparingByKey());
@@ -61,8 +61,8 @@
      * Offers requests at the same time and returns the ids of the engines that attempts were sent
      * to.
      */
-    List<Long> sendRequests(int count, ToDoubleFunction<Long> latencySeconds) {
-        int countBefore = sentEngineIds.size();
+    List<Long> offer(int count, ToDoubleFunction<Long> latencySeconds) {
+        int countBefore = engineIds.size();
         for (int i = 0; i < count; i++) {
             dispatcher.module.requestReceived(
                     dispatcher.now,
@@ -79,7 +79,7 @@
             dispatcher.module.decide(dispatcher.now);
             recordActions(latencySeconds);
         }
-        return sentEngineIds.subList(countBefore, sentEngineIds.size());
+        return engineIds.subList(countBefore, engineIds.size());
     }
 
     private void recordActions(ToDoubleFunction<Long> latencySeconds) {
@@ -90,7 +90,7 @@
                 .forEach(
                         action -> {
                             long engineId = Long.parseLong(action.split(" ")[2]);
-                            sentEngineIds.add(engineId);
+                            engineIds.add(engineId);
                             sendTimes.add(dispatcher.now);
                             openAttemptsByAnswerTime.add(
                                     Map.entry(
@@ -129,12 +129,12 @@
     }
 
     /** Serves a steady load of one request every 0.25 s. */
-    void serveSteadyLoad(
+    void serve(
             double seconds,
             ToDoubleFunction<Long> latencySeconds,
             ToDoubleFunction<Long> reportedLoad) {
         for (double endTime = dispatcher.now + seconds; dispatcher.now < endTime; ) {
-            sendRequests(1, latencySeconds);
+            offer(1, latencySeconds);
             advance(0.25, latencySeconds, reportedLoad);
         }
     }
