--- a/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
+++ b/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
@@ -10,35 +10,36 @@
 
 /** Holds requests until an engine has capacity for them, and starts them by priority. */
 public final class AdmissionQueue {
-    private static final int MAX_MISSES = 12; // ready requests without an engine that end a pass
+    private static final int MAX_UNPLACED_REQUESTS =
+            12; // ready requests without an engine that end a pass
 
     private final DispatchState state;
     private final SendConstraints constraints;
-    private final LoadTracking load;
-    private final EngineSelection selection;
-    private final RequestCompletion completion;
-    private final RequestPriority priorities;
+    private final LoadTracking loadTracking;
+    private final EngineSelection engineSelection;
+    private final RequestCompletion requestCompletion;
+    private final RequestPriority requestPriority;
 
     AdmissionQueue(
             DispatchState state,
             SendConstraints constraints,
-            LoadTracking load,
-            EngineSelection selection,
-            RequestCompletion completion,
-            RequestPriority priorities) {
+            LoadTracking loadTracking,
+            EngineSelection engineSelection,
+            RequestCompletion requestCompletion,
+            RequestPriority requestPriority) {
         this.state = state;
         this.constraints = constraints;
-        this.load = load;
-        this.selection = selection;
-        this.completion = completion;
-        this.priorities = priorities;
+        this.loadTracking = loadTracking;
+        this.engineSelection = engineSelection;
+        this.requestCompletion = requestCompletion;
+        this.requestPriority = requestPriority;
     }
 
     /** Makes a request wait for an engine. */
     public void enqueue(double now, PendingRequest request) {
-        request.setPriority(priorities.priority(now, request));
-        selection.sampler().sample(request);
-        load.prober().probeCandidates(now, request);
+        request.setPriority(requestPriority.computePriority(now, request));
+        engineSelection.sampler().sample(request);
+        loadTracking.prober().probeCandidates(now, request);
         state.requests().enqueue(request);
         double evaluationAt =
                 Math.min(request.answerDueAt(), now + DecisionDefaults.RETRY_INTERVAL_SECONDS);
@@ -47,31 +48,31 @@
 
     /** Updates priority and candidates of a waiting request, for the next pass. */
     void refresh(double now, PendingRequest request) {
-        request.setPriority(priorities.priority(now, request));
-        selection.sampler().sample(request);
+        request.setPriority(requestPriority.computePriority(now, request));
+        engineSelection.sampler().sample(request);
         state.requests().requestAdmission();
     }
 
     /** Starts the waiting requests for which there is capacity, and sheds those over the bound. */
     public void admit(double now) {
-        load.capacity().recompute(now, state.engines(), constraints.slowStart());
+        loadTracking.capacity().recompute(now, state.engines(), constraints.slowStart());
         if (state.requests().waiting().isEmpty()) {
             return;
         }
         state.requests().sortWaiting();
         Pass pass = new Pass(now);
         state.requests().removeStarted(pass::tryStart);
-        PendingRequest shed = state.requests().nextToShed();
-        while (shed != null) {
-            completion.complete(shed);
-            shed = state.requests().nextToShed();
+        PendingRequest requestToShed = state.requests().nextToShed();
+        while (requestToShed != null) {
+            requestCompletion.completeWithoutResult(requestToShed);
+            requestToShed = state.requests().nextToShed();
         }
     }
 
     /** One pass over the waiting requests, which ends after so many that found no engine. */
     private final class Pass {
         private final double now;
-        private int misses;
+        private int unplacedRequests;
 
         private Pass(double now) {
             this.now = now;
@@ -82,19 +83,19 @@
          * nothing about the engines' capacity and must not end the pass for those behind it.
          */
         private boolean tryStart(PendingRequest request) {
-            boolean ready =
+            boolean isReady =
                     constraints.orderingAllows(now, request)
-                            && !load.prober().isAwaitingReports(now, request);
-            if (!ready || misses >= MAX_MISSES) {
-                misses += ready ? 1 : 0;
+                            && !loadTracking.prober().isAwaitingReports(now, request);
+            if (!isReady || unplacedRequests >= MAX_UNPLACED_REQUESTS) {
+                unplacedRequests += isReady ? 1 : 0;
                 return false;
             }
-            EngineState engine = selection.selector().select(now, request);
+            EngineState engine = engineSelection.selector().select(now, request);
             if (engine == null) {
-                misses++;
+                unplacedRequests++;
                 return false;
             }
-            selection.launcher().launch(now, request, engine);
+            engineSelection.launcher().launch(now, request, engine);
             return true;
         }
     }
--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -21,25 +21,25 @@
     private static final double MIN_LATENCY_SECONDS = 1e-4;
 
     private final Estimators estimators;
-    private final SlowStartController slowStart;
-    private final LoadEstimator load;
-    private final OutlierDetector outliers;
-    private final MemoryGrants grants;
-    private final CutoffController cutoffs;
+    private final SlowStartController slowStartController;
+    private final LoadEstimator loadEstimator;
+    private final OutlierDetector outlierDetector;
+    private final MemoryGrants memoryGrants;
+    private final CutoffController cutoffController;
 
     AttemptFeedback(
             Estimators estimators,
-            SlowStartController slowStart,
-            LoadEstimator load,
-            OutlierDetector outliers,
-            MemoryGrants grants,
-            CutoffController cutoffs) {
+            SlowStartController slowStartController,
+            LoadEstimator loadEstimator,
+            OutlierDetector outlierDetector,
+            MemoryGrants memoryGrants,
+            CutoffController cutoffController) {
         this.estimators = estimators;
-        this.slowStart = slowStart;
-        this.load = load;
-        this.outliers = outliers;
-        this.grants = grants;
-        this.cutoffs = cutoffs;
+        this.slowStartController = slowStartController;
+        this.loadEstimator = loadEstimator;
+        this.outlierDetector = outlierDetector;
+        this.memoryGrants = memoryGrants;
+        this.cutoffController = cutoffController;
     }
 
     /** Takes in the end of an attempt; one that was never sent teaches nothing. */
@@ -49,18 +49,18 @@
             return;
         }
         recordWorkload(now, attempt);
-        double latency = Math.max(now - attempt.sentAt(), MIN_LATENCY_SECONDS);
-        boolean answered = outcome == AttemptOutcome.OK;
-        if (answered) {
-            recordAnswer(now, attempt, result, latency);
+        double latencySeconds = Math.max(now - attempt.sentAt(), MIN_LATENCY_SECONDS);
+        boolean isAnswered = outcome == AttemptOutcome.OK;
+        if (isAnswered) {
+            recordAnswer(now, attempt, result, latencySeconds);
         }
         if (!outcome.neverRan() && !attempt.engine().health().isEjected()) {
-            double work = answered ? attempt.request().request().costEstimate() : 0;
-            recordCongestion(now, attempt, work);
+            double completedWork = isAnswered ? attempt.request().request().costEstimate() : 0;
+            recordCongestion(now, attempt, completedWork);
         }
-        boolean cutOff = attempt.isCancelled() || outcome == AttemptOutcome.TIMEOUT;
-        if (answered || cutOff && latency > attempt.expectedLatency()) {
-            recordLatency(attempt, latency, answered);
+        boolean wasCutOff = attempt.isCancelled() || outcome == AttemptOutcome.TIMEOUT;
+        if (isAnswered || wasCutOff && latencySeconds > attempt.expectedLatency()) {
+            recordLatency(attempt, latencySeconds, isAnswered);
         }
         recordFault(now, attempt, outcome);
     }
@@ -75,57 +75,63 @@
                         DecisionDefaults.SAMPLE_WEIGHT);
     }
 
-    private void recordAnswer(double now, Attempt attempt, AttemptResult result, double latency) {
+    private void recordAnswer(
+            double now, Attempt attempt, AttemptResult result, double latencySeconds) {
         EngineState engine = attempt.engine();
         engine.health().recordAnswer(now);
-        grants.recordAnswer(attempt, result);
+        memoryGrants.recordAnswer(attempt, result);
         PendingRequest request = attempt.request();
         ClassStatistics statistics = request.classStatistics();
-        double bounded = // a single bad plan among few samples is no tail
-                Math.min(latency, attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO);
-        statistics.attemptLatency().add(bounded);
+        double boundedLatencySeconds = // a single bad plan among few samples is no tail
+                Math.min(
+                        latencySeconds,
+                        attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO);
+        statistics.attemptLatency().add(boundedLatencySeconds);
         if (request.isRestarting()) {
-            statistics.restartLatency().add(bounded);
+            statistics.restartLatency().add(boundedLatencySeconds);
         }
-        double logSlowdown = Math.log(latency / request.unitLatency());
+        double logSlowdown = Math.log(latencySeconds / request.unitLatency());
         if (statistics.logSlowdown().isKnown()) {
-            double most =
+            double maxLogSlowdown =
                     statistics.logSlowdown().value() + Math.log(DecisionDefaults.MAX_SAMPLE_RATIO);
-            logSlowdown = Math.min(logSlowdown, most);
+            logSlowdown = Math.min(logSlowdown, maxLogSlowdown);
         }
         statistics.logSlowdown().add(logSlowdown);
-        outliers.reinstate(engine, ReinstatementReason.ANSWERED);
+        outlierDetector.reinstate(engine, ReinstatementReason.ANSWERED);
     }
 
-    private void recordLatency(Attempt attempt, double latency, boolean answered) {
-        estimators.speed().record(attempt.engine(), latency / attempt.expectedLatency());
-        if (!attempt.isOnFrontTier() && !answered) {
+    private void recordLatency(Attempt attempt, double latencySeconds, boolean isAnswered) {
+        estimators.speed().record(attempt.engine(), latencySeconds / attempt.expectedLatency());
+        if (!attempt.isOnFrontTier() && !isAnswered) {
             return;
         }
         PendingRequest request = attempt.request();
-        LatencyEstimator latencies = estimators.latency();
-        double projected =
-                answered ? 0 : Math.min(attempt.projectedLatency(), latencies.cutoffAfter(request));
-        double multiple =
-                Math.max(latency, projected)
-                        / latencies.sizeFactor(request)
+        LatencyEstimator latencyEstimator = estimators.latency();
+        double projectedSeconds =
+                isAnswered
+                        ? 0
+                        : Math.min(
+                                attempt.projectedLatency(), latencyEstimator.cutoffAfter(request));
+        double latencyMultiple =
+                Math.max(latencySeconds, projectedSeconds)
+                        / latencyEstimator.sizeFactor(request)
                         / LatencyEstimator.lowestCutoff(request.queryClass());
-        cutoffs.recordLatency(request.classStatistics(), multiple, !answered);
+        cutoffController.recordLatency(request.classStatistics(), latencyMultiple, !isAnswered);
     }
 
     private void recordFault(double now, Attempt attempt, AttemptOutcome outcome) {
         EngineState engine = attempt.engine();
         switch (outcome) {
             case UNREACHABLE, RESET -> {
-                if (outliers.recordReset(now, engine)) {
+                if (outlierDetector.recordReset(now, engine)) {
                     if (outcome == AttemptOutcome.UNREACHABLE) {
-                        slowStart.start(engine, now);
+                        slowStartController.start(engine, now);
                     }
-                    outliers.eject(now, engine, EjectionReason.DEAD);
+                    outlierDetector.eject(now, engine, EjectionReason.DEAD);
                 }
             }
-            case ERROR -> outliers.recordError(now, attempt.request(), engine);
-            case REJECTED -> load.recordFull(now, engine);
+            case ERROR -> outlierDetector.recordError(now, attempt.request(), engine);
+            case REJECTED -> loadEstimator.recordFull(now, engine);
             default -> {}
         }
     }
@@ -137,14 +143,14 @@
     }
 
     /** Of an overlong attempt, only the time until it was found to be so counts. */
-    private void recordCongestion(double now, Attempt attempt, double work) {
+    private void recordCongestion(double now, Attempt attempt, double completedWork) {
         PendingRequest request = attempt.request();
         if (request.hasCostEstimate()) {
             double threadSeconds =
                     attempt.isOverlong()
                             ? 0
                             : (now - attempt.sentAt()) * request.queryClass().threads();
-            estimators.congestion().add(now, attempt.engine().tier(), threadSeconds, work);
+            estimators.congestion().add(now, attempt.engine().tier(), threadSeconds, completedWork);
         }
     }
 
@@ -154,9 +160,9 @@
      */
     public boolean wasSlowedByCongestion(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
-        double latency = now - attempt.sentAt();
+        double latencySeconds = now - attempt.sentAt();
         return estimators.congestion().slowdownFactor() > DecisionDefaults.CONGESTED_SLOWDOWN
                 && request.hasCostEstimate()
-                && latency > DecisionDefaults.CONGESTED_SLOWDOWN * request.unitLatency();
+                && latencySeconds > DecisionDefaults.CONGESTED_SLOWDOWN * request.unitLatency();
     }
 }
--- a/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
@@ -18,14 +18,15 @@
  * cutoff so that they are restarted on the back tier, and retries attempts that failed.
  */
 public final class AttemptSupervisor {
-    private static final double WAIT_SHARE = 0.2; // of the time waited, between evaluations
-    private static final int MAX_ERRORS = 3; // of one query, at engines that serve others
+    private static final double EVALUATION_DELAY_SHARE =
+            0.2; // of the time waited, between evaluations
+    private static final int MAX_ERRORS_PER_QUERY = 3; // of one query, at engines that serve others
 
     private final DispatchState state;
-    private final LatencyEstimator latency;
+    private final LatencyEstimator latencyEstimator;
     private final SendConstraints constraints;
-    private final EngineSelection selection;
-    private final OutlierDetector outliers;
+    private final EngineSelection engineSelection;
+    private final OutlierDetector outlierDetector;
     private final Collaborators collaborators;
 
     /**
@@ -44,23 +45,23 @@
 
     AttemptSupervisor(
             DispatchState state,
-            LatencyEstimator latency,
+            LatencyEstimator latencyEstimator,
             SendConstraints constraints,
-            EngineSelection selection,
-            OutlierDetector outliers,
+            EngineSelection engineSelection,
+            OutlierDetector outlierDetector,
             Collaborators collaborators) {
         this.state = state;
-        this.latency = latency;
+        this.latencyEstimator = latencyEstimator;
         this.constraints = constraints;
-        this.selection = selection;
-        this.outliers = outliers;
+        this.engineSelection = engineSelection;
+        this.outlierDetector = outlierDetector;
         this.collaborators = collaborators;
     }
 
     /** Makes a new request wait for an engine, unless its time is all but over on arrival. */
     public void admit(double now, PendingRequest request) {
-        if (collaborators.completion().isHopeless(now, request)) {
-            collaborators.completion().complete(request);
+        if (collaborators.completion().isUsefulAnswerUnlikely(now, request)) {
+            collaborators.completion().completeWithoutResult(request);
         } else {
             collaborators.queue().enqueue(now, request);
         }
@@ -71,51 +72,54 @@
         if (request.isResponding()) {
             return;
         }
-        boolean answerDue = now >= request.answerDueAt();
-        boolean hopeless =
+        boolean isAnswerDue = now >= request.answerDueAt();
+        boolean isAnswerUnlikely =
                 !request.hasOutstandingAttempts()
-                        && collaborators.completion().isHopeless(now, request);
-        if (answerDue || hopeless) {
-            collaborators.completion().complete(request);
+                        && collaborators.completion().isUsefulAnswerUnlikely(now, request);
+        if (isAnswerDue || isAnswerUnlikely) {
+            collaborators.completion().completeWithoutResult(request);
             return;
         }
-        Attempt active = request.activeAttempt();
-        double nextAt =
-                active == null || active.isCancelled()
-                        ? evaluateWaiting(now, request)
-                        : superviseActive(now, active);
-        state.requests().evaluations().schedule(Math.min(request.answerDueAt(), nextAt), request);
+        Attempt activeAttempt = request.activeAttempt();
+        double nextEvaluationAt =
+                activeAttempt == null || activeAttempt.isCancelled()
+                        ? evaluateWaitingRequest(now, request)
+                        : superviseActiveAttempt(now, activeAttempt);
+        state.requests()
+                .evaluations()
+                .schedule(Math.min(request.answerDueAt(), nextEvaluationAt), request);
     }
 
-    private double evaluateWaiting(double now, PendingRequest request) {
+    private double evaluateWaitingRequest(double now, PendingRequest request) {
         if (!request.hasOutstandingAttempts()) {
             collaborators.queue().refresh(now, request);
         }
-        double pause =
+        double delaySeconds =
                 request.activeAttempt() == null
-                        ? pauseAfter(now - request.receivedAt())
+                        ? evaluationDelaySeconds(now - request.receivedAt())
                         : DecisionDefaults.SUPERVISION_INTERVAL_SECONDS;
-        return now + pause;
+        return now + delaySeconds;
     }
 
-    private double superviseActive(double now, Attempt attempt) {
-        outliers.checkSilence(now, attempt);
-        double age = now - attempt.sentAt();
-        double longest = attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO;
-        if (!attempt.isOverlong() && age > longest) {
+    private double superviseActiveAttempt(double now, Attempt attempt) {
+        outlierDetector.checkSilence(now, attempt);
+        double ageSeconds = now - attempt.sentAt();
+        double maxLatencySeconds = attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO;
+        if (!attempt.isOverlong() && ageSeconds > maxLatencySeconds) {
             collaborators.feedback().recordOverlong(now, attempt);
         }
-        boolean restartDue = isPastCutoff(now, attempt) || OutlierDetector.isHanging(attempt);
-        if (restartDue && mayRestart(now, attempt)) {
+        boolean isRestartDue = isPastCutoff(now, attempt) || OutlierDetector.isHanging(attempt);
+        if (isRestartDue && mayRestart(now, attempt)) {
             collaborators.completion().cancel(attempt);
             attempt.request().markRestarting();
         }
-        double nextSupervision = now + DecisionDefaults.SUPERVISION_INTERVAL_SECONDS;
+        double nextSupervisionAt = now + DecisionDefaults.SUPERVISION_INTERVAL_SECONDS;
         double cutoffAt =
-                attempt.isOnFrontTier() && !restartDue
-                        ? attempt.sentAt() + latency.cutoffAfter(attempt.request())
-                        : nextSupervision;
-        return Math.max(now + pauseAfter(age), Math.min(cutoffAt, nextSupervision));
+                attempt.isOnFrontTier() && !isRestartDue
+                        ? attempt.sentAt() + latencyEstimator.cutoffAfter(attempt.request())
+                        : nextSupervisionAt;
+        return Math.max(
+                now + evaluationDelaySeconds(ageSeconds), Math.min(cutoffAt, nextSupervisionAt));
     }
 
     /** Requests that are ordered by key have no cutoff: a restart would block those behind them. */
@@ -126,10 +130,12 @@
     }
 
     /** Seconds until the next evaluation; more after a long wait, since then many wait. */
-    private static double pauseAfter(double waited) {
+    private static double evaluationDelaySeconds(double elapsedSeconds) {
         return Math.max(
                 DecisionDefaults.RETRY_INTERVAL_SECONDS,
-                Math.min(DecisionDefaults.SUPERVISION_INTERVAL_SECONDS, WAIT_SHARE * waited));
+                Math.min(
+                        DecisionDefaults.SUPERVISION_INTERVAL_SECONDS,
+                        EVALUATION_DELAY_SHARE * elapsedSeconds));
     }
 
     private boolean mayRestart(double now, Attempt attempt) {
@@ -139,9 +145,9 @@
                 || !hasTimeForRestart(now, attempt)) {
             return false;
         }
-        selection.sampler().sampleForRestart(request);
+        engineSelection.sampler().sampleForRestart(request);
         return request.candidateEngines().stream()
-                .anyMatch(engine -> canRestartAt(now, attempt, engine));
+                .anyMatch(engine -> canRestartOn(now, attempt, engine));
     }
 
     private boolean isRestartAllowed(double now, PendingRequest request) {
@@ -152,54 +158,55 @@
 
     private boolean hasTimeForRestart(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
-        if (now + latency.expectedLatency(request) > request.answerDueAt()) {
+        if (now + latencyEstimator.expectedLatency(request) > request.answerDueAt()) {
             return false;
         }
         double deduplicatedUntil =
-                firstExecuted(attempt).sentAt()
+                firstExecutedAttempt(attempt).sentAt()
                         + request.queryClass().deduplicationWindow()
                         - DecisionDefaults.RETRY_INTERVAL_SECONDS * 2;
-        return !isKeyed(request) || now <= deduplicatedUntil;
+        return !hasIdempotencyKey(request) || now <= deduplicatedUntil;
     }
 
-    private boolean canRestartAt(double now, Attempt attempt, EngineState engine) {
+    private boolean canRestartOn(double now, Attempt attempt, EngineState engine) {
         PendingRequest request = attempt.request();
-        boolean suitableTier = engine.tier() == Tier.BACK || OutlierDetector.isHanging(attempt);
+        boolean isSuitableTier = engine.tier() == Tier.BACK || OutlierDetector.isHanging(attempt);
         return engine != attempt.engine()
-                && suitableTier
-                && (!isKeyed(request)
-                        || SendConstraints.sharesDeduplication(firstExecuted(attempt), engine))
+                && isSuitableTier
+                && (!hasIdempotencyKey(request)
+                        || SendConstraints.sharesDeduplication(
+                                firstExecutedAttempt(attempt), engine))
                 && engine.isReady()
                 && !engine.health().isEjected()
                 && constraints.slowStartAllows(now, request, engine)
-                && selection.capacity().fits(now, request, engine, true);
+                && engineSelection.capacity().fits(now, request, engine, true);
     }
 
-    private static boolean isKeyed(PendingRequest request) {
+    private static boolean hasIdempotencyKey(PendingRequest request) {
         return request.queryClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
     }
 
-    private static Attempt firstExecuted(Attempt attempt) {
-        Attempt first = attempt.request().firstExecutedAttempt();
-        return first == null ? attempt : first;
+    private static Attempt firstExecutedAttempt(Attempt attempt) {
+        Attempt firstAttempt = attempt.request().firstExecutedAttempt();
+        return firstAttempt == null ? attempt : firstAttempt;
     }
 
     /** After an attempt without an answer: retries where constraints and time allow it. */
-    public void retryOrComplete(double now, Attempt ended, AttemptOutcome outcome) {
-        PendingRequest request = ended.request();
-        request.setPreviousEngine(ended.engine());
-        if (ended.isOnFrontTier() && outcome == AttemptOutcome.TIMEOUT) {
+    public void retryOrComplete(double now, Attempt endedAttempt, AttemptOutcome outcome) {
+        PendingRequest request = endedAttempt.request();
+        request.setPreviousEngine(endedAttempt.engine());
+        if (endedAttempt.isOnFrontTier() && outcome == AttemptOutcome.TIMEOUT) {
             request.markRestarting(); // the cutoff was the attempt's own timeout
         }
-        boolean retry =
+        boolean shouldRetry =
                 collaborators.completion().hasTimeForRetry(now, request)
                         && outcome != AttemptOutcome.MOOT
                         && isRetryAllowed(now, request)
-                        && request.faults().errors() < MAX_ERRORS;
-        if (retry) {
+                        && request.faults().errors() < MAX_ERRORS_PER_QUERY;
+        if (shouldRetry) {
             collaborators.queue().enqueue(now, request);
         } else {
-            collaborators.completion().complete(request);
+            collaborators.completion().completeWithoutResult(request);
         }
     }
 
--- a/src/main/java/junipercourse/decision/admission/CutoffController.java
+++ b/src/main/java/junipercourse/decision/admission/CutoffController.java
@@ -17,27 +17,32 @@
  * so that their restarts fill it.
  */
 public final class CutoffController {
-    private static final double UPDATE_SECONDS = 1.0; // answers do not come in faster
-    private static final double BACK_TIER_FILL = 0.8; // of its cores; the rest is for chance
-    private static final double MAX_MULTIPLE = 32; // of the lowest cutoffs
-    private static final double MULTIPLE_STEP = 1.2;
+    private static final double UPDATE_INTERVAL_SECONDS = 1.0; // answers do not come in faster
+    private static final double MAX_BACK_TIER_UTILIZATION =
+            0.8; // of its cores; the rest is for chance
+    private static final double MAX_CUTOFF_MULTIPLE = 32; // of the lowest cutoffs
+    private static final double CUTOFF_MULTIPLE_STEP = 1.2;
     private static final int MIN_SAMPLES = 3; // of any class; fewer show no tail
-    private static final double FLEET_TAIL_WEIGHT = 20; // samples that weigh like the class's own
-    private static final double PROJECTION_TRUST = 0.7; // progress reports are rough
+    private static final double FLEET_TAIL_PRIOR_SAMPLES =
+            20; // samples that weigh like the class's own
+    private static final double PROJECTION_DISCOUNT = 0.7; // progress reports are rough
 
     private final DispatchState state;
     private final Estimators estimators;
-    private final LoadEstimator load;
+    private final LoadEstimator loadEstimator;
     private final PeerLoadGossip gossip;
-    private final KaplanMeierEstimator fleetTail =
+    private final KaplanMeierEstimator fleetLatencyTail =
             new KaplanMeierEstimator(ClassStatistics.LATENCY_SAMPLES);
     private double nextUpdateAt;
 
     CutoffController(
-            DispatchState state, Estimators estimators, LoadEstimator load, PeerLoadGossip gossip) {
+            DispatchState state,
+            Estimators estimators,
+            LoadEstimator loadEstimator,
+            PeerLoadGossip gossip) {
         this.state = state;
         this.estimators = estimators;
-        this.load = load;
+        this.loadEstimator = loadEstimator;
         this.gossip = gossip;
     }
 
@@ -46,77 +51,83 @@
         if (now < nextUpdateAt) {
             return false;
         }
-        nextUpdateAt = now + UPDATE_SECONDS;
-        update(now);
+        nextUpdateAt = now + UPDATE_INTERVAL_SECONDS;
+        updateCutoffs(now);
         return true;
     }
 
     /** Chooses the smallest multiple of the lowest cutoffs whose restarts fit the back tier. */
-    private void update(double now) {
+    private void updateCutoffs(double now) {
         gossip.expire(now);
-        load.refreshUsualLoad();
-        double capacity =
-                state.engines().backCores() * estimators.traffic().ownShare() * BACK_TIER_FILL;
+        loadEstimator.refreshUsualLoad();
+        double usableThreads =
+                state.engines().backCores()
+                        * estimators.traffic().ownShare()
+                        * MAX_BACK_TIER_UTILIZATION;
         double observedSeconds = estimators.traffic().observedSeconds(now);
-        double multiple = 1;
-        while (multiple < MAX_MULTIPLE && restartWork(multiple, observedSeconds) > capacity) {
-            multiple *= MULTIPLE_STEP;
+        double cutoffMultiple = 1;
+        while (cutoffMultiple < MAX_CUTOFF_MULTIPLE
+                && restartThreads(cutoffMultiple, observedSeconds) > usableThreads) {
+            cutoffMultiple *= CUTOFF_MULTIPLE_STEP;
         }
         for (ClassStatistics statistics : state.classes()) {
-            statistics.setCutoff(cutoff(statistics, multiple));
-            statistics.decay(1 - UPDATE_SECONDS / DecisionDefaults.TRAFFIC_AVERAGING_SECONDS);
+            statistics.setCutoff(computeCutoff(statistics, cutoffMultiple));
+            statistics.decay(
+                    1 - UPDATE_INTERVAL_SECONDS / DecisionDefaults.TRAFFIC_AVERAGING_SECONDS);
         }
     }
 
-    private double cutoff(ClassStatistics statistics, double multiple) {
-        double deadline = statistics.queryClass().deadline();
-        return fleetTail.size() < MIN_SAMPLES
-                ? deadline
+    private double computeCutoff(ClassStatistics statistics, double cutoffMultiple) {
+        double deadlineSeconds = statistics.queryClass().deadline();
+        return fleetLatencyTail.size() < MIN_SAMPLES
+                ? deadlineSeconds
                 : Math.min(
-                        deadline,
-                        LatencyEstimator.lowestCutoff(statistics.queryClass()) * multiple);
+                        deadlineSeconds,
+                        LatencyEstimator.lowestCutoff(statistics.queryClass()) * cutoffMultiple);
     }
 
     /**
      * Returns the work a second, in threads, that restarts at a multiple bring to the back tier.
      */
-    private double restartWork(double multiple, double observedSeconds) {
-        double sum = 0;
+    private double restartThreads(double cutoffMultiple, double observedSeconds) {
+        double totalThreads = 0;
         for (ClassStatistics statistics : state.classes()) {
             RunningMean restartLatency =
                     statistics.restartLatency().isKnown()
                             ? statistics.restartLatency()
                             : statistics.attemptLatency();
-            boolean restartable =
+            boolean isRestartable =
                     statistics.queryClass().idempotency() != Idempotency.NOT_IDEMPOTENT;
-            if (restartable && restartLatency.isKnown()) {
-                sum +=
+            if (isRestartable && restartLatency.isKnown()) {
+                totalThreads +=
                         statistics.arrivals()
                                 / observedSeconds
                                 * statistics.queryClass().threads()
-                                * shareBeyondCutoff(statistics, multiple)
+                                * shareBeyondCutoff(statistics, cutoffMultiple)
                                 * restartLatency.value();
             }
         }
-        return sum;
+        return totalThreads;
     }
 
     /**
      * Returns the share of a class that outlives a multiple of its lowest cutoff. A class with few
      * samples borrows the tail of all classes, so that its bad plans are cancelled early as well.
      */
-    private double shareBeyondCutoff(ClassStatistics statistics, double multiple) {
-        double lowest = LatencyEstimator.lowestCutoff(statistics.queryClass());
-        double at = Math.min(multiple, statistics.queryClass().deadline() / lowest);
+    private double shareBeyondCutoff(ClassStatistics statistics, double cutoffMultiple) {
+        double lowestCutoff = LatencyEstimator.lowestCutoff(statistics.queryClass());
+        double boundedMultiple =
+                Math.min(cutoffMultiple, statistics.queryClass().deadline() / lowestCutoff);
         KaplanMeierEstimator ownTail = statistics.latencyTail();
-        double trust = ownTail.size() / (ownTail.size() + FLEET_TAIL_WEIGHT);
-        return trust * ownTail.survival(at) + (1 - trust) * fleetTail.survival(at);
+        double ownTailWeight = ownTail.size() / (ownTail.size() + FLEET_TAIL_PRIOR_SAMPLES);
+        return ownTailWeight * ownTail.survival(boundedMultiple)
+                + (1 - ownTailWeight) * fleetLatencyTail.survival(boundedMultiple);
     }
 
     /** Adds the latency of an attempt, as a multiple of the lowest cutoff of its class. */
-    void recordLatency(ClassStatistics statistics, double multiple, boolean censored) {
-        statistics.latencyTail().add(multiple, censored);
-        fleetTail.add(multiple, censored);
+    void recordLatency(ClassStatistics statistics, double latencyMultiple, boolean isCensored) {
+        statistics.latencyTail().add(latencyMultiple, isCensored);
+        fleetLatencyTail.add(latencyMultiple, isCensored);
     }
 
     /**
@@ -124,13 +135,15 @@
      * if it is nearly done.
      */
     public boolean exceedsCutoff(double now, Attempt attempt) {
-        LatencyEstimator latency = estimators.latency();
-        double age = now - attempt.sentAt();
-        double projected = attempt.projectedLatency();
-        boolean nearlyDone =
-                projected > 0 && projected - age < latency.expectedLatency(attempt.request());
-        return !nearlyDone
-                && Math.max(age, projected * PROJECTION_TRUST)
-                        >= latency.cutoffAfter(attempt.request());
+        LatencyEstimator latencyEstimator = estimators.latency();
+        double ageSeconds = now - attempt.sentAt();
+        double projectedSeconds = attempt.projectedLatency();
+        boolean isNearlyDone =
+                projectedSeconds > 0
+                        && projectedSeconds - ageSeconds
+                                < latencyEstimator.expectedLatency(attempt.request());
+        return !isNearlyDone
+                && Math.max(ageSeconds, projectedSeconds * PROJECTION_DISCOUNT)
+                        >= latencyEstimator.cutoffAfter(attempt.request());
     }
 }
--- a/src/main/java/junipercourse/decision/admission/RequestCompletion.java
+++ b/src/main/java/junipercourse/decision/admission/RequestCompletion.java
@@ -11,50 +11,54 @@
 
 /** Gives final answers, and decides when waiting for a better one has become hopeless. */
 public final class RequestCompletion {
-    private static final double MIN_LATENCY_SHARE = 0.5; // of the expectation that must be left
-    private static final double MIN_LATE_WEIGHT =
+    private static final double MIN_REMAINING_LATENCY_SHARE =
+            0.5; // of the expectation that must be left
+    private static final double MIN_LATE_ANSWER_WEIGHT =
             0.2; // late answers of less weight are not awaited
     private static final double MAX_LATE_WAIT_SHARE =
             0.5; // of its time, once the objective is lost
 
     private final DispatchState state;
-    private final LatencyEstimator latency;
+    private final LatencyEstimator latencyEstimator;
 
-    RequestCompletion(DispatchState state, LatencyEstimator latency) {
+    RequestCompletion(DispatchState state, LatencyEstimator latencyEstimator) {
         this.state = state;
-        this.latency = latency;
+        this.latencyEstimator = latencyEstimator;
     }
 
     /** Returns true if no answer of any value can come of waiting longer. */
-    boolean isHopeless(double now, PendingRequest request) {
+    boolean isUsefulAnswerUnlikely(double now, PendingRequest request) {
         if (state.engines().isKnownToBeEmpty() || !hasTimeForAttempt(now, request)) {
             return true;
         }
-        return latency.missesObjective(now, request) && isLateAnswerWorthless(now, request);
+        return latencyEstimator.missesObjective(now, request)
+                && isLateAnswerWorthless(now, request);
     }
 
     private static boolean isLateAnswerWorthless(double now, PendingRequest request) {
-        double available = request.request().deadlineAt() - request.receivedAt();
+        double availableSeconds = request.request().deadlineAt() - request.receivedAt();
         return request.isOverQuota()
-                || request.queryClass().lateAnswerWeight() < MIN_LATE_WEIGHT
-                || now - request.receivedAt() > MAX_LATE_WAIT_SHARE * available;
+                || request.queryClass().lateAnswerWeight() < MIN_LATE_ANSWER_WEIGHT
+                || now - request.receivedAt() > MAX_LATE_WAIT_SHARE * availableSeconds;
     }
 
     private boolean hasTimeForAttempt(double now, PendingRequest request) {
-        return now + latency.expectedLatency(request) * MIN_LATENCY_SHARE <= request.answerDueAt();
+        return now + latencyEstimator.expectedLatency(request) * MIN_REMAINING_LATENCY_SHARE
+                <= request.answerDueAt();
     }
 
     /** Returns true if an attempt that starts now may still answer before the deadline. */
     boolean hasTimeForRetry(double now, PendingRequest request) {
-        return now + latency.expectedLatency(request) * MIN_LATENCY_SHARE < request.answerDueAt();
+        return now + latencyEstimator.expectedLatency(request) * MIN_REMAINING_LATENCY_SHARE
+                < request.answerDueAt();
     }
 
     /**
      * Gives the final answer without a result: a rejection where it is true that sending the
      * request again is harmless, a failure otherwise.
      */
-    void complete(PendingRequest request) {
-        if (isRepeatHarmless(request)) {
+    void completeWithoutResult(PendingRequest request) {
+        if (isClientRetrySafe(request)) {
             PlatformLimits limits = state.settings().limits();
             state.actions()
                     .reject(
@@ -66,16 +70,16 @@
         close(request);
     }
 
-    private static boolean isRepeatHarmless(PendingRequest request) {
+    private static boolean isClientRetrySafe(PendingRequest request) {
         boolean mayHaveRun =
                 request.firstExecutedAttempt() != null || request.hasOutstandingAttempts();
         QueryClass queryClass = request.queryClass();
-        boolean deduplicatedEverywhere =
+        boolean isDeduplicatedEverywhere =
                 queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && queryClass.deduplicationScope() == DeduplicationScope.ALL;
         return !mayHaveRun
                 || queryClass.idempotency() == Idempotency.IDEMPOTENT
-                || deduplicatedEverywhere;
+                || isDeduplicatedEverywhere;
     }
 
     /** Closes a request that has its final answer or whose client has left. */
--- a/src/main/java/junipercourse/decision/admission/RequestPriority.java
+++ b/src/main/java/junipercourse/decision/admission/RequestPriority.java
@@ -12,34 +12,37 @@
  */
 final class RequestPriority {
     private static final double FAIRNESS_EXPONENT = 3; // of the started share of a class
-    private static final double FAIRNESS_PRIOR = 2; // requests that count as arrived and started
-    private static final double RESTART_FACTOR = 4; // the work of a restart was partly paid for
+    private static final double FAIRNESS_PRIOR_REQUESTS =
+            2; // requests that count as arrived and started
+    private static final double RESTART_PRIORITY_FACTOR =
+            4; // the work of a restart was partly paid for
 
     private final DispatchState state;
-    private final LatencyEstimator latency;
+    private final LatencyEstimator latencyEstimator;
 
-    RequestPriority(DispatchState state, LatencyEstimator latency) {
+    RequestPriority(DispatchState state, LatencyEstimator latencyEstimator) {
         this.state = state;
-        this.latency = latency;
+        this.latencyEstimator = latencyEstimator;
     }
 
     /** Returns the priority of a request; the highest is served first. */
-    double priority(double now, PendingRequest request) {
+    double computePriority(double now, PendingRequest request) {
         QueryClass queryClass = request.queryClass();
         double weight =
                 queryClass.priorityWeight()
                         * (request.isOverQuota() ? state.settings().overQuotaWeight() : 1);
-        if (latency.missesObjective(now, request)) {
+        if (latencyEstimator.missesObjective(now, request)) {
             weight *= queryClass.lateAnswerWeight();
         }
-        double weightPerWork = weight / (latency.expectedLatency(request) * queryClass.threads());
+        double weightPerWork =
+                weight / (latencyEstimator.expectedLatency(request) * queryClass.threads());
         return weightPerWork
                 / Math.pow(startedShare(request.classStatistics()), FAIRNESS_EXPONENT)
-                * (request.isRestarting() ? RESTART_FACTOR : 1);
+                * (request.isRestarting() ? RESTART_PRIORITY_FACTOR : 1);
     }
 
     private static double startedShare(ClassStatistics statistics) {
-        return (statistics.started() + FAIRNESS_PRIOR)
-                / (statistics.arrivalsWithinQuota() + FAIRNESS_PRIOR);
+        return (statistics.started() + FAIRNESS_PRIOR_REQUESTS)
+                / (statistics.arrivalsWithinQuota() + FAIRNESS_PRIOR_REQUESTS);
     }
 }
--- a/src/main/java/junipercourse/decision/constraints/RetryBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/RetryBudget.java
@@ -32,14 +32,14 @@
 
     /** Returns true if the next attempt of a request is its first or fits the budget. */
     public boolean allows(double now, PendingRequest request) {
-        double window = guarantees.retryBudgetWindow();
-        if (request.sentAttempts() == 0 || window <= 0) {
+        double windowSeconds = guarantees.retryBudgetWindow();
+        if (request.sentAttempts() == 0 || windowSeconds <= 0) {
             return true;
         }
-        double tolerance = DecisionDefaults.TIMER_RESOLUTION_SECONDS;
-        return retries.countAfter(now - window - tolerance) + 1
+        double toleranceSeconds = DecisionDefaults.TIMER_RESOLUTION_SECONDS;
+        return retries.countAfter(now - windowSeconds - toleranceSeconds) + 1
                 <= guarantees.retryBudgetMinimum()
                         + guarantees.retryBudgetRatio()
-                                * requests.countAfter(now - window + tolerance);
+                                * requests.countAfter(now - windowSeconds + toleranceSeconds);
     }
 }
--- a/src/main/java/junipercourse/decision/constraints/SendConstraints.java
+++ b/src/main/java/junipercourse/decision/constraints/SendConstraints.java
@@ -56,7 +56,7 @@
                 && !attempt.engineRestarted()
                 && deadlineAllows(now, attempt.request())
                 && attempt.engine().isReady()
-                && repeatIsHarmless(now, attempt.request(), attempt.engine())
+                && isRetrySafe(now, attempt.request(), attempt.engine())
                 && orderingAllows(now, attempt.request());
     }
 
@@ -67,15 +67,15 @@
 
     /** Rule 2: no second effect, and one attempt at a time unless hedging is allowed. */
     public boolean idempotencyAllows(double now, PendingRequest request, EngineState engine) {
-        boolean hedgingAllowed =
+        boolean isHedgingAllowed =
                 state.settings().limits().hedgingAllowed()
                         && request.queryClass().idempotency() == Idempotency.IDEMPOTENT;
-        boolean concurrencyAllowed =
+        boolean isConcurrencyAllowed =
                 request.activeAttempt() == null
-                        && (!request.hasOutstandingAttempts() || hedgingAllowed);
+                        && (!request.hasOutstandingAttempts() || isHedgingAllowed);
         return !attemptsExhausted(request)
-                && concurrencyAllowed
-                && repeatIsHarmless(now, request, engine);
+                && isConcurrencyAllowed
+                && isRetrySafe(now, request, engine);
     }
 
     /** Returns true if the platform allows no further attempt of a request. */
@@ -84,19 +84,18 @@
         return limits.maxAttempts() > 0 && request.sentAttempts() >= limits.maxAttempts();
     }
 
-    private static boolean repeatIsHarmless(
-            double now, PendingRequest request, EngineState engine) {
-        Attempt first = request.firstExecutedAttempt();
-        if (first == null) {
+    private static boolean isRetrySafe(double now, PendingRequest request, EngineState engine) {
+        Attempt firstAttempt = request.firstExecutedAttempt();
+        if (firstAttempt == null) {
             return true;
         }
         QueryClass queryClass = request.queryClass();
         return switch (queryClass.idempotency()) {
             case IDEMPOTENT -> true;
             case IDEMPOTENT_WITH_KEY ->
-                    sharesDeduplication(first, engine)
+                    sharesDeduplication(firstAttempt, engine)
                             && now
-                                    < first.sentAt()
+                                    < firstAttempt.sentAt()
                                             + queryClass.deduplicationWindow()
                                             - DecisionDefaults.ANSWER_LEAD_SECONDS;
             case NOT_IDEMPOTENT -> false;
@@ -104,12 +103,12 @@
     }
 
     /** Returns true if an engine recognizes the key of an attempt that was sent before. */
-    public static boolean sharesDeduplication(Attempt first, EngineState engine) {
+    public static boolean sharesDeduplication(Attempt firstAttempt, EngineState engine) {
         return engine.isListed()
-                && switch (first.request().queryClass().deduplicationScope()) {
+                && switch (firstAttempt.request().queryClass().deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> first.listingAtStart().zone() == engine.listing().zone();
-                    case CELL -> first.listingAtStart().cell() == engine.listing().cell();
+                    case ZONE -> firstAttempt.listingAtStart().zone() == engine.listing().zone();
+                    case CELL -> firstAttempt.listingAtStart().cell() == engine.listing().cell();
                 };
     }
 
@@ -129,13 +128,13 @@
             return false;
         }
         QueryClass queryClass = request.queryClass();
-        boolean zoneAllowed =
+        boolean isZoneAllowed =
                 queryClass.allowedZones().isEmpty()
                         || queryClass.allowedZones().contains(engine.listing().zone());
-        boolean kindAllowed =
+        boolean isKindAllowed =
                 queryClass.allowedKinds().isEmpty()
                         || queryClass.allowedKinds().contains(engine.listing().kind());
-        return zoneAllowed && kindAllowed;
+        return isZoneAllowed && isKindAllowed;
     }
 
     /** Rule 7: retries keep within their budget. */
--- a/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
@@ -12,37 +12,42 @@
  */
 final class SlowStartBudget {
     private static final double SAFETY_FACTOR = 0.7; // of the budget: work and speed are estimates
-    private static final double DEVIATIONS = 3; // kept free for attempts of other dispatchers
-    private static final double MAX_WINDOW_SHARE = 0.5; // of a window's work in a single query
-    private static final double BUSY_AT_CAPACITY = 0.85; // share of cores that are busy at capacity
+    private static final double RESERVE_DEVIATIONS =
+            3; // kept free for attempts of other dispatchers
+    private static final double MAX_QUERY_WINDOW_SHARE =
+            0.5; // of a window's work in a single query
+    private static final double UTILIZATION_AT_CAPACITY =
+            0.85; // share of cores that are busy at capacity
 
     private final ServiceGuarantees guarantees;
-    private final TrafficShareEstimator traffic;
-    private final LatencyEstimator latency;
+    private final TrafficShareEstimator trafficEstimator;
+    private final LatencyEstimator latencyEstimator;
 
     SlowStartBudget(
-            ServiceGuarantees guarantees, TrafficShareEstimator traffic, LatencyEstimator latency) {
+            ServiceGuarantees guarantees,
+            TrafficShareEstimator trafficEstimator,
+            LatencyEstimator latencyEstimator) {
         this.guarantees = guarantees;
-        this.traffic = traffic;
-        this.latency = latency;
+        this.trafficEstimator = trafficEstimator;
+        this.latencyEstimator = latencyEstimator;
     }
 
     /** Returns the share of its capacity that an engine has so many seconds after its start. */
-    double capacityShare(double age) {
+    double capacityShare(double ageSeconds) {
         double progress =
-                age >= guarantees.slowStartDuration()
+                ageSeconds >= guarantees.slowStartDuration()
                         ? 1
-                        : Math.max(0, age / guarantees.slowStartDuration());
+                        : Math.max(0, ageSeconds / guarantees.slowStartDuration());
         return guarantees.slowStartInitialCapacity()
                 + (1 - guarantees.slowStartInitialCapacity()) * progress;
     }
 
     /** Returns the work a second that all dispatchers together may send to so many cores. */
-    double workPerSecond(double age, double cores) {
+    double workPerSecond(double ageSeconds, double cores) {
         return guarantees.overloadMultiple()
-                * capacityShare(age)
+                * capacityShare(ageSeconds)
                 * cores
-                * BUSY_AT_CAPACITY
+                * UTILIZATION_AT_CAPACITY
                 * SAFETY_FACTOR;
     }
 
@@ -51,23 +56,29 @@
      * one query of more than a window's work would exceed it alone. What is usual for its class may
      * always run, so that no class is shut out; the latency objective bounds what passes for usual.
      */
-    boolean allowsSize(PendingRequest request, double age, EngineState engine) {
-        double usual =
+    boolean allowsSize(PendingRequest request, double ageSeconds, EngineState engine) {
+        double usualWork =
                 Math.min(
-                        latency.usualWork(request.classStatistics()),
+                        latencyEstimator.usualWork(request.classStatistics()),
                         request.queryClass().latencyObjective() * request.queryClass().threads());
-        double bound =
-                workPerSecond(age, engine.cores()) * guarantees.overloadWindow() * MAX_WINDOW_SHARE;
-        return latency.work(request) <= Math.max(usual, bound);
+        double maxWork =
+                workPerSecond(ageSeconds, engine.cores())
+                        * guarantees.overloadWindow()
+                        * MAX_QUERY_WINDOW_SHARE;
+        return latencyEstimator.work(request) <= Math.max(usualWork, maxWork);
     }
 
     /**
      * Returns work plus a reserve for chance: few heavy attempts vary more than many light ones.
      */
-    double charge(double work, double age, EngineState engine) {
-        double windowWork = workPerSecond(age, engine.cores()) * guarantees.overloadWindow();
-        double deviation = DEVIATIONS * (1 - traffic.ownShare()) * Math.sqrt(work / windowWork);
-        double share = (Math.sqrt(deviation * deviation + 4) - deviation) / 2;
-        return work / (share * share);
+    double computeCharge(double work, double ageSeconds, EngineState engine) {
+        double windowWork = workPerSecond(ageSeconds, engine.cores()) * guarantees.overloadWindow();
+        double relativeDeviation =
+                RESERVE_DEVIATIONS
+                        * (1 - trafficEstimator.ownShare())
+                        * Math.sqrt(work / windowWork);
+        double usableShare =
+                (Math.sqrt(relativeDeviation * relativeDeviation + 4) - relativeDeviation) / 2;
+        return work / (usableShare * usableShare);
     }
 }
--- a/src/main/java/junipercourse/decision/constraints/SlowStartController.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartController.java
@@ -16,15 +16,17 @@
  */
 public final class SlowStartController {
     private final DispatchState state;
-    private final TrafficShareEstimator traffic;
-    private final LatencyEstimator latency;
+    private final TrafficShareEstimator trafficEstimator;
+    private final LatencyEstimator latencyEstimator;
     private final SlowStartBudget budget;
 
     SlowStartController(DispatchState state, Estimators estimators) {
         this.state = state;
-        this.traffic = estimators.traffic();
-        this.latency = estimators.latency();
-        this.budget = new SlowStartBudget(state.settings().guarantees(), traffic, latency);
+        this.trafficEstimator = estimators.traffic();
+        this.latencyEstimator = estimators.latency();
+        this.budget =
+                new SlowStartBudget(
+                        state.settings().guarantees(), trafficEstimator, latencyEstimator);
     }
 
     /** Starts the slow start of an engine that was started or may have been restarted. */
@@ -32,10 +34,10 @@
         SlowStartState slowStart = engine.slowStart();
         slowStart.restart(startedAt);
         double largestWork =
-                state.classes().stream().mapToDouble(latency::usualWork).max().orElse(0);
-        double largestCharge = budget.charge(largestWork, 0, engine);
+                state.classes().stream().mapToDouble(latencyEstimator::usualWork).max().orElse(0);
+        double largestCharge = budget.computeCharge(largestWork, 0, engine);
         slowStart.setCredit(
-                -largestCharge * state.random().nextDouble() * (1 - traffic.ownShare()));
+                -largestCharge * state.random().nextDouble() * (1 - trafficEstimator.ownShare()));
     }
 
     /** Returns true while an engine is warming up. */
@@ -47,13 +49,14 @@
 
     /** Returns the share of its capacity that an engine has, at most 1. */
     public double capacityShare(double now, EngineState engine) {
-        return budget.capacityShare(age(now, engine));
+        return budget.capacityShare(ageSeconds(now, engine));
     }
 
     /** Returns what sending a request takes of the credit; 0 once the engine is warm. */
     public double charge(double now, PendingRequest request, EngineState engine) {
         return isWarmingUp(now, engine)
-                ? budget.charge(latency.work(request), age(now, engine), engine)
+                ? budget.computeCharge(
+                        latencyEstimator.work(request), ageSeconds(now, engine), engine)
                 : 0;
     }
 
@@ -63,16 +66,16 @@
             return true;
         }
         SlowStartState slowStart = engine.slowStart();
-        double age = age(now, engine);
-        double refill =
-                budget.workPerSecond(age, engine.cores())
+        double ageSeconds = ageSeconds(now, engine);
+        double refillWork =
+                budget.workPerSecond(ageSeconds, engine.cores())
                         * (now - slowStart.refilledAt())
-                        * traffic.ownShare();
-        slowStart.refill(now, refill);
-        return slowStart.credit() >= 0 && budget.allowsSize(request, age, engine);
+                        * trafficEstimator.ownShare();
+        slowStart.refill(now, refillWork);
+        return slowStart.credit() >= 0 && budget.allowsSize(request, ageSeconds, engine);
     }
 
-    private static double age(double now, EngineState engine) {
+    private static double ageSeconds(double now, EngineState engine) {
         return now - engine.slowStart().startedAt();
     }
 }
--- a/src/main/java/junipercourse/decision/health/OutlierDetector.java
+++ b/src/main/java/junipercourse/decision/health/OutlierDetector.java
@@ -16,34 +16,35 @@
  * gets a single attempt as a probation after a pause that doubles each time.
  */
 public final class OutlierDetector {
-    private static final double SILENCE_LATENCIES = 4; // expected latencies without activity
+    private static final double SILENCE_LATENCY_FACTOR = 4; // expected latencies without activity
     private static final double MIN_SILENCE_SECONDS = 1.5;
     private static final int MIN_SILENT_ATTEMPTS = 2; // one may wait for a lock
     private static final int MAX_CONSECUTIVE_ERRORS = 2; // a single one is chance
     private static final int MAX_CONSECUTIVE_RESETS = 3;
-    private static final double ALIVE_SECONDS = 0.5; // an engine that answered so recently is alive
+    private static final double RECENT_ANSWER_SECONDS =
+            0.5; // an engine that answered so recently is alive
     private static final double MAX_EJECTED_SHARE = 0.34; // if more seem bad, all are slow
 
     private final DispatchState state;
-    private final EngineSpeedEstimator speed;
+    private final EngineSpeedEstimator speedEstimator;
     private int ejectedCount;
 
     /** Creates a detector. */
-    public OutlierDetector(DispatchState state, EngineSpeedEstimator speed) {
+    public OutlierDetector(DispatchState state, EngineSpeedEstimator speedEstimator) {
         this.state = state;
-        this.speed = speed;
+        this.speedEstimator = speedEstimator;
     }
 
     /** Ejects the engine of an attempt if several attempts have waited long without activity. */
     public void checkSilence(double now, Attempt attempt) {
         EngineState engine = attempt.engine();
         EngineHealth health = engine.health();
-        double fleetSlowdown = Math.exp(Math.max(0, speed.medianLogSlowdown()));
-        double patience =
+        double fleetSlowdown = Math.exp(Math.max(0, speedEstimator.medianLogSlowdown()));
+        double silenceTimeoutSeconds =
                 Math.max(
                         MIN_SILENCE_SECONDS,
-                        attempt.expectedLatency() * SILENCE_LATENCIES * fleetSlowdown);
-        if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= patience) {
+                        attempt.expectedLatency() * SILENCE_LATENCY_FACTOR * fleetSlowdown);
+        if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= silenceTimeoutSeconds) {
             return;
         }
         int silentAttempts = health.addSilent(attempt);
@@ -67,9 +68,9 @@
      * connections break at engines that answer others all the while.
      */
     public boolean recordReset(double now, EngineState engine) {
-        int resets = engine.health().addReset();
-        return now - engine.health().answeredAt() > ALIVE_SECONDS
-                || resets >= MAX_CONSECUTIVE_RESETS;
+        int resetCount = engine.health().addReset();
+        return now - engine.health().answeredAt() > RECENT_ANSWER_SECONDS
+                || resetCount >= MAX_CONSECUTIVE_RESETS;
     }
 
     /**
@@ -78,12 +79,12 @@
      */
     public void eject(double now, EngineState engine, EjectionReason reason) {
         EngineHealth health = engine.health();
-        double backoff =
+        double backoffSeconds =
                 health.isEjected()
                         ? Math.min(
                                 DecisionDefaults.MAX_BACKOFF_SECONDS, health.ejectionBackoff() * 2)
                         : DecisionDefaults.INITIAL_BACKOFF_SECONDS;
-        health.scheduleProbation(now, backoff);
+        health.scheduleProbation(now, backoffSeconds);
         double maxEjected = Math.max(1, state.engines().readyCount() * MAX_EJECTED_SHARE);
         if (!health.isEjected() && ejectedCount + 1 <= maxEjected) {
             state.actions().log("ejected engine " + engine.id().value() + ": " + reason.label());
@@ -111,10 +112,10 @@
         if (faults.isPoisonQuery()) {
             return;
         }
-        EngineState blamed = faults.blamedEngine();
-        if (blamed != null && blamed != engine) {
+        EngineState blamedEngine = faults.blamedEngine();
+        if (blamedEngine != null && blamedEngine != engine) {
             faults.markPoisonQuery();
-            clear(blamed);
+            clearBlamedEngine(blamedEngine);
         } else {
             faults.blame(engine);
             if (engine.health().addError() >= MAX_CONSECUTIVE_ERRORS) {
@@ -123,7 +124,7 @@
         }
     }
 
-    private void clear(EngineState engine) {
+    private void clearBlamedEngine(EngineState engine) {
         EngineHealth health = engine.health();
         if (health.consecutiveErrors() > 0
                 && health.removeError() < MAX_CONSECUTIVE_ERRORS
--- a/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
+++ b/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
@@ -16,30 +16,30 @@
 /** Sends attempts, and reserves what they use. */
 public final class AttemptLauncher {
     private static final int OVER_QUOTA_PRIORITY = 0;
-    private static final int USUAL_PRIORITY = 1;
+    private static final int DEFAULT_PRIORITY = 1;
     private static final int RESTART_PRIORITY = 2;
     private static final int SHORT_QUERY_PRIORITY = 3;
 
     private final DispatchState state;
-    private final LatencyEstimator latency;
+    private final LatencyEstimator latencyEstimator;
     private final SendConstraints constraints;
-    private final MemoryGrants grants;
-    private final FleetCapacity capacity;
-    private final double shortestObjective;
+    private final MemoryGrants memoryGrants;
+    private final FleetCapacity fleetCapacity;
+    private final double shortestObjectiveSeconds;
 
     /** Creates a launcher. */
     public AttemptLauncher(
             DispatchState state,
-            LatencyEstimator latency,
+            LatencyEstimator latencyEstimator,
             SendConstraints constraints,
-            MemoryGrants grants,
-            FleetCapacity capacity) {
+            MemoryGrants memoryGrants,
+            FleetCapacity fleetCapacity) {
         this.state = state;
-        this.latency = latency;
+        this.latencyEstimator = latencyEstimator;
         this.constraints = constraints;
-        this.grants = grants;
-        this.capacity = capacity;
-        this.shortestObjective =
+        this.memoryGrants = memoryGrants;
+        this.fleetCapacity = fleetCapacity;
+        this.shortestObjectiveSeconds =
                 state.settings().queryClasses().stream()
                         .mapToDouble(QueryClass::latencyObjective)
                         .min()
@@ -48,20 +48,26 @@
 
     /** Sends the next attempt of a request to an engine. */
     public void launch(double now, PendingRequest request, EngineState engine) {
-        double grantMb = grants.grantMb(request);
-        setTerms(request, grantMb);
-        state.actions().startAttempt(request.request().id(), engine.id(), timeout(request, engine));
-        double charge = constraints.slowStart().charge(now, request, engine);
+        double grantMb = memoryGrants.grantMb(request);
+        setAttemptTerms(request, grantMb);
+        state.actions()
+                .startAttempt(request.request().id(), engine.id(), timeoutSeconds(request, engine));
+        double slowStartCharge = constraints.slowStart().charge(now, request, engine);
         Attempt attempt =
                 new Attempt(
-                        request, engine, now, grantMb, latency.expectedLatency(request), charge);
+                        request,
+                        engine,
+                        now,
+                        grantMb,
+                        latencyEstimator.expectedLatency(request),
+                        slowStartCharge);
         attempt.begin();
         recordLaunch(now, attempt);
-        double firstEvaluation =
+        double firstEvaluationSeconds =
                 Math.min(
                         DecisionDefaults.SUPERVISION_INTERVAL_SECONDS,
-                        latency.cutoffAfter(request));
-        state.requests().evaluations().schedule(now + firstEvaluation, request);
+                        latencyEstimator.cutoffAfter(request));
+        state.requests().evaluations().schedule(now + firstEvaluationSeconds, request);
     }
 
     private void recordLaunch(double now, Attempt attempt) {
@@ -76,38 +82,38 @@
         if (engine.health().isEjected()) {
             engine.health().scheduleProbation(now, engine.health().ejectionBackoff());
         } else {
-            capacity.addThreads(request.queryClass().threads());
+            fleetCapacity.addThreads(request.queryClass().threads());
         }
     }
 
-    private void setTerms(PendingRequest request, double grantMb) {
+    private void setAttemptTerms(PendingRequest request, double grantMb) {
         EngineCapabilities capabilities = state.settings().engineCapabilities();
         if (capabilities.honorsMemoryGrants() && grantMb > 0 || capabilities.honorsPriority()) {
             state.actions()
                     .setAttemptTerms(
                             request.request().id(),
-                            priority(request),
+                            attemptPriority(request),
                             capabilities.honorsMemoryGrants() ? grantMb : 0);
         }
     }
 
     /** If nothing can be cancelled, the cutoff is set as the attempt's own timeout. */
-    private double timeout(PendingRequest request, EngineState engine) {
+    private double timeoutSeconds(PendingRequest request, EngineState engine) {
         boolean endsAtCutoff =
                 !state.settings().limits().cancellationAllowed()
                         && engine.tier() == Tier.FRONT
                         && request.queryClass().idempotency() != Idempotency.NOT_IDEMPOTENT;
-        return endsAtCutoff ? latency.cutoffAfter(request) : 0;
+        return endsAtCutoff ? latencyEstimator.cutoffAfter(request) : 0;
     }
 
     /** Short queries first: the class with the shortest latency objective, then restarts. */
-    private int priority(PendingRequest request) {
+    private int attemptPriority(PendingRequest request) {
         if (request.isOverQuota()) {
             return OVER_QUOTA_PRIORITY;
         }
-        if (request.queryClass().latencyObjective() <= shortestObjective) {
+        if (request.queryClass().latencyObjective() <= shortestObjectiveSeconds) {
             return SHORT_QUERY_PRIORITY;
         }
-        return request.isRestarting() ? RESTART_PRIORITY : USUAL_PRIORITY;
+        return request.isRestarting() ? RESTART_PRIORITY : DEFAULT_PRIORITY;
     }
 }
--- a/src/main/java/junipercourse/decision/selection/CandidateSampler.java
+++ b/src/main/java/junipercourse/decision/selection/CandidateSampler.java
@@ -14,16 +14,17 @@
  */
 public final class CandidateSampler {
     private static final int FRONT_AFFINITY_ENGINES = 4; // where a table group is read first
-    private static final int LOAD_AFFINITY_ENGINES = 2; // where a table group is loaded first
-    private static final double LOAD_AFFINITY_WEIGHT = 0.8; // threads per core, for the first one
+    private static final int TABLE_LOAD_AFFINITY_ENGINES = 2; // where a table group is loaded first
+    private static final double TABLE_LOAD_AFFINITY_WEIGHT =
+            0.8; // threads per core, for the first one
 
     private final DispatchState state;
-    private final boolean hasLoadingClasses;
+    private final boolean hasTableLoadingClasses;
 
     /** Creates a sampler. */
     public CandidateSampler(DispatchState state) {
         this.state = state;
-        this.hasLoadingClasses = state.hasLoadingClasses();
+        this.hasTableLoadingClasses = state.hasLoadingClasses();
     }
 
     /** Draws the candidates of a request anew, for its first attempt, a retry or a restart. */
@@ -46,16 +47,16 @@
         affinityEngines(request).stream()
                 .filter(engine -> SendConstraints.placementAllows(request, engine))
                 .forEach(candidates::add);
-        draw(request, Tier.FRONT, DecisionDefaults.FRONT_CANDIDATES);
-        draw(request, Tier.BACK, DecisionDefaults.FRONT_CANDIDATES + backCandidates);
+        drawCandidates(request, Tier.FRONT, DecisionDefaults.FRONT_CANDIDATES);
+        drawCandidates(request, Tier.BACK, DecisionDefaults.FRONT_CANDIDATES + backCandidates);
     }
 
-    private void draw(PendingRequest request, Tier tier, int maxCandidates) {
+    private void drawCandidates(PendingRequest request, Tier tier, int maxCandidates) {
         List<EngineState> candidates = request.candidateEngines();
         List<EngineState> engines = state.engines().tier(tier);
         for (int index = 0; index < engines.size() && candidates.size() < maxCandidates; index++) {
-            int drawn = index + state.random().nextInt(engines.size() - index);
-            state.engines().swap(tier, index, drawn);
+            int drawnIndex = index + state.random().nextInt(engines.size() - index);
+            state.engines().swap(tier, index, drawnIndex);
             EngineState engine = engines.get(index);
             if (SendConstraints.placementAllows(request, engine) && !candidates.contains(engine)) {
                 candidates.add(engine);
@@ -69,7 +70,7 @@
      * reads would gather where loads lock the group.
      */
     List<EngineState> affinityEngines(PendingRequest request) {
-        return hasLoadingClasses
+        return hasTableLoadingClasses
                 ? List.of()
                 : state.engines().preferred(request.tableGroup(), FRONT_AFFINITY_ENGINES, 1);
     }
@@ -79,22 +80,25 @@
      * loads of a group gather on a few engines by hash, and queries that would wait for a load
      * avoid these, since no report tells which groups the loads of others lock.
      */
-    double loadPlacementCost(PendingRequest request, EngineState engine) {
-        boolean loads = request.queryClass().loadsTables();
-        if (!hasLoadingClasses || !loads && !request.queryClass().blockedByLoads()) {
+    double tableLoadPlacementCost(PendingRequest request, EngineState engine) {
+        boolean loadsTables = request.queryClass().loadsTables();
+        if (!hasTableLoadingClasses || !loadsTables && !request.queryClass().blockedByLoads()) {
             return 0;
         }
         int rank =
                 state.engines()
-                        .preferred(request.tableGroup(), LOAD_AFFINITY_ENGINES, 0)
+                        .preferred(request.tableGroup(), TABLE_LOAD_AFFINITY_ENGINES, 0)
                         .indexOf(engine);
         double weight =
-                rank < 0 ? 0 : LOAD_AFFINITY_WEIGHT * (1 - (double) rank / LOAD_AFFINITY_ENGINES);
-        return loads ? -weight : weight;
+                rank < 0
+                        ? 0
+                        : TABLE_LOAD_AFFINITY_WEIGHT
+                                * (1 - (double) rank / TABLE_LOAD_AFFINITY_ENGINES);
+        return loadsTables ? -weight : weight;
     }
 
     /** Returns the bonus of an engine for the table group of a request, as a share from 0 to 1. */
-    double affinity(PendingRequest request, EngineState engine) {
+    double affinityScore(PendingRequest request, EngineState engine) {
         int rank = affinityEngines(request).indexOf(engine);
         if (rank < 0) {
             return 0;
--- a/src/main/java/junipercourse/decision/selection/EngineCapacity.java
+++ b/src/main/java/junipercourse/decision/selection/EngineCapacity.java
@@ -10,39 +10,39 @@
 
 /** Decides whether an engine has the threads and the memory for one more attempt. */
 public final class EngineCapacity {
-    private static final double MAX_MEMORY_SHARE = 0.95; // in grants: estimates scatter
+    private static final double MAX_GRANTED_MEMORY_SHARE = 0.95; // in grants: estimates scatter
 
     private final Estimators estimators;
-    private final SlowStartController slowStart;
-    private final LoadEstimator load;
+    private final SlowStartController slowStartController;
+    private final LoadEstimator loadEstimator;
     private final PeerLoadGossip gossip;
-    private final MemoryGrants grants;
+    private final MemoryGrants memoryGrants;
 
     /** Creates the check. */
     public EngineCapacity(
             Estimators estimators,
-            SlowStartController slowStart,
-            LoadEstimator load,
+            SlowStartController slowStartController,
+            LoadEstimator loadEstimator,
             PeerLoadGossip gossip,
-            MemoryGrants grants) {
+            MemoryGrants memoryGrants) {
         this.estimators = estimators;
-        this.slowStart = slowStart;
-        this.load = load;
+        this.slowStartController = slowStartController;
+        this.loadEstimator = loadEstimator;
         this.gossip = gossip;
-        this.grants = grants;
+        this.memoryGrants = memoryGrants;
     }
 
     /** Returns the load of an engine in threads per core, more if the engine is slow. */
     double loadPerCore(double now, EngineState engine) {
-        return (engine.inFlight().threads() + load.externalThreads(now, engine))
+        return (engine.inFlight().threads() + loadEstimator.externalThreads(now, engine))
                 / engine.cores()
                 * Math.exp(estimators.speed().relativeLogSlowdown(engine));
     }
 
     /** Returns true if an attempt of a request fits an engine. */
-    public boolean fits(double now, PendingRequest request, EngineState engine, boolean restart) {
-        double externalThreads = load.externalThreads(now, engine);
-        return threadsFit(now, request, engine, restart, externalThreads)
+    public boolean fits(double now, PendingRequest request, EngineState engine, boolean isRestart) {
+        double externalThreads = loadEstimator.externalThreads(now, engine);
+        return threadsFit(now, request, engine, isRestart, externalThreads)
                 && memoryFits(request, engine, externalThreads);
     }
 
@@ -50,16 +50,16 @@
             double now,
             PendingRequest request,
             EngineState engine,
-            boolean restart,
+            boolean isRestart,
             double externalThreads) {
-        double bound =
+        double maxThreads =
                 DecisionDefaults.MAX_THREADS_PER_CORE
                         * engine.cores()
                         * Math.exp(-estimators.speed().relativeLogSlowdown(engine))
-                        * slowStart.capacityShare(now, engine)
-                        * (restart ? DecisionDefaults.RESTART_CAPACITY_FACTOR : 1);
-        double halfOfRequest = request.queryClass().threads() / 2.0;
-        return engine.inFlight().threads() + externalThreads + halfOfRequest <= bound;
+                        * slowStartController.capacityShare(now, engine)
+                        * (isRestart ? DecisionDefaults.RESTART_CAPACITY_FACTOR : 1);
+        double halfRequestThreads = request.queryClass().threads() / 2.0;
+        return engine.inFlight().threads() + externalThreads + halfRequestThreads <= maxThreads;
     }
 
     private boolean memoryFits(PendingRequest request, EngineState engine, double externalThreads) {
@@ -67,9 +67,10 @@
                 gossip.isActive()
                         ? engine.externalLoad().peerMemoryMb()
                         : externalThreads * estimators.workload().mbPerThread();
-        double granted = engine.inFlight().memoryMb() + externalMb + grants.grantMb(request);
+        double grantedMb =
+                engine.inFlight().memoryMb() + externalMb + memoryGrants.grantMb(request);
         return engine.memoryMb() <= 0
                 || engine.inFlight().attempts() == 0
-                || granted <= engine.memoryMb() * MAX_MEMORY_SHARE;
+                || grantedMb <= engine.memoryMb() * MAX_GRANTED_MEMORY_SHARE;
     }
 }
--- a/src/main/java/junipercourse/decision/selection/EngineSelection.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelection.java
@@ -26,18 +26,22 @@
             DispatchState state,
             Estimators estimators,
             SendConstraints constraints,
-            LoadTracking load) {
+            LoadTracking loadTracking) {
         CandidateSampler sampler = new CandidateSampler(state);
         MemoryGrants grants = new MemoryGrants(state.settings());
         EngineCapacity capacity =
                 new EngineCapacity(
                         estimators,
                         constraints.slowStart(),
-                        load.estimator(),
-                        load.gossip(),
+                        loadTracking.estimator(),
+                        loadTracking.gossip(),
                         grants);
         FairShareLimiter fairShare =
-                new FairShareLimiter(estimators, load.estimator(), load.gossip(), load.capacity());
+                new FairShareLimiter(
+                        estimators,
+                        loadTracking.estimator(),
+                        loadTracking.gossip(),
+                        loadTracking.capacity());
         return new EngineSelection(
                 sampler,
                 grants,
@@ -46,11 +50,11 @@
                         state,
                         constraints,
                         estimators.congestion(),
-                        load.gossip(),
+                        loadTracking.gossip(),
                         sampler,
                         capacity,
                         fairShare),
                 new AttemptLauncher(
-                        state, estimators.latency(), constraints, grants, load.capacity()));
+                        state, estimators.latency(), constraints, grants, loadTracking.capacity()));
     }
 }
--- a/src/main/java/junipercourse/decision/selection/EngineSelector.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelector.java
@@ -16,19 +16,19 @@
  * the back tier has less load or is the only one with capacity; restarts go to the back tier.
  */
 public final class EngineSelector {
-    private static final double RANDOM_COST = 0.12; // threads per core, so that nobody herds
+    private static final double MAX_RANDOM_COST = 0.12; // threads per core, so that nobody herds
     private static final double AFFINITY_BONUS = 0.4; // threads per core, for the first engine
-    private static final double BLOCKED_PENALTY =
+    private static final double TABLE_LOCK_PENALTY =
             1.0; // threads per core, behind a load of the group
     private static final double PREVIOUS_ENGINE_PENALTY = 1; // threads per core
 
     private final DispatchState state;
     private final SendConstraints constraints;
-    private final CongestionEstimator congestion;
+    private final CongestionEstimator congestionEstimator;
     private final PeerLoadGossip gossip;
     private final CandidateSampler sampler;
-    private final EngineCapacity capacity;
-    private final FairShareLimiter fairShare;
+    private final EngineCapacity engineCapacity;
+    private final FairShareLimiter fairShareLimiter;
 
     /** The best engine of one tier, and the least load among those whose load is known. */
     private static final class TierChoice {
@@ -41,96 +41,105 @@
     public EngineSelector(
             DispatchState state,
             SendConstraints constraints,
-            CongestionEstimator congestion,
+            CongestionEstimator congestionEstimator,
             PeerLoadGossip gossip,
             CandidateSampler sampler,
-            EngineCapacity capacity,
-            FairShareLimiter fairShare) {
+            EngineCapacity engineCapacity,
+            FairShareLimiter fairShareLimiter) {
         this.state = state;
         this.constraints = constraints;
-        this.congestion = congestion;
+        this.congestionEstimator = congestionEstimator;
         this.gossip = gossip;
         this.sampler = sampler;
-        this.capacity = capacity;
-        this.fairShare = fairShare;
+        this.engineCapacity = engineCapacity;
+        this.fairShareLimiter = fairShareLimiter;
     }
 
     /** Returns the engine for the next attempt of a request; null if none has capacity. */
     public EngineState select(double now, PendingRequest request) {
-        if (!fairShare.allows(request)) {
+        if (!fairShareLimiter.allows(request)) {
             return null;
         }
         boolean allLoadsKnown = areAllLoadsKnown();
-        TierChoice front = new TierChoice();
-        TierChoice back = new TierChoice();
+        TierChoice frontChoice = new TierChoice();
+        TierChoice backChoice = new TierChoice();
         for (EngineState engine : request.candidateEngines()) {
             if (isUsable(now, request, engine)) {
-                TierChoice choice = engine.tier() == Tier.BACK ? back : front;
-                consider(now, request, engine, choice, allLoadsKnown);
+                TierChoice tierChoice = engine.tier() == Tier.BACK ? backChoice : frontChoice;
+                considerEngine(now, request, engine, tierChoice, allLoadsKnown);
             }
         }
-        return choose(request, front, back);
+        return chooseEngine(request, frontChoice, backChoice);
     }
 
     /** Engines without a report look idle, unless gossip tells or the front tier is congested. */
     private boolean areAllLoadsKnown() {
-        boolean frontCongested =
-                congestion.slowdownFactor(Tier.FRONT)
+        boolean isFrontCongested =
+                congestionEstimator.slowdownFactor(Tier.FRONT)
                         > DecisionDefaults.CONGESTED_SLOWDOWN
-                                * congestion.slowdownFactor(Tier.BACK);
-        return state.settings().dispatchers() == 1 || gossip.isActive() || frontCongested;
+                                * congestionEstimator.slowdownFactor(Tier.BACK);
+        return state.settings().dispatchers() == 1 || gossip.isActive() || isFrontCongested;
     }
 
-    private void consider(
+    private void considerEngine(
             double now,
             PendingRequest request,
             EngineState engine,
-            TierChoice choice,
+            TierChoice tierChoice,
             boolean allLoadsKnown) {
-        double load = capacity.loadPerCore(now, engine);
+        double loadPerCore = engineCapacity.loadPerCore(now, engine);
         if (allLoadsKnown || isLoadKnown(now, request, engine)) {
-            choice.leastLoad =
-                    Math.min(choice.leastLoad, load * congestion.slowdownFactor(engine.tier()));
+            tierChoice.leastLoad =
+                    Math.min(
+                            tierChoice.leastLoad,
+                            loadPerCore * congestionEstimator.slowdownFactor(engine.tier()));
         }
-        double cost = cost(request, engine, load) + state.random().nextDouble() * RANDOM_COST;
-        if (cost < choice.bestCost && capacity.fits(now, request, engine, request.isRestarting())) {
-            choice.bestCost = cost;
-            choice.bestEngine = engine;
+        double cost =
+                computeCost(request, engine, loadPerCore)
+                        + state.random().nextDouble() * MAX_RANDOM_COST;
+        if (cost < tierChoice.bestCost
+                && engineCapacity.fits(now, request, engine, request.isRestarting())) {
+            tierChoice.bestCost = cost;
+            tierChoice.bestEngine = engine;
         }
     }
 
     private boolean isLoadKnown(double now, PendingRequest request, EngineState engine) {
-        double reportAge = now - engine.externalLoad().reportedAt();
+        double reportAgeSeconds = now - engine.externalLoad().reportedAt();
         return engine.tier() == Tier.FRONT
                 || request.isRestarting()
                 || constraints.slowStart().isWarmingUp(now, engine)
-                || reportAge < DecisionDefaults.LOAD_REPORT_DECAY_SECONDS;
+                || reportAgeSeconds < DecisionDefaults.LOAD_REPORT_DECAY_SECONDS;
     }
 
-    private EngineState choose(PendingRequest request, TierChoice front, TierChoice back) {
-        boolean toBack =
+    private EngineState chooseEngine(
+            PendingRequest request, TierChoice frontChoice, TierChoice backChoice) {
+        boolean prefersBackTier =
                 request.isRestarting()
-                        ? back.leastLoad < Double.POSITIVE_INFINITY
-                        : back.leastLoad < front.leastLoad;
-        TierChoice preferred = toBack ? back : front;
-        TierChoice other = toBack ? front : back;
-        boolean backCongested =
-                congestion.slowdownFactor(Tier.BACK) > DecisionDefaults.CONGESTED_SLOWDOWN;
-        boolean stayInTier =
-                preferred.bestEngine != null || request.isRestarting() || !toBack && backCongested;
-        return stayInTier ? preferred.bestEngine : other.bestEngine;
+                        ? backChoice.leastLoad < Double.POSITIVE_INFINITY
+                        : backChoice.leastLoad < frontChoice.leastLoad;
+        TierChoice preferredChoice = prefersBackTier ? backChoice : frontChoice;
+        TierChoice otherChoice = prefersBackTier ? frontChoice : backChoice;
+        boolean isBackCongested =
+                congestionEstimator.slowdownFactor(Tier.BACK) > DecisionDefaults.CONGESTED_SLOWDOWN;
+        boolean isTierFixed =
+                preferredChoice.bestEngine != null
+                        || request.isRestarting()
+                        || !prefersBackTier && isBackCongested;
+        return isTierFixed ? preferredChoice.bestEngine : otherChoice.bestEngine;
     }
 
-    private double cost(PendingRequest request, EngineState engine, double load) {
+    private double computeCost(PendingRequest request, EngineState engine, double loadPerCore) {
         double cost =
-                load
-                        - AFFINITY_BONUS * sampler.affinity(request, engine)
-                        + sampler.loadPlacementCost(request, engine);
+                loadPerCore
+                        - AFFINITY_BONUS * sampler.affinityScore(request, engine)
+                        + sampler.tableLoadPlacementCost(request, engine);
         boolean usesTableLocks =
                 request.queryClass().blockedByLoads() || request.queryClass().loadsTables();
-        boolean blocked = usesTableLocks && engine.inFlight().locksTableGroup(request.tableGroup());
+        boolean isBlocked =
+                usesTableLocks && engine.inFlight().locksTableGroup(request.tableGroup());
         return cost
-                + (blocked ? BLOCKED_PENALTY : 0)
+                + (isBlocked ? TABLE_LOCK_PENALTY : 0)
                 + (engine == request.previousEngine() ? PREVIOUS_ENGINE_PENALTY : 0);
     }
 
@@ -144,11 +153,11 @@
         EngineHealth health = engine.health();
         return !health.isEjected()
                 || engine.inFlight().attempts() == 0
-                        && now >= health.nextProbationAt() + probationDelay(request);
+                        && now >= health.nextProbationAt() + probationDelaySeconds(request);
     }
 
     /** Requests whose retry is not harmless are the last to be risked on a probation. */
-    private static double probationDelay(PendingRequest request) {
+    private static double probationDelaySeconds(PendingRequest request) {
         return request.queryClass().idempotency() == Idempotency.IDEMPOTENT
                 ? 0
                 : DecisionDefaults.MAX_BACKOFF_SECONDS;
--- a/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
+++ b/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
@@ -14,26 +14,28 @@
  */
 public final class FairShareLimiter {
     private static final double SHARE_TOLERANCE = 1; // by which much traffic may exceed its share
-    private static final double OVER_QUOTA_SHARE =
+    private static final double OVER_QUOTA_LIMIT_SHARE =
             0.2; // of the limit is open to tenants over quota
-    private static final double MIN_STRAIN = 0.3; // of the bound: a fleet with less load is idle
-    private static final double MAX_STRAIN = 1.6; // leaves 0.6 threads per core: all keep a share
+    private static final double MIN_LOAD_RATIO =
+            0.3; // of the bound: a fleet with less load is idle
+    private static final double MAX_CONGESTION_LOAD_RATIO =
+            1.6; // leaves 0.6 threads per core: all keep a share
 
     private final Estimators estimators;
-    private final LoadEstimator load;
+    private final LoadEstimator loadEstimator;
     private final PeerLoadGossip gossip;
-    private final FleetCapacity capacity;
+    private final FleetCapacity fleetCapacity;
 
     /** Creates a limiter. */
     public FairShareLimiter(
             Estimators estimators,
-            LoadEstimator load,
+            LoadEstimator loadEstimator,
             PeerLoadGossip gossip,
-            FleetCapacity capacity) {
+            FleetCapacity fleetCapacity) {
         this.estimators = estimators;
-        this.load = load;
+        this.loadEstimator = loadEstimator;
         this.gossip = gossip;
-        this.capacity = capacity;
+        this.fleetCapacity = fleetCapacity;
     }
 
     /**
@@ -41,29 +43,34 @@
      */
     boolean allows(PendingRequest request) {
         double ownShare = estimators.traffic().ownShare();
-        double strain = strain(ownShare);
-        double share = ownShare * (1 + SHARE_TOLERANCE * ownShare) * openShare(request);
-        double limit =
-                share
-                        * capacity.warmCores()
+        double loadRatio = fleetLoadRatio(ownShare);
+        double adjustedShare = ownShare * (1 + SHARE_TOLERANCE * ownShare) * limitFactor(request);
+        double maxThreads =
+                adjustedShare
+                        * fleetCapacity.warmCores()
                         * DecisionDefaults.MAX_THREADS_PER_CORE
-                        / (strain * strain);
+                        / (loadRatio * loadRatio);
         double threads = request.queryClass().threads() * request.admissionDraw();
-        return gossip.isActive() || capacity.ownThreads() + threads <= limit;
+        return gossip.isActive() || fleetCapacity.ownThreads() + threads <= maxThreads;
     }
 
-    private static double openShare(PendingRequest request) {
+    private static double limitFactor(PendingRequest request) {
         if (request.isRestarting()) {
             return DecisionDefaults.RESTART_CAPACITY_FACTOR;
         }
-        return request.isOverQuota() ? OVER_QUOTA_SHARE : 1;
+        return request.isOverQuota() ? OVER_QUOTA_LIMIT_SHARE : 1;
     }
 
-    private double strain(double ownShare) {
+    private double fleetLoadRatio(double ownShare) {
         double congestion =
                 estimators.congestion().slowdownFactor() / DecisionDefaults.CONGESTED_SLOWDOWN;
-        double byOthers = (1 - ownShare) * Math.pow(congestion, 2);
-        double byReports = load.usualThreadsPerCore() / DecisionDefaults.MAX_THREADS_PER_CORE;
-        return Math.max(MIN_STRAIN, Math.max(byReports, Math.min(byOthers, MAX_STRAIN)));
+        double congestionLoadRatio = (1 - ownShare) * Math.pow(congestion, 2);
+        double reportedLoadRatio =
+                loadEstimator.usualThreadsPerCore() / DecisionDefaults.MAX_THREADS_PER_CORE;
+        return Math.max(
+                MIN_LOAD_RATIO,
+                Math.max(
+                        reportedLoadRatio,
+                        Math.min(congestionLoadRatio, MAX_CONGESTION_LOAD_RATIO)));
     }
 }
--- a/src/main/java/junipercourse/decision/selection/MemoryGrants.java
+++ b/src/main/java/junipercourse/decision/selection/MemoryGrants.java
@@ -25,21 +25,22 @@
      * engine, if spills or reported costs can correct it.
      */
     public double grantMb(PendingRequest request) {
-        EngineState any = request.candidateEngines().get(0);
-        double estimate = request.request().memoryEstimateMb();
-        double base = estimate > 0 ? estimate : fairShareMb(request, any);
-        double most =
-                any.memoryMb() > 0
-                        ? any.memoryMb() * capabilities.maxGrantShare()
+        EngineState firstCandidate = request.candidateEngines().get(0);
+        double estimateMb = request.request().memoryEstimateMb();
+        double baseGrantMb = estimateMb > 0 ? estimateMb : fairShareMb(request, firstCandidate);
+        double maxGrantMb =
+                firstCandidate.memoryMb() > 0
+                        ? firstCandidate.memoryMb() * capabilities.maxGrantShare()
                         : Double.MAX_VALUE;
-        return Math.min(base * Math.exp(request.classStatistics().logGrantRatio()), most);
+        return Math.min(
+                baseGrantMb * Math.exp(request.classStatistics().logGrantRatio()), maxGrantMb);
     }
 
     private double fairShareMb(PendingRequest request, EngineState engine) {
-        boolean learns =
+        boolean canLearn =
                 capabilities.honorsMemoryGrants()
                         && (capabilities.progressPeriod() > 0 || capabilities.reportsCost());
-        return learns
+        return canLearn
                 ? engine.memoryMb()
                         * request.queryClass().threads()
                         / (DecisionDefaults.MAX_THREADS_PER_CORE * engine.cores())
@@ -48,16 +49,16 @@
 
     /** Learns from a complete answer whether the grant was large enough. */
     public void recordAnswer(Attempt attempt, AttemptResult result) {
-        boolean costReported = capabilities.reportsCost() && result.actualMemoryMb() > 0;
-        if (attempt.memoryMb() > 0 && (costReported || capabilities.progressPeriod() > 0)) {
-            boolean tooSmall =
-                    costReported
+        boolean isCostReported = capabilities.reportsCost() && result.actualMemoryMb() > 0;
+        if (attempt.memoryMb() > 0 && (isCostReported || capabilities.progressPeriod() > 0)) {
+            boolean wasTooSmall =
+                    isCostReported
                             ? result.actualMemoryMb() > attempt.memoryMb()
                             : attempt.hasSpilled();
             attempt.request()
                     .classStatistics()
                     .adjustGrantRatio(
-                            LEARNING_STEP * (tooSmall ? TARGET_QUANTILE : TARGET_QUANTILE - 1));
+                            LEARNING_STEP * (wasTooSmall ? TARGET_QUANTILE : TARGET_QUANTILE - 1));
         }
     }
 }
