--- a/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
@@ -152,7 +152,7 @@
 
     private boolean isRestartAllowed(double now, PendingRequest request) {
         return request.queryClass().idempotency() != Idempotency.NOT_IDEMPOTENT
-                && !constraints.attemptsExhausted(request)
+                && !constraints.areAttemptsExhausted(request)
                 && constraints.retryBudgetAllows(now, request);
     }
 
--- a/src/main/java/junipercourse/decision/constraints/SendConstraints.java
+++ b/src/main/java/junipercourse/decision/constraints/SendConstraints.java
@@ -73,13 +73,13 @@
         boolean isConcurrencyAllowed =
                 request.activeAttempt() == null
                         && (!request.hasOutstandingAttempts() || isHedgingAllowed);
-        return !attemptsExhausted(request)
+        return !areAttemptsExhausted(request)
                 && isConcurrencyAllowed
                 && isRetrySafe(now, request, engine);
     }
 
     /** Returns true if the platform allows no further attempt of a request. */
-    public boolean attemptsExhausted(PendingRequest request) {
+    public boolean areAttemptsExhausted(PendingRequest request) {
         PlatformLimits limits = state.settings().limits();
         return limits.maxAttempts() > 0 && request.sentAttempts() >= limits.maxAttempts();
     }
--- a/src/main/java/junipercourse/decision/constraints/SlowStartController.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartController.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns what sending a request takes of the credit; 0 once the engine is warm. */
-    public double charge(double now, PendingRequest request, EngineState engine) {
+    public double computeCharge(double now, PendingRequest request, EngineState engine) {
         return isWarmingUp(now, engine)
                 ? budget.computeCharge(
                         latencyEstimator.work(request), ageSeconds(now, engine), engine)
--- a/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
+++ b/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
@@ -52,7 +52,7 @@
         setAttemptTerms(request, grantMb);
         state.actions()
                 .startAttempt(request.request().id(), engine.id(), timeoutSeconds(request, engine));
-        double slowStartCharge = constraints.slowStart().charge(now, request, engine);
+        double slowStartCharge = constraints.slowStart().computeCharge(now, request, engine);
         Attempt attempt =
                 new Attempt(
                         request,
