--- a/src/main/java/junipercourse/cli/DispatcherServer.java
+++ b/src/main/java/junipercourse/cli/DispatcherServer.java
@@ -79,7 +79,9 @@
     DispatcherServer(Config config, OptionalComponent part) throws IOException {
         this.config = config;
         this.part = part;
-        loop = new EventLoop(() -> counters.add(Count.INTERNAL_ERRORS), DispatcherServer::die);
+        loop =
+                new EventLoop(
+                        () -> counters.increment(Count.INTERNAL_ERRORS), DispatcherServer::die);
         boolean administered = config.admin() != null;
         descriptors =
                 new DescriptorBudget(
@@ -89,10 +91,11 @@
                                         ? STAFF_SOCKETS + AdminService.connections(config)
                                         : 0));
         DescriptorAllocation shares =
-                DescriptorAllocation.of(descriptors.limit(), descriptors.free());
+                DescriptorAllocation.of(descriptors.limit(), descriptors.unallocated());
         DescriptorBudget.Share engineShare =
-                descriptors.share("engines", shares.engines(), shares.closing());
-        DescriptorBudget.Share clientShare = descriptors.share("clients", shares.clients(), 0);
+                descriptors.allocateShare("engines", shares.engines(), shares.closing());
+        DescriptorBudget.Share clientShare =
+                descriptors.allocateShare("clients", shares.clients(), 0);
         EngineClient engines = new EngineClient(loop, config.settings(), engineShare, counters);
         mostTaken =
                 (int)
@@ -103,7 +106,7 @@
         gateway = new Gateway(loop, config.settings(), config.seed(), mostTaken, engines, counters);
         StatusTables shows = ProcessStatusTables.of(loop, counters, descriptors);
         if (part != null) {
-            part.showIn(shows);
+            part.addTables(shows);
         }
         front =
                 new PgServer(
@@ -122,7 +125,7 @@
                         config.known(),
                         config.zones(),
                         config.settings().engineKinds().stream().map(EngineKind::name).toList(),
-                        gateway::roster,
+                        gateway::updateEndpoints,
                         counters);
         staff =
                 administered
@@ -190,7 +193,7 @@
                 front.listen(inherited());
             }
             ending.listening();
-            loop.attend();
+            loop.startStallDetection();
             if (staff != null) {
                 staff.listening();
             }
@@ -206,7 +209,7 @@
                             config.listen(),
                             LISTEN_PATIENCE_S);
                 }
-                loop.after(LISTEN_AGAIN_S, () -> listen(started, since));
+                loop.scheduleAfter(LISTEN_AGAIN_S, () -> listen(started, since));
             } else {
                 started.completeExceptionally(
                         new IOException(
@@ -225,7 +228,7 @@
 
     private ServerSocketChannel inherited() {
         try {
-            return InheritedSocket.take(config.listenOn(), config.listen());
+            return InheritedSocket.takeOver(config.listenOn(), config.listen());
         } catch (IllegalArgumentException e) {
             throw new ConfigException("RELAY_FD", e.getMessage());
         }
@@ -263,7 +266,7 @@
                             }
                             ending.run();
                             if (part != null) {
-                                part.end();
+                                part.shutDown();
                             }
                             Logger.info("{} ends: {}; {}", config.name(), counters, descriptors);
                             BoundedConsoleWriter.end();
--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -58,7 +58,10 @@
         this.front = front;
         this.kept = kept;
         longest =
-                settings.queryClasses().stream().mapToDouble(QueryClass::deadline).max().orElse(0);
+                settings.queryClasses().stream()
+                        .mapToDouble(QueryClass::deadlineSeconds)
+                        .max()
+                        .orElse(0);
     }
 
     /**
@@ -88,7 +91,7 @@
         loop.execute(
                 () -> {
                     begun = true;
-                    Logger.info("asked to end; {} queries are open", gateway.open());
+                    Logger.info("asked to end; {} queries are open", gateway.openQueryCount());
                     if (!listening) { // nobody has come
                         done.countDown();
                         return;
@@ -97,13 +100,13 @@
                         front.leaveToOthers(this::untilIdle);
                         handOver();
                     } else {
-                        loop.after(STILL_COMING_S, this::untilIdle);
+                        loop.scheduleAfter(STILL_COMING_S, this::untilIdle);
                     }
-                    loop.after(
+                    loop.scheduleAfter(
                             answeredAfter(),
                             () -> {
                                 untilIdle();
-                                gateway.lastAnswers().answerAll();
+                                gateway.shutdownResponder().answerOpenQueries();
                             });
                 });
         try {
@@ -119,14 +122,14 @@
 
     /** What comes on connections that were open before is started at once, or sent on as well. */
     private void handOver() {
-        gateway.lastAnswers().handOver(kept);
-        loop.after(HAND_OVER_S, this::handOver);
+        gateway.shutdownResponder().handOverQueries(kept);
+        loop.scheduleAfter(HAND_OVER_S, this::handOver);
     }
 
     private void untilIdle() {
         front.end(
                 () ->
-                        gateway.whenIdle(
+                        gateway.runWhenIdle(
                                 () ->
                                         loop.execute(
                                                 () -> { // behind sessions' work on what they hold
@@ -143,7 +146,7 @@
         if (front.empty() || waited >= (front.unsent() ? LAST_BYTES_S : LINGER_S)) {
             done.countDown();
         } else {
-            loop.after(LOOK_S, () -> lastBytes(waited + LOOK_S));
+            loop.scheduleAfter(LOOK_S, () -> lastBytes(waited + LOOK_S));
         }
     }
 }
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -72,7 +72,7 @@
         this.mostAlone = (int) (descriptors.limit() * ALONE_PART);
         this.mostBeside = mostTaken - mostAlone;
         held = descriptors.used();
-        descriptors.allow(held, true); // until a claim is made, it has none
+        descriptors.applyClaim(held, true); // until a claim is made, it has none
         neighbours = new SiblingProcesses(folder);
         look();
         looks =
@@ -129,9 +129,9 @@
             beside = another;
             Logger.info(another ? "another process runs beside this one" : "this process is alone");
             front.beside(another);
-            gateway.takeAtMost(another ? mostBeside : mostAlone);
+            gateway.limitOpenQueries(another ? mostBeside : mostAlone);
         }
-        descriptors.allow(claim, another);
+        descriptors.applyClaim(claim, another);
         held = descriptors.allowed();
     }
 
--- a/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
+++ b/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
@@ -50,7 +50,7 @@
     void refresh(double now, PendingRequest request) {
         request.setPriority(requestPriority.computePriority(now, request));
         engineSelection.sampler().sample(request);
-        state.requests().requestAdmission();
+        state.requests().scheduleAdmission();
     }
 
     /** Starts the waiting requests for which there is capacity, and sheds those over the bound. */
@@ -61,7 +61,7 @@
         }
         state.requests().sortWaiting();
         Pass pass = new Pass(now);
-        state.requests().removeStarted(pass::tryStart);
+        state.requests().removeIfStarted(pass::tryStart);
         PendingRequest requestToShed = state.requests().nextToShed();
         while (requestToShed != null) {
             requestCompletion.completeWithoutResult(requestToShed);
--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -55,7 +55,7 @@
             recordAnswer(now, attempt, result, latencySeconds);
         }
         if (!outcome.neverRan() && !attempt.engine().health().isEjected()) {
-            double completedWork = isAnswered ? attempt.request().request().costEstimate() : 0;
+            double completedWork = isAnswered ? attempt.request().query().costEstimate() : 0;
             recordCongestion(now, attempt, completedWork);
         }
         boolean wasCutOff = attempt.isCancelled() || outcome == AttemptOutcome.TIMEOUT;
@@ -68,7 +68,7 @@
     private void recordWorkload(double now, Attempt attempt) {
         estimators
                 .workload()
-                .add(
+                .addAttempt(
                         now - attempt.sentAt(),
                         attempt.request().queryClass().threads(),
                         attempt.memoryMb(),
@@ -85,15 +85,15 @@
         double boundedLatencySeconds = // a single bad plan among few samples is no tail
                 Math.min(
                         latencySeconds,
-                        attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO);
+                        attempt.expectedLatency() * DecisionDefaults.MAX_LATENCY_RATIO);
         statistics.attemptLatency().add(boundedLatencySeconds);
         if (request.isRestarting()) {
             statistics.restartLatency().add(boundedLatencySeconds);
         }
-        double logSlowdown = Math.log(latencySeconds / request.unitLatency());
+        double logSlowdown = Math.log(latencySeconds / request.unloadedLatency());
         if (statistics.logSlowdown().isKnown()) {
             double maxLogSlowdown =
-                    statistics.logSlowdown().value() + Math.log(DecisionDefaults.MAX_SAMPLE_RATIO);
+                    statistics.logSlowdown().value() + Math.log(DecisionDefaults.MAX_LATENCY_RATIO);
             logSlowdown = Math.min(logSlowdown, maxLogSlowdown);
         }
         statistics.logSlowdown().add(logSlowdown);
@@ -111,7 +111,8 @@
                 isAnswered
                         ? 0
                         : Math.min(
-                                attempt.projectedLatency(), latencyEstimator.cutoffAfter(request));
+                                attempt.projectedLatency(),
+                                latencyEstimator.cutoffSeconds(request));
         double latencyMultiple =
                 Math.max(latencySeconds, projectedSeconds)
                         / latencyEstimator.sizeFactor(request)
@@ -150,7 +151,9 @@
                     attempt.isOverlong()
                             ? 0
                             : (now - attempt.sentAt()) * request.queryClass().threads();
-            estimators.congestion().add(now, attempt.engine().tier(), threadSeconds, completedWork);
+            estimators
+                    .congestion()
+                    .addAttempt(now, attempt.engine().tier(), threadSeconds, completedWork);
         }
     }
 
@@ -163,6 +166,6 @@
         double latencySeconds = now - attempt.sentAt();
         return estimators.congestion().slowdownFactor() > DecisionDefaults.CONGESTED_SLOWDOWN
                 && request.hasCostEstimate()
-                && latencySeconds > DecisionDefaults.CONGESTED_SLOWDOWN * request.unitLatency();
+                && latencySeconds > DecisionDefaults.CONGESTED_SLOWDOWN * request.unloadedLatency();
     }
 }
--- a/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
@@ -104,7 +104,7 @@
     private double superviseActiveAttempt(double now, Attempt attempt) {
         outlierDetector.checkSilence(now, attempt);
         double ageSeconds = now - attempt.sentAt();
-        double maxLatencySeconds = attempt.expectedLatency() * DecisionDefaults.MAX_SAMPLE_RATIO;
+        double maxLatencySeconds = attempt.expectedLatency() * DecisionDefaults.MAX_LATENCY_RATIO;
         if (!attempt.isOverlong() && ageSeconds > maxLatencySeconds) {
             collaborators.feedback().recordOverlong(now, attempt);
         }
@@ -116,7 +116,7 @@
         double nextSupervisionAt = now + DecisionDefaults.SUPERVISION_INTERVAL_SECONDS;
         double cutoffAt =
                 attempt.isOnFrontTier() && !isRestartDue
-                        ? attempt.sentAt() + latencyEstimator.cutoffAfter(attempt.request())
+                        ? attempt.sentAt() + latencyEstimator.cutoffSeconds(attempt.request())
                         : nextSupervisionAt;
         return Math.max(
                 now + evaluationDelaySeconds(ageSeconds), Math.min(cutoffAt, nextSupervisionAt));
@@ -163,7 +163,7 @@
         }
         double deduplicatedUntil =
                 firstExecutedAttempt(attempt).sentAt()
-                        + request.queryClass().deduplicationWindow()
+                        + request.queryClass().deduplicationWindowSeconds()
                         - DecisionDefaults.RETRY_INTERVAL_SECONDS * 2;
         return !hasIdempotencyKey(request) || now <= deduplicatedUntil;
     }
@@ -200,7 +200,7 @@
         }
         boolean shouldRetry =
                 collaborators.completion().hasTimeForRetry(now, request)
-                        && outcome != AttemptOutcome.MOOT
+                        && outcome != AttemptOutcome.OBSOLETE
                         && isRetryAllowed(now, request)
                         && request.faults().errors() < MAX_ERRORS_PER_QUERY;
         if (shouldRetry) {
--- a/src/main/java/junipercourse/decision/admission/CutoffController.java
+++ b/src/main/java/junipercourse/decision/admission/CutoffController.java
@@ -78,7 +78,7 @@
     }
 
     private double computeCutoff(ClassStatistics statistics, double cutoffMultiple) {
-        double deadlineSeconds = statistics.queryClass().deadline();
+        double deadlineSeconds = statistics.queryClass().deadlineSeconds();
         return fleetLatencyTail.size() < MIN_SAMPLES
                 ? deadlineSeconds
                 : Math.min(
@@ -117,7 +117,7 @@
     private double shareBeyondCutoff(ClassStatistics statistics, double cutoffMultiple) {
         double lowestCutoff = LatencyEstimator.lowestCutoff(statistics.queryClass());
         double boundedMultiple =
-                Math.min(cutoffMultiple, statistics.queryClass().deadline() / lowestCutoff);
+                Math.min(cutoffMultiple, statistics.queryClass().deadlineSeconds() / lowestCutoff);
         KaplanMeierEstimator ownTail = statistics.latencyTail();
         double ownTailWeight = ownTail.size() / (ownTail.size() + FLEET_TAIL_PRIOR_SAMPLES);
         return ownTailWeight * ownTail.survival(boundedMultiple)
@@ -144,6 +144,6 @@
                                 < latencyEstimator.expectedLatency(attempt.request());
         return !isNearlyDone
                 && Math.max(ageSeconds, projectedSeconds * PROJECTION_DISCOUNT)
-                        >= latencyEstimator.cutoffAfter(attempt.request());
+                        >= latencyEstimator.cutoffSeconds(attempt.request());
     }
 }
--- a/src/main/java/junipercourse/decision/admission/RequestCompletion.java
+++ b/src/main/java/junipercourse/decision/admission/RequestCompletion.java
@@ -36,7 +36,7 @@
     }
 
     private static boolean isLateAnswerWorthless(double now, PendingRequest request) {
-        double availableSeconds = request.request().deadlineAt() - request.receivedAt();
+        double availableSeconds = request.query().deadlineAt() - request.receivedAt();
         return request.isOverQuota()
                 || request.queryClass().lateAnswerWeight() < MIN_LATE_ANSWER_WEIGHT
                 || now - request.receivedAt() > MAX_LATE_WAIT_SHARE * availableSeconds;
@@ -62,10 +62,10 @@
             PlatformLimits limits = state.settings().limits();
             state.actions()
                     .reject(
-                            request.request().id(),
-                            limits.retryAfterAllowed() ? limits.maxRetryAfter() : 0);
+                            request.query().id(),
+                            limits.retryAfterAllowed() ? limits.maxRetryAfterSeconds() : 0);
         } else {
-            state.actions().fail(request.request().id());
+            state.actions().fail(request.query().id());
         }
         close(request);
     }
@@ -94,6 +94,6 @@
     /** Cancels an attempt. */
     void cancel(Attempt attempt) {
         attempt.markCancelled();
-        state.actions().cancelAttempt(attempt.request().request().id(), attempt.number());
+        state.actions().cancelAttempt(attempt.request().query().id(), attempt.number());
     }
 }
--- a/src/main/java/junipercourse/decision/admission/RequestPriority.java
+++ b/src/main/java/junipercourse/decision/admission/RequestPriority.java
@@ -42,7 +42,7 @@
     }
 
     private static double startedShare(ClassStatistics statistics) {
-        return (statistics.started() + FAIRNESS_PRIOR_REQUESTS)
+        return (statistics.startedWithinQuota() + FAIRNESS_PRIOR_REQUESTS)
                 / (statistics.arrivalsWithinQuota() + FAIRNESS_PRIOR_REQUESTS);
     }
 }
--- a/src/main/java/junipercourse/decision/constraints/RetryBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/RetryBudget.java
@@ -27,13 +27,13 @@
 
     /** Forgets the requests before the window. */
     public void expire(double now) {
-        requests.countAfter(now - guarantees.retryBudgetWindow());
+        requests.countAfter(now - guarantees.retryBudgetWindowSeconds());
     }
 
     /** Returns true if the next attempt of a request is its first or fits the budget. */
     public boolean allows(double now, PendingRequest request) {
-        double windowSeconds = guarantees.retryBudgetWindow();
-        if (request.sentAttempts() == 0 || windowSeconds <= 0) {
+        double windowSeconds = guarantees.retryBudgetWindowSeconds();
+        if (request.sentAttemptCount() == 0 || windowSeconds <= 0) {
             return true;
         }
         double toleranceSeconds = DecisionDefaults.TIMER_RESOLUTION_SECONDS;
--- a/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
@@ -35,9 +35,9 @@
     /** Returns the share of its capacity that an engine has so many seconds after its start. */
     double capacityShare(double ageSeconds) {
         double progress =
-                ageSeconds >= guarantees.slowStartDuration()
+                ageSeconds >= guarantees.slowStartSeconds()
                         ? 1
-                        : Math.max(0, ageSeconds / guarantees.slowStartDuration());
+                        : Math.max(0, ageSeconds / guarantees.slowStartSeconds());
         return guarantees.slowStartInitialCapacity()
                 + (1 - guarantees.slowStartInitialCapacity()) * progress;
     }
@@ -60,10 +60,11 @@
         double usualWork =
                 Math.min(
                         latencyEstimator.usualWork(request.classStatistics()),
-                        request.queryClass().latencyObjective() * request.queryClass().threads());
+                        request.queryClass().latencyObjectiveSeconds()
+                                * request.queryClass().threads());
         double maxWork =
                 workPerSecond(ageSeconds, engine.cores())
-                        * guarantees.overloadWindow()
+                        * guarantees.overloadWindowSeconds()
                         * MAX_QUERY_WINDOW_SHARE;
         return latencyEstimator.work(request) <= Math.max(usualWork, maxWork);
     }
@@ -72,7 +73,8 @@
      * Returns work plus a reserve for chance: few heavy attempts vary more than many light ones.
      */
     double computeCharge(double work, double ageSeconds, EngineState engine) {
-        double windowWork = workPerSecond(ageSeconds, engine.cores()) * guarantees.overloadWindow();
+        double windowWork =
+                workPerSecond(ageSeconds, engine.cores()) * guarantees.overloadWindowSeconds();
         double relativeDeviation =
                 RESERVE_DEVIATIONS
                         * (1 - trafficEstimator.ownShare())
--- a/src/main/java/junipercourse/decision/health/OutlierDetector.java
+++ b/src/main/java/junipercourse/decision/health/OutlierDetector.java
@@ -47,7 +47,7 @@
         if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= silenceTimeoutSeconds) {
             return;
         }
-        int silentAttempts = health.addSilent(attempt);
+        int silentAttempts = health.addSilentAttempt(attempt);
         if (silentAttempts >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
             health.setSilentSince(now);
             eject(now, engine, EjectionReason.SILENT);
@@ -69,7 +69,7 @@
      */
     public boolean recordReset(double now, EngineState engine) {
         int resetCount = engine.health().addReset();
-        return now - engine.health().answeredAt() > RECENT_ANSWER_SECONDS
+        return now - engine.health().lastAnswerAt() > RECENT_ANSWER_SECONDS
                 || resetCount >= MAX_CONSECUTIVE_RESETS;
     }
 
@@ -82,7 +82,8 @@
         double backoffSeconds =
                 health.isEjected()
                         ? Math.min(
-                                DecisionDefaults.MAX_BACKOFF_SECONDS, health.ejectionBackoff() * 2)
+                                DecisionDefaults.MAX_BACKOFF_SECONDS,
+                                health.ejectionBackoffSeconds() * 2)
                         : DecisionDefaults.INITIAL_BACKOFF_SECONDS;
         health.scheduleProbation(now, backoffSeconds);
         double maxEjected = Math.max(1, state.engines().readyCount() * MAX_EJECTED_SHARE);
--- a/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
+++ b/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
@@ -5,7 +5,7 @@
 import junipercourse.decision.api.QueryClass;
 import junipercourse.decision.constraints.SendConstraints;
 import junipercourse.decision.estimation.LatencyEstimator;
-import junipercourse.decision.load.FleetCapacity;
+import junipercourse.decision.load.AggregateCapacity;
 import junipercourse.decision.state.Attempt;
 import junipercourse.decision.state.DecisionDefaults;
 import junipercourse.decision.state.DispatchState;
@@ -24,7 +24,7 @@
     private final LatencyEstimator latencyEstimator;
     private final SendConstraints constraints;
     private final MemoryGrants memoryGrants;
-    private final FleetCapacity fleetCapacity;
+    private final AggregateCapacity fleetCapacity;
     private final double shortestObjectiveSeconds;
 
     /** Creates a launcher. */
@@ -33,7 +33,7 @@
             LatencyEstimator latencyEstimator,
             SendConstraints constraints,
             MemoryGrants memoryGrants,
-            FleetCapacity fleetCapacity) {
+            AggregateCapacity fleetCapacity) {
         this.state = state;
         this.latencyEstimator = latencyEstimator;
         this.constraints = constraints;
@@ -41,7 +41,7 @@
         this.fleetCapacity = fleetCapacity;
         this.shortestObjectiveSeconds =
                 state.settings().queryClasses().stream()
-                        .mapToDouble(QueryClass::latencyObjective)
+                        .mapToDouble(QueryClass::latencyObjectiveSeconds)
                         .min()
                         .orElse(0);
     }
@@ -51,7 +51,7 @@
         double grantMb = memoryGrants.grantMb(request);
         setAttemptTerms(request, grantMb);
         state.actions()
-                .startAttempt(request.request().id(), engine.id(), timeoutSeconds(request, engine));
+                .startAttempt(request.query().id(), engine.id(), timeoutSeconds(request, engine));
         double slowStartCharge = constraints.slowStart().computeCharge(now, request, engine);
         Attempt attempt =
                 new Attempt(
@@ -66,21 +66,21 @@
         double firstEvaluationSeconds =
                 Math.min(
                         DecisionDefaults.SUPERVISION_INTERVAL_SECONDS,
-                        latencyEstimator.cutoffAfter(request));
+                        latencyEstimator.cutoffSeconds(request));
         state.requests().evaluations().schedule(now + firstEvaluationSeconds, request);
     }
 
     private void recordLaunch(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
         EngineState engine = attempt.engine();
-        if (request.sentAttempts() > 1) {
+        if (request.sentAttemptCount() > 1) {
             constraints.retryBudget().recordRetry(now);
         }
         if (attempt.number() == 0 && !request.isOverQuota()) {
             request.classStatistics().recordStart();
         }
         if (engine.health().isEjected()) {
-            engine.health().scheduleProbation(now, engine.health().ejectionBackoff());
+            engine.health().scheduleProbation(now, engine.health().ejectionBackoffSeconds());
         } else {
             fleetCapacity.addThreads(request.queryClass().threads());
         }
@@ -90,8 +90,8 @@
         EngineCapabilities capabilities = state.settings().engineCapabilities();
         if (capabilities.honorsMemoryGrants() && grantMb > 0 || capabilities.honorsPriority()) {
             state.actions()
-                    .setAttemptTerms(
-                            request.request().id(),
+                    .setAttemptParameters(
+                            request.query().id(),
                             attemptPriority(request),
                             capabilities.honorsMemoryGrants() ? grantMb : 0);
         }
@@ -103,7 +103,7 @@
                 !state.settings().limits().cancellationAllowed()
                         && engine.tier() == Tier.FRONT
                         && request.queryClass().idempotency() != Idempotency.NOT_IDEMPOTENT;
-        return endsAtCutoff ? latencyEstimator.cutoffAfter(request) : 0;
+        return endsAtCutoff ? latencyEstimator.cutoffSeconds(request) : 0;
     }
 
     /** Short queries first: the class with the shortest latency objective, then restarts. */
@@ -111,7 +111,7 @@
         if (request.isOverQuota()) {
             return OVER_QUOTA_PRIORITY;
         }
-        if (request.queryClass().latencyObjective() <= shortestObjectiveSeconds) {
+        if (request.queryClass().latencyObjectiveSeconds() <= shortestObjectiveSeconds) {
             return SHORT_QUERY_PRIORITY;
         }
         return request.isRestarting() ? RESTART_PRIORITY : DEFAULT_PRIORITY;
--- a/src/main/java/junipercourse/decision/selection/CandidateSampler.java
+++ b/src/main/java/junipercourse/decision/selection/CandidateSampler.java
@@ -53,7 +53,7 @@
 
     private void drawCandidates(PendingRequest request, Tier tier, int maxCandidates) {
         List<EngineState> candidates = request.candidateEngines();
-        List<EngineState> engines = state.engines().tier(tier);
+        List<EngineState> engines = state.engines().readyEngines(tier);
         for (int index = 0; index < engines.size() && candidates.size() < maxCandidates; index++) {
             int drawnIndex = index + state.random().nextInt(engines.size() - index);
             state.engines().swap(tier, index, drawnIndex);
@@ -72,7 +72,7 @@
     List<EngineState> affinityEngines(PendingRequest request) {
         return hasTableLoadingClasses
                 ? List.of()
-                : state.engines().preferred(request.tableGroup(), FRONT_AFFINITY_ENGINES, 1);
+                : state.engines().preferredEngines(request.tableGroup(), FRONT_AFFINITY_ENGINES, 1);
     }
 
     /**
@@ -87,7 +87,7 @@
         }
         int rank =
                 state.engines()
-                        .preferred(request.tableGroup(), TABLE_LOAD_AFFINITY_ENGINES, 0)
+                        .preferredEngines(request.tableGroup(), TABLE_LOAD_AFFINITY_ENGINES, 0)
                         .indexOf(engine);
         double weight =
                 rank < 0
--- a/src/main/java/junipercourse/decision/selection/EngineCapacity.java
+++ b/src/main/java/junipercourse/decision/selection/EngineCapacity.java
@@ -70,7 +70,7 @@
         double grantedMb =
                 engine.inFlight().memoryMb() + externalMb + memoryGrants.grantMb(request);
         return engine.memoryMb() <= 0
-                || engine.inFlight().attempts() == 0
+                || engine.inFlight().attemptCount() == 0
                 || grantedMb <= engine.memoryMb() * MAX_GRANTED_MEMORY_SHARE;
     }
 }
--- a/src/main/java/junipercourse/decision/selection/EngineSelector.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelector.java
@@ -78,7 +78,7 @@
                 congestionEstimator.slowdownFactor(Tier.FRONT)
                         > DecisionDefaults.CONGESTED_SLOWDOWN
                                 * congestionEstimator.slowdownFactor(Tier.BACK);
-        return state.settings().dispatchers() == 1 || gossip.isActive() || isFrontCongested;
+        return state.settings().dispatcherCount() == 1 || gossip.isActive() || isFrontCongested;
     }
 
     private void considerEngine(
@@ -152,7 +152,7 @@
         }
         EngineHealth health = engine.health();
         return !health.isEjected()
-                || engine.inFlight().attempts() == 0
+                || engine.inFlight().attemptCount() == 0
                         && now >= health.nextProbationAt() + probationDelaySeconds(request);
     }
 
--- a/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
+++ b/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
@@ -1,7 +1,7 @@
 package junipercourse.decision.selection;
 
 import junipercourse.decision.estimation.Estimators;
-import junipercourse.decision.load.FleetCapacity;
+import junipercourse.decision.load.AggregateCapacity;
 import junipercourse.decision.load.LoadEstimator;
 import junipercourse.decision.load.PeerLoadGossip;
 import junipercourse.decision.state.DecisionDefaults;
@@ -24,14 +24,14 @@
     private final Estimators estimators;
     private final LoadEstimator loadEstimator;
     private final PeerLoadGossip gossip;
-    private final FleetCapacity fleetCapacity;
+    private final AggregateCapacity fleetCapacity;
 
     /** Creates a limiter. */
     public FairShareLimiter(
             Estimators estimators,
             LoadEstimator loadEstimator,
             PeerLoadGossip gossip,
-            FleetCapacity fleetCapacity) {
+            AggregateCapacity fleetCapacity) {
         this.estimators = estimators;
         this.loadEstimator = loadEstimator;
         this.gossip = gossip;
--- a/src/main/java/junipercourse/decision/selection/MemoryGrants.java
+++ b/src/main/java/junipercourse/decision/selection/MemoryGrants.java
@@ -26,7 +26,7 @@
      */
     public double grantMb(PendingRequest request) {
         EngineState firstCandidate = request.candidateEngines().get(0);
-        double estimateMb = request.request().memoryEstimateMb();
+        double estimateMb = request.query().memoryEstimateMb();
         double baseGrantMb = estimateMb > 0 ? estimateMb : fairShareMb(request, firstCandidate);
         double maxGrantMb =
                 firstCandidate.memoryMb() > 0
@@ -39,7 +39,7 @@
     private double fairShareMb(PendingRequest request, EngineState engine) {
         boolean canLearn =
                 capabilities.honorsMemoryGrants()
-                        && (capabilities.progressPeriod() > 0 || capabilities.reportsCost());
+                        && (capabilities.progressPeriodSeconds() > 0 || capabilities.reportsCost());
         return canLearn
                 ? engine.memoryMb()
                         * request.queryClass().threads()
@@ -50,7 +50,8 @@
     /** Learns from a complete answer whether the grant was large enough. */
     public void recordAnswer(Attempt attempt, AttemptResult result) {
         boolean isCostReported = capabilities.reportsCost() && result.actualMemoryMb() > 0;
-        if (attempt.memoryMb() > 0 && (isCostReported || capabilities.progressPeriod() > 0)) {
+        if (attempt.memoryMb() > 0
+                && (isCostReported || capabilities.progressPeriodSeconds() > 0)) {
             boolean wasTooSmall =
                     isCostReported
                             ? result.actualMemoryMb() > attempt.memoryMb()
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 import java.util.Set;
-import junipercourse.core.Backend.Member;
+import junipercourse.core.Backend.EngineEndpoint;
 import junipercourse.core.Counters;
 import junipercourse.core.Counters.Count;
 import junipercourse.net.DescriptorBudget;
@@ -31,20 +31,20 @@
         Budget(EventLoop loop, DescriptorBudget.Share share) {
             this.loop = loop;
             this.share = share;
-            followUps = share.most() / FOLLOW_UP_PART;
+            followUps = share.maxOpen() / FOLLOW_UP_PART;
         }
 
         boolean take(boolean starts) {
             int spare = starts ? followUps : 0;
-            return share.room() > spare && share.take();
+            return share.available() > spare && share.tryAcquire();
         }
 
         /** One is closed; its descriptor is back once the sockets have been looked at again. */
         void giveBack() {
-            share.closing();
-            loop.afterNextPass(
+            share.markClosing();
+            loop.runAfterNextPass(
                     () -> {
-                        share.gone();
+                        share.markClosed();
                         next();
                     });
             next();
@@ -52,7 +52,7 @@
 
         /** A new query that found no room goes on, in the order come. */
         private void next() {
-            if (!waiting.isEmpty() && share.room() > followUps) {
+            if (!waiting.isEmpty() && share.available() > followUps) {
                 Runnable first = waiting.iterator().next();
                 waiting.remove(first);
                 loop.execute(first);
@@ -62,13 +62,17 @@
 
     private final EventLoop loop;
     private final Budget budget;
-    private final Member member;
+    private final EngineEndpoint member;
     private final double dialTimeout;
     private final Counters counters;
     private boolean ready = true;
 
     EnginePool(
-            EventLoop loop, Member member, double dialTimeout, Budget budget, Counters counters) {
+            EventLoop loop,
+            EngineEndpoint member,
+            double dialTimeout,
+            Budget budget,
+            Counters counters) {
         this.loop = loop;
         this.budget = budget;
         this.member = member;
@@ -81,7 +85,7 @@
     }
 
     /** Whether a listed engine is this one, where it was and not started since. */
-    boolean isOf(Member listed) {
+    boolean isOf(EngineEndpoint listed) {
         return member.address().equals(listed.address())
                 && member.engine().startedAt() == listed.engine().startedAt();
     }
@@ -118,11 +122,11 @@
                         member.address(),
                         dialTimeout,
                         c -> {
-                            counters.add(Count.ENGINES_CONNECTED);
+                            counters.increment(Count.ENGINES_CONNECTED);
                             EngineConnection up =
                                     new EngineConnection(loop, c, this, owner, counters);
                             call.dialing(up::close);
-                            loop.whenCaughtUp(
+                            loop.runWhenCaughtUp(
                                     () -> call.run(up)); // a cancel or a drain may lie unread
                             // after a stall
                         },
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -66,21 +66,23 @@
         this.places = new ConnectionSlots(loop, share);
         this.shows = shows;
         this.maxRetryAfter =
-                settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
+                settings.limits().retryAfterAllowed()
+                        ? settings.limits().maxRetryAfterSeconds()
+                        : 0;
         this.mostInput = mostInput;
         this.random = new SplittableRandom(seed);
     }
 
     public void listen(InetSocketAddress address) throws IOException {
         server = loop.listen(address, places.most(), this::accepted);
-        loop.after(LOOK_S, this::lookAround);
+        loop.scheduleAfter(LOOK_S, this::lookAround);
     }
 
     /** Listens on a socket that others accept from, too. */
     public void listen(ServerSocketChannel shared) throws IOException {
         server = loop.listen(shared, places.most(), this::accepted);
         sharesSocket = true;
-        loop.after(LOOK_S, this::lookAround);
+        loop.scheduleAfter(LOOK_S, this::lookAround);
     }
 
     /**
@@ -127,10 +129,10 @@
             whenEmpty.run();
             return;
         }
-        loop.after(
+        loop.scheduleAfter(
                 LOOK_S,
                 this::lookAround); // first of all, so that no fault in this look makes it the last
-        double now = loop.attended();
+        double now = loop.attendedSeconds();
         for (Session s : places.sessions()) {
             // Guards clients, which open no more than a third of the descriptors, against running
             // out of
@@ -151,7 +153,7 @@
     private void accepted(StreamConnection connection) {
         Session session = new Session(connection, this, random.nextInt());
         if (places.room()) {
-            counters.add(Count.CLIENTS_ACCEPTED);
+            counters.increment(Count.CLIENTS_ACCEPTED);
         } else {
             session.toLobby();
         }
@@ -167,7 +169,7 @@
         if (sharesSocket) { // see InheritedSocket: that one is not closed
             handedOver.run();
         } else { // whoever the system has let in would be reset by the close
-            loop.closeEmptied(server, handedOver);
+            loop.drainAndClose(server, handedOver);
         }
     }
 
@@ -193,7 +195,7 @@
 
     /** A CancelRequest: the session's number and its secret must both be right. */
     void cancel(int process, int secret) {
-        counters.add(Count.CLIENTS_CANCELLED);
+        counters.increment(Count.CLIENTS_CANCELLED);
         Session session = places.find(process);
         if (session != null && session.secret == secret) {
             session.poll(); // after a pause of ours, the query that it is for may lie there unread
