--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -43,7 +43,7 @@
     }
 
     /** Takes in the end of an attempt; one that was never sent teaches nothing. */
-    public void record(double now, Attempt attempt, AttemptResult result) {
+    public void recordResult(double now, Attempt attempt, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.NOT_SENT) {
             return;
@@ -126,7 +126,7 @@
             case UNREACHABLE, RESET -> {
                 if (outlierDetector.recordReset(now, engine)) {
                     if (outcome == AttemptOutcome.UNREACHABLE) {
-                        slowStartController.start(engine, now);
+                        slowStartController.startSlowStart(engine, now);
                     }
                     outlierDetector.eject(now, engine, EjectionReason.DEAD);
                 }
