--- a/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
+++ b/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
@@ -10,8 +10,7 @@
 
 /** Holds requests until an engine has capacity for them, and starts them by priority. */
 public final class AdmissionQueue {
-    private static final int MAX_UNPLACED_REQUESTS =
-            12; // ready requests without an engine that end a pass
+    private static final int MAX_UNPLACED_REQUESTS = 12; // ready requests per pass
 
     private final DispatchState state;
     private final SendConstraints constraints;
@@ -35,32 +34,38 @@
         this.requestPriority = requestPriority;
     }
 
-    /** Makes a request wait for an engine. */
+    /** Adds a request to the queue and schedules its next evaluation. */
     public void enqueue(double now, PendingRequest request) {
         request.setPriority(requestPriority.computePriority(now, request));
         engineSelection.sampler().sample(request);
         loadTracking.prober().probeCandidates(now, request);
         state.requests().enqueue(request);
-        double evaluationAt =
+        double nextEvaluationAt =
                 Math.min(request.answerDueAt(), now + DecisionDefaults.RETRY_INTERVAL_SECONDS);
-        state.requests().evaluations().schedule(evaluationAt, request);
+        state.requests().evaluations().schedule(nextEvaluationAt, request);
     }
 
-    /** Updates priority and candidates of a waiting request, for the next pass. */
+    /**
+     * Recomputes the priority and the candidates of a waiting request, and requests an admission
+     * pass.
+     */
     void refresh(double now, PendingRequest request) {
         request.setPriority(requestPriority.computePriority(now, request));
         engineSelection.sampler().sample(request);
         state.requests().scheduleAdmission();
     }
 
-    /** Starts the waiting requests for which there is capacity, and sheds those over the bound. */
+    /**
+     * Starts the waiting requests for which an engine has capacity, and sheds those beyond the
+     * queue limit.
+     */
     public void admit(double now) {
         loadTracking.capacity().recompute(now, state.engines(), constraints.slowStart());
         if (state.requests().waiting().isEmpty()) {
             return;
         }
         state.requests().sortWaiting();
-        Pass pass = new Pass(now);
+        AdmissionPass pass = new AdmissionPass(now);
         state.requests().removeIfStarted(pass::tryStart);
         PendingRequest requestToShed = state.requests().nextToShed();
         while (requestToShed != null) {
@@ -69,18 +74,22 @@
         }
     }
 
-    /** One pass over the waiting requests, which ends after so many that found no engine. */
-    private final class Pass {
+    /**
+     * One pass over the waiting requests. It stops starting requests after {@link
+     * #MAX_UNPLACED_REQUESTS} of them found no engine.
+     */
+    private final class AdmissionPass {
         private final double now;
         private int unplacedRequests;
 
-        private Pass(double now) {
+        private AdmissionPass(double now) {
             this.now = now;
         }
 
         /**
-         * Starts a request if an engine has capacity for it. A request that waits for its key says
-         * nothing about the engines' capacity and must not end the pass for those behind it.
+         * Starts a request if an engine has capacity for it. A request that waits for an earlier
+         * one with the same key, or for load reports, is not counted as unplaced: it says nothing
+         * about the engines' capacity and must not end the pass for the requests behind it.
          */
         private boolean tryStart(PendingRequest request) {
             boolean isReady =
--- a/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptFeedback.java
@@ -16,7 +16,10 @@
 import junipercourse.decision.state.EngineState;
 import junipercourse.decision.state.PendingRequest;
 
-/** Learns from the end of each attempt about its class, its engine and the fleet. */
+/**
+ * Updates the estimates of the query class, the engine and the fleet from the result of each
+ * attempt.
+ */
 public final class AttemptFeedback {
     private static final double MIN_LATENCY_SECONDS = 1e-4;
 
@@ -42,7 +45,7 @@
         this.cutoffController = cutoffController;
     }
 
-    /** Takes in the end of an attempt; one that was never sent teaches nothing. */
+    /** Records the result of an attempt. An attempt that was never sent is ignored. */
     public void recordResult(double now, Attempt attempt, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.NOT_SENT) {
@@ -82,7 +85,8 @@
         memoryGrants.recordAnswer(attempt, result);
         PendingRequest request = attempt.request();
         ClassStatistics statistics = request.classStatistics();
-        double boundedLatencySeconds = // a single bad plan among few samples is no tail
+        // One bad query plan among few samples is no evidence of a long tail.
+        double boundedLatencySeconds =
                 Math.min(
                         latencySeconds,
                         attempt.expectedLatency() * DecisionDefaults.MAX_LATENCY_RATIO);
@@ -137,13 +141,19 @@
         }
     }
 
-    /** Counts an attempt that has run for so long that it must not block all others. */
+    /**
+     * Records an attempt that runs far longer than expected, so that it no longer blocks the
+     * admission of others.
+     */
     void recordOverlong(double now, Attempt attempt) {
         recordCongestion(now, attempt, 0);
         attempt.markOverlong();
     }
 
-    /** Of an overlong attempt, only the time until it was found to be so counts. */
+    /**
+     * Records work and thread time of an attempt. An overlong attempt adds no thread time when it
+     * ends, since its time was recorded when it became overlong.
+     */
     private void recordCongestion(double now, Attempt attempt, double completedWork) {
         PendingRequest request = attempt.request();
         if (request.hasCostEstimate()) {
@@ -158,8 +168,8 @@
     }
 
     /**
-     * Returns true if an answer was slow in a fleet that is congested; one slow answer of a fast
-     * fleet is chance.
+     * Returns true if an answer was slow while the fleet is congested. A slow answer from a fleet
+     * that is not congested is treated as random variation.
      */
     public boolean wasSlowedByCongestion(double now, Attempt attempt) {
         PendingRequest request = attempt.request();
--- a/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
+++ b/src/main/java/junipercourse/decision/admission/AttemptSupervisor.java
@@ -14,13 +14,13 @@
 import junipercourse.decision.state.Tier;
 
 /**
- * Evaluates requests when that is due: answers them at their deadline, cancels attempts at their
- * cutoff so that they are restarted on the back tier, and retries attempts that failed.
+ * Evaluates requests at scheduled times: completes them shortly before their deadline, cancels
+ * attempts at their cutoff so that they are restarted on the back tier, and retries failed
+ * attempts.
  */
 public final class AttemptSupervisor {
-    private static final double EVALUATION_DELAY_SHARE =
-            0.2; // of the time waited, between evaluations
-    private static final int MAX_ERRORS_PER_QUERY = 3; // of one query, at engines that serve others
+    private static final double EVALUATION_DELAY_SHARE = 0.2; // of the time elapsed so far
+    private static final int MAX_ERRORS_PER_QUERY = 3; // at engines that answer other queries
 
     private final DispatchState state;
     private final LatencyEstimator latencyEstimator;
@@ -30,12 +30,12 @@
     private final Collaborators collaborators;
 
     /**
-     * The other parts of the life of a request.
+     * The other components that handle a request.
      *
-     * @param queue requests that wait for an engine
-     * @param completion final answers
-     * @param cutoffs when first attempts are cancelled
-     * @param feedback what attempts teach
+     * @param queue holds requests that wait for an engine
+     * @param completion gives final answers
+     * @param cutoffs decides when first attempts are cancelled
+     * @param feedback updates estimates from attempt results
      */
     record Collaborators(
             AdmissionQueue queue,
@@ -58,7 +58,7 @@
         this.collaborators = collaborators;
     }
 
-    /** Makes a new request wait for an engine, unless its time is all but over on arrival. */
+    /** Enqueues a new request, or completes it at once if a useful answer is unlikely. */
     public void admit(double now, PendingRequest request) {
         if (collaborators.completion().isUsefulAnswerUnlikely(now, request)) {
             collaborators.completion().completeWithoutResult(request);
@@ -67,7 +67,10 @@
         }
     }
 
-    /** Does for a request what is due now, and schedules its next evaluation. */
+    /**
+     * Completes a request if its answer is due or a useful answer is unlikely. Otherwise refreshes
+     * it in the queue or supervises its active attempt, and schedules the next evaluation.
+     */
     public void evaluate(double now, PendingRequest request) {
         if (request.isResponding()) {
             return;
@@ -122,14 +125,20 @@
                 now + evaluationDelaySeconds(ageSeconds), Math.min(cutoffAt, nextSupervisionAt));
     }
 
-    /** Requests that are ordered by key have no cutoff: a restart would block those behind them. */
+    /**
+     * Returns true if an attempt on the front tier has exceeded its cutoff. Requests ordered by key
+     * have no cutoff, since a restart would delay the requests behind them.
+     */
     private boolean isPastCutoff(double now, Attempt attempt) {
         return attempt.isOnFrontTier()
                 && !attempt.request().queryClass().orderedByKey()
                 && collaborators.cutoffs().exceedsCutoff(now, attempt);
     }
 
-    /** Seconds until the next evaluation; more after a long wait, since then many wait. */
+    /**
+     * Returns the seconds until the next evaluation. The delay grows with the elapsed time, since
+     * long waits mean that many requests are waiting.
+     */
     private static double evaluationDelaySeconds(double elapsedSeconds) {
         return Math.max(
                 DecisionDefaults.RETRY_INTERVAL_SECONDS,
@@ -191,7 +200,10 @@
         return firstAttempt == null ? attempt : firstAttempt;
     }
 
-    /** After an attempt without an answer: retries where constraints and time allow it. */
+    /**
+     * Handles an attempt that ended without an answer: retries the request if constraints and
+     * remaining time allow it, and completes it otherwise.
+     */
     public void retryOrComplete(double now, Attempt endedAttempt, AttemptOutcome outcome) {
         PendingRequest request = endedAttempt.request();
         request.setPreviousEngine(endedAttempt.engine());
--- a/src/main/java/junipercourse/decision/admission/CutoffController.java
+++ b/src/main/java/junipercourse/decision/admission/CutoffController.java
@@ -13,19 +13,18 @@
 import junipercourse.decision.state.RunningMean;
 
 /**
- * The cutoffs of the TAGS design: first attempts are cancelled as early as the back tier can bear,
- * so that their restarts fill it.
+ * Sets the cutoffs of task assignment by guessing size (TAGS): first attempts are cancelled as
+ * early as the back tier has capacity for their restarts.
  */
 public final class CutoffController {
-    private static final double UPDATE_INTERVAL_SECONDS = 1.0; // answers do not come in faster
-    private static final double MAX_BACK_TIER_UTILIZATION =
-            0.8; // of its cores; the rest is for chance
-    private static final double MAX_CUTOFF_MULTIPLE = 32; // of the lowest cutoffs
+    private static final double UPDATE_INTERVAL_SECONDS = 1.0; // new samples arrive no faster
+    private static final double MAX_BACK_TIER_UTILIZATION = 0.8; // the rest absorbs random bursts
+    private static final double MAX_CUTOFF_MULTIPLE = 32; // times the lowest cutoff of a class
     private static final double CUTOFF_MULTIPLE_STEP = 1.2;
-    private static final int MIN_SAMPLES = 3; // of any class; fewer show no tail
-    private static final double FLEET_TAIL_PRIOR_SAMPLES =
-            20; // samples that weigh like the class's own
-    private static final double PROJECTION_DISCOUNT = 0.7; // progress reports are rough
+    private static final int MIN_SAMPLES = 3; // fleet-wide; fewer show no tail
+    // Number of a class's own samples that weigh as much as the tail of the fleet.
+    private static final double FLEET_TAIL_PRIOR_SAMPLES = 20;
+    private static final double PROJECTION_DISCOUNT = 0.7; // progress reports are inexact
 
     private final DispatchState state;
     private final Estimators estimators;
@@ -46,7 +45,7 @@
         this.gossip = gossip;
     }
 
-    /** Updates the cutoffs if that is due; returns whether it was. */
+    /** Updates the cutoffs if an update is due, and returns true if it was. */
     public boolean updateIfDue(double now) {
         if (now < nextUpdateAt) {
             return false;
@@ -56,7 +55,10 @@
         return true;
     }
 
-    /** Chooses the smallest multiple of the lowest cutoffs whose restarts fit the back tier. */
+    /**
+     * Sets all cutoffs to the smallest multiple of their lowest values at which the restarts fit
+     * the back tier.
+     */
     private void updateCutoffs(double now) {
         gossip.expire(now);
         loadEstimator.refreshUsualLoad();
@@ -87,7 +89,8 @@
     }
 
     /**
-     * Returns the work a second, in threads, that restarts at a multiple bring to the back tier.
+     * Returns the threads of the back tier that restarts occupy on average if cutoffs are set to a
+     * multiple of their lowest values.
      */
     private double restartThreads(double cutoffMultiple, double observedSeconds) {
         double totalThreads = 0;
@@ -111,8 +114,9 @@
     }
 
     /**
-     * Returns the share of a class that outlives a multiple of its lowest cutoff. A class with few
-     * samples borrows the tail of all classes, so that its bad plans are cancelled early as well.
+     * Returns the share of a class's attempts that run longer than a multiple of its lowest cutoff.
+     * For a class with few samples, the latency distribution of all classes is mixed in, so that
+     * its bad query plans are cancelled early too.
      */
     private double shareBeyondCutoff(ClassStatistics statistics, double cutoffMultiple) {
         double lowestCutoff = LatencyEstimator.lowestCutoff(statistics.queryClass());
@@ -124,15 +128,16 @@
                 + (1 - ownTailWeight) * fleetLatencyTail.survival(boundedMultiple);
     }
 
-    /** Adds the latency of an attempt, as a multiple of the lowest cutoff of its class. */
+    /** Records the latency of an attempt as a multiple of the lowest cutoff of its class. */
     void recordLatency(ClassStatistics statistics, double latencyMultiple, boolean isCensored) {
         statistics.latencyTail().add(latencyMultiple, isCensored);
         fleetLatencyTail.add(latencyMultiple, isCensored);
     }
 
     /**
-     * Returns true if an attempt has passed its cutoff, or is projected to by its progress; never
-     * if it is nearly done.
+     * Returns true if an attempt has run past its cutoff, or its progress reports project that it
+     * will. Returns false if its projected remaining time is shorter than the expected latency of a
+     * restart.
      */
     public boolean exceedsCutoff(double now, Attempt attempt) {
         LatencyEstimator latencyEstimator = estimators.latency();
--- a/src/main/java/junipercourse/decision/admission/RequestCompletion.java
+++ b/src/main/java/junipercourse/decision/admission/RequestCompletion.java
@@ -9,14 +9,14 @@
 import junipercourse.decision.state.DispatchState;
 import junipercourse.decision.state.PendingRequest;
 
-/** Gives final answers, and decides when waiting for a better one has become hopeless. */
+/** Gives final answers, and decides when a useful answer has become unlikely. */
 public final class RequestCompletion {
-    private static final double MIN_REMAINING_LATENCY_SHARE =
-            0.5; // of the expectation that must be left
-    private static final double MIN_LATE_ANSWER_WEIGHT =
-            0.2; // late answers of less weight are not awaited
-    private static final double MAX_LATE_WAIT_SHARE =
-            0.5; // of its time, once the objective is lost
+    // Share of the expected latency that must remain before the answer is due.
+    private static final double MIN_REMAINING_LATENCY_SHARE = 0.5;
+    // Late answers of a class with less weight than this are not awaited.
+    private static final double MIN_LATE_ANSWER_WEIGHT = 0.2;
+    // Share of the time from arrival to deadline to wait once the objective is missed.
+    private static final double MAX_LATE_WAIT_SHARE = 0.5;
 
     private final DispatchState state;
     private final LatencyEstimator latencyEstimator;
@@ -26,7 +26,10 @@
         this.latencyEstimator = latencyEstimator;
     }
 
-    /** Returns true if no answer of any value can come of waiting longer. */
+    /**
+     * Returns true if the request should be completed without a further attempt: no engine is
+     * listed, too little time is left for one, or the answer would be late and worthless.
+     */
     boolean isUsefulAnswerUnlikely(double now, PendingRequest request) {
         if (state.engines().isKnownToBeEmpty() || !hasTimeForAttempt(now, request)) {
             return true;
@@ -47,15 +50,15 @@
                 <= request.answerDueAt();
     }
 
-    /** Returns true if an attempt that starts now may still answer before the deadline. */
+    /** Returns true if a retry that starts now may still answer before the deadline. */
     boolean hasTimeForRetry(double now, PendingRequest request) {
         return now + latencyEstimator.expectedLatency(request) * MIN_REMAINING_LATENCY_SHARE
                 < request.answerDueAt();
     }
 
     /**
-     * Gives the final answer without a result: a rejection where it is true that sending the
-     * request again is harmless, a failure otherwise.
+     * Completes a request without a result: rejects it if the client can safely send it again, and
+     * fails it otherwise.
      */
     void completeWithoutResult(PendingRequest request) {
         if (isClientRetrySafe(request)) {
@@ -82,7 +85,10 @@
                 || isDeduplicatedEverywhere;
     }
 
-    /** Closes a request that has its final answer or whose client has left. */
+    /**
+     * Closes a request that has its final answer or whose client has disconnected, and cancels its
+     * active attempt.
+     */
     public void close(PendingRequest request) {
         if (request.activeAttempt() != null && state.settings().limits().cancellationAllowed()) {
             cancel(request.activeAttempt());
@@ -91,7 +97,6 @@
         state.requests().removeIfDone(request);
     }
 
-    /** Cancels an attempt. */
     void cancel(Attempt attempt) {
         attempt.markCancelled();
         state.actions().cancelAttempt(attempt.request().query().id(), attempt.number());
--- a/src/main/java/junipercourse/decision/admission/RequestLifecycle.java
+++ b/src/main/java/junipercourse/decision/admission/RequestLifecycle.java
@@ -8,13 +8,13 @@
 import junipercourse.decision.state.DispatchState;
 
 /**
- * The parts that lead a request from its arrival to its final answer.
+ * The components that handle a request from its arrival to its final answer.
  *
- * @param queue requests that wait for an engine
- * @param completion final answers
- * @param cutoffs when first attempts are cancelled
- * @param feedback what attempts teach
- * @param supervisor evaluation of requests
+ * @param queue holds requests that wait for an engine
+ * @param completion gives final answers
+ * @param cutoffs decides when first attempts are cancelled
+ * @param feedback updates estimates from attempt results
+ * @param supervisor evaluates requests and supervises their attempts
  */
 public record RequestLifecycle(
         AdmissionQueue queue,
@@ -23,7 +23,7 @@
         AttemptFeedback feedback,
         AttemptSupervisor supervisor) {
 
-    /** Creates the parts of one module. */
+    /** Creates the components of one decision module. */
     public static RequestLifecycle create(
             DispatchState state,
             Estimators estimators,
--- a/src/main/java/junipercourse/decision/admission/RequestPriority.java
+++ b/src/main/java/junipercourse/decision/admission/RequestPriority.java
@@ -7,15 +7,14 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * Orders the waiting requests: by weight for each second of work, higher for a class of which
- * little was started, and lower once the latency objective is missed.
+ * Computes the priority of waiting requests: their weight per second of work. It is higher for
+ * classes of which a small share has been started, and lower once the latency objective is missed.
  */
 final class RequestPriority {
-    private static final double FAIRNESS_EXPONENT = 3; // of the started share of a class
-    private static final double FAIRNESS_PRIOR_REQUESTS =
-            2; // requests that count as arrived and started
-    private static final double RESTART_PRIORITY_FACTOR =
-            4; // the work of a restart was partly paid for
+    private static final double FAIRNESS_EXPONENT = 3; // applied to the started share of a class
+    private static final double FAIRNESS_PRIOR_REQUESTS = 2; // added to arrivals and starts
+    // Engines have already spent part of the work of a restart.
+    private static final double RESTART_PRIORITY_FACTOR = 4;
 
     private final DispatchState state;
     private final LatencyEstimator latencyEstimator;
@@ -25,7 +24,9 @@
         this.latencyEstimator = latencyEstimator;
     }
 
-    /** Returns the priority of a request; the highest is served first. */
+    /**
+     * Returns the priority of a request. The request with the highest priority is started first.
+     */
     double computePriority(double now, PendingRequest request) {
         QueryClass queryClass = request.queryClass();
         double weight =
--- a/src/main/java/junipercourse/decision/admission/package-info.java
+++ b/src/main/java/junipercourse/decision/admission/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The life of a request: admission by priority, supervision of its attempts (cutoff, restart,
- * retry), its final answer, and what each attempt teaches. Depends on {@link
- * junipercourse.decision.selection}.
+ * Handles a request from arrival to completion: admission by priority, supervision of its attempts
+ * (cutoff, restart, retry), the final answer, and the update of estimates from attempt results.
+ * Depends on {@link junipercourse.decision.selection}.
  */
 package junipercourse.decision.admission;
--- a/src/main/java/junipercourse/decision/constraints/RetryBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/RetryBudget.java
@@ -5,7 +5,7 @@
 import junipercourse.decision.state.DecisionDefaults;
 import junipercourse.decision.state.PendingRequest;
 
-/** Bounds retries by a share of the requests within a sliding window, plus a minimum. */
+/** Limits retries within a sliding window to a share of the requests in it, plus a minimum. */
 public final class RetryBudget {
     private final ServiceGuarantees guarantees;
     private final SlidingWindowCounter requests = new SlidingWindowCounter();
@@ -15,22 +15,24 @@
         this.guarantees = guarantees;
     }
 
-    /** Counts a request. */
+    /** Records a request. */
     public void recordRequest(double now) {
         requests.add(now);
     }
 
-    /** Counts a retry. */
+    /** Records a retry. */
     public void recordRetry(double now) {
         retries.add(now);
     }
 
-    /** Forgets the requests before the window. */
+    /** Removes the requests that are older than the window. */
     public void expire(double now) {
         requests.countAfter(now - guarantees.retryBudgetWindowSeconds());
     }
 
-    /** Returns true if the next attempt of a request is its first or fits the budget. */
+    /**
+     * Returns true if the next attempt of a request is its first one or a retry within the budget.
+     */
     public boolean allows(double now, PendingRequest request) {
         double windowSeconds = guarantees.retryBudgetWindowSeconds();
         if (request.sentAttemptCount() == 0 || windowSeconds <= 0) {
--- a/src/main/java/junipercourse/decision/constraints/SendConstraints.java
+++ b/src/main/java/junipercourse/decision/constraints/SendConstraints.java
@@ -11,32 +11,32 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * Checks the guarantees that each attempt must keep. The numbers in the doc comments are those of
- * the rules on the platform's wire page.
+ * Checks the guarantees that each attempt must keep. The rule numbers in the comments are those of
+ * the platform's protocol specification.
  */
 public final class SendConstraints {
     private final DispatchState state;
     private final SlowStartController slowStart;
     private final RetryBudget retryBudget;
 
-    /** Creates the constraints of one module. */
+    /** Creates the constraints of one decision module. */
     public SendConstraints(DispatchState state, Estimators estimators) {
         this.state = state;
         this.slowStart = new SlowStartController(state, estimators);
         this.retryBudget = new RetryBudget(state.settings().guarantees());
     }
 
-    /** Returns the slow start of engines (rule 4). */
+    /** Returns the slow-start controller (rule 4). */
     public SlowStartController slowStart() {
         return slowStart;
     }
 
-    /** Returns the budget of retries (rule 7). */
+    /** Returns the retry budget (rule 7). */
     public RetryBudget retryBudget() {
         return retryBudget;
     }
 
-    /** Returns true if the next attempt of a request may go to an engine now. */
+    /** Returns true if the next attempt of a request may be sent to an engine now. */
     public boolean maySend(double now, PendingRequest request, EngineState engine) {
         return deadlineAllows(now, request)
                 && idempotencyAllows(now, request, engine)
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Checks again, right before the first byte of an attempt, what may have changed since it was
-     * sent: its connection may have taken long to establish.
+     * Checks the constraints again right before the first byte of an attempt is written. They may
+     * have changed since the attempt was launched, because its connection may have taken long to
+     * establish.
      */
     public boolean mayWriteFirstByte(double now, Attempt attempt) {
         return !attempt.isCancelled()
@@ -60,12 +61,15 @@
                 && orderingAllows(now, attempt.request());
     }
 
-    /** Rule 1: nothing is sent for a request that is answered or out of time. */
+    /** Rule 1: nothing is sent for a request that is closed or whose answer is due. */
     private static boolean deadlineAllows(double now, PendingRequest request) {
         return !request.isClosed() && now < request.answerDueAt();
     }
 
-    /** Rule 2: no second effect, and one attempt at a time unless hedging is allowed. */
+    /**
+     * Rule 2: a repeated request has no second effect, and one attempt runs at a time unless
+     * hedging is allowed.
+     */
     public boolean idempotencyAllows(double now, PendingRequest request, EngineState engine) {
         boolean isHedgingAllowed =
                 state.settings().limits().hedgingAllowed()
@@ -78,7 +82,7 @@
                 && isRetrySafe(now, request, engine);
     }
 
-    /** Returns true if the platform allows no further attempt of a request. */
+    /** Returns true if a request has used all attempts that the platform allows. */
     public boolean areAttemptsExhausted(PendingRequest request) {
         PlatformLimits limits = state.settings().limits();
         return limits.maxAttempts() > 0 && request.sentAttemptCount() >= limits.maxAttempts();
@@ -102,7 +106,10 @@
         };
     }
 
-    /** Returns true if an engine recognizes the key of an attempt that was sent before. */
+    /**
+     * Returns true if an engine is within the deduplication scope of an earlier attempt, and
+     * therefore recognizes its idempotency key.
+     */
     public static boolean sharesDeduplication(Attempt firstAttempt, EngineState engine) {
         return engine.isListed()
                 && switch (firstAttempt.request().queryClass().deduplicationScope()) {
@@ -112,7 +119,7 @@
                 };
     }
 
-    /** Rule 4: an engine that is warming up is not overloaded. */
+    /** Rule 4: an engine that is warming up must not be overloaded. */
     public boolean slowStartAllows(double now, PendingRequest request, EngineState engine) {
         return slowStart.allows(now, request, engine);
     }
@@ -122,7 +129,7 @@
         return state.requests().keyedQueues().isNextForKey(now, request);
     }
 
-    /** Rule 6: the class allows the engine's zone and kind. */
+    /** Rule 6: the query class must allow the zone and the kind of the engine. */
     public static boolean placementAllows(PendingRequest request, EngineState engine) {
         if (!engine.isListed()) {
             return false;
@@ -137,7 +144,7 @@
         return isZoneAllowed && isKindAllowed;
     }
 
-    /** Rule 7: retries keep within their budget. */
+    /** Rule 7: retries must stay within the retry budget. */
     public boolean retryBudgetAllows(double now, PendingRequest request) {
         return retryBudget.allows(now, request);
     }
--- a/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartBudget.java
@@ -7,17 +7,14 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * The work that all dispatchers together may send to an engine that is warming up, and what one
- * attempt is charged for. All figures come from the settings' guarantees.
+ * Computes the work that all dispatchers together may send to an engine that is warming up, and the
+ * charge of one attempt. All limits are derived from the guarantees in the settings.
  */
 final class SlowStartBudget {
     private static final double SAFETY_FACTOR = 0.7; // of the budget: work and speed are estimates
-    private static final double RESERVE_DEVIATIONS =
-            3; // kept free for attempts of other dispatchers
-    private static final double MAX_QUERY_WINDOW_SHARE =
-            0.5; // of a window's work in a single query
-    private static final double UTILIZATION_AT_CAPACITY =
-            0.85; // share of cores that are busy at capacity
+    private static final double RESERVE_DEVIATIONS = 3; // reserved for other dispatchers
+    private static final double MAX_QUERY_WINDOW_SHARE = 0.5; // of a window's work, per query
+    private static final double UTILIZATION_AT_CAPACITY = 0.85; // share of cores busy at capacity
 
     private final ServiceGuarantees guarantees;
     private final TrafficShareEstimator trafficEstimator;
@@ -32,7 +29,7 @@
         this.latencyEstimator = latencyEstimator;
     }
 
-    /** Returns the share of its capacity that an engine has so many seconds after its start. */
+    /** Returns the share of its full capacity that an engine has at an age since its start. */
     double capacityShare(double ageSeconds) {
         double progress =
                 ageSeconds >= guarantees.slowStartSeconds()
@@ -42,7 +39,10 @@
                 + (1 - guarantees.slowStartInitialCapacity()) * progress;
     }
 
-    /** Returns the work a second that all dispatchers together may send to so many cores. */
+    /**
+     * Returns the work per second that all dispatchers together may send to an engine with a number
+     * of cores.
+     */
     double workPerSecond(double ageSeconds, double cores) {
         return guarantees.overloadMultiple()
                 * capacityShare(ageSeconds)
@@ -52,9 +52,10 @@
     }
 
     /**
-     * Returns true if a query is small enough. The reserve for chance assumes many attempts, and
-     * one query of more than a window's work would exceed it alone. What is usual for its class may
-     * always run, so that no class is shut out; the latency objective bounds what passes for usual.
+     * Returns true if a query is small enough for an engine that is warming up. The reserve for
+     * random variation assumes many attempts, and a single query with more work than a window
+     * allows would exceed it. A query that is not larger than usual for its class is always
+     * allowed, so that no class is excluded; the usual work is limited by the latency objective.
      */
     boolean allowsSize(PendingRequest request, double ageSeconds, EngineState engine) {
         double usualWork =
@@ -70,7 +71,8 @@
     }
 
     /**
-     * Returns work plus a reserve for chance: few heavy attempts vary more than many light ones.
+     * Returns the charge for work: the work itself plus a reserve for random variation. The reserve
+     * is larger for heavy attempts, since a few heavy attempts vary more than many light ones.
      */
     double computeCharge(double work, double ageSeconds, EngineState engine) {
         double windowWork =
--- a/src/main/java/junipercourse/decision/constraints/SlowStartController.java
+++ b/src/main/java/junipercourse/decision/constraints/SlowStartController.java
@@ -9,10 +9,10 @@
 import junipercourse.decision.state.SlowStartState;
 
 /**
- * Slow start: limits what is sent to an engine that is warming up by a credit in seconds of work,
- * which is refilled at this dispatcher's share of what the engine can take. The credit starts at a
- * random level below 0, so that dispatchers do not send at the same moment and together send what
- * the engine can take in expectation.
+ * Limits the work sent to an engine that is warming up by a credit in seconds of work. The credit
+ * is refilled at this dispatcher's share of the engine's slow-start budget. It starts at a random
+ * value below 0, so that dispatchers do not all send at the same time, and so that their expected
+ * total stays within the budget.
  */
 public final class SlowStartController {
     private final DispatchState state;
@@ -29,7 +29,10 @@
                         state.settings().guarantees(), trafficEstimator, latencyEstimator);
     }
 
-    /** Starts the slow start of an engine that was started or may have been restarted. */
+    /**
+     * Starts the slow start of an engine that was started or may have been restarted, with a random
+     * credit.
+     */
     public void startSlowStart(EngineState engine, double startedAt) {
         SlowStartState slowStart = engine.slowStart();
         slowStart.restart(startedAt);
@@ -46,12 +49,15 @@
                 < engine.slowStart().startedAt() + state.settings().guarantees().slowStartSeconds();
     }
 
-    /** Returns the share of its capacity that an engine has, at most 1. */
+    /** Returns the share of its full capacity that an engine has, at most 1. */
     public double capacityShare(double now, EngineState engine) {
         return budget.capacityShare(ageSeconds(now, engine));
     }
 
-    /** Returns what sending a request takes of the credit; 0 once the engine is warm. */
+    /**
+     * Returns the credit that sending a request to an engine costs, or 0 if the engine is not
+     * warming up.
+     */
     public double computeCharge(double now, PendingRequest request, EngineState engine) {
         return isWarmingUp(now, engine)
                 ? budget.computeCharge(
@@ -59,7 +65,7 @@
                 : 0;
     }
 
-    /** Refills the credit of an engine and returns true if a request may be sent to it. */
+    /** Refills the credit of an engine, and returns true if a request may be sent to it. */
     boolean allows(double now, PendingRequest request, EngineState engine) {
         if (!isWarmingUp(now, engine)) {
             return true;
--- a/src/main/java/junipercourse/decision/health/EjectionReason.java
+++ b/src/main/java/junipercourse/decision/health/EjectionReason.java
@@ -1,12 +1,12 @@
 package junipercourse.decision.health;
 
-/** Why an engine was ejected. */
+/** The reason for which an engine was ejected. */
 public enum EjectionReason {
-    /** It cannot be reached, or its connections break. */
+    /** The engine cannot be reached, or its connections break. */
     DEAD("dead"),
-    /** Its attempts show no activity. */
+    /** The attempts at the engine show no activity. */
     SILENT("silent"),
-    /** It answers with errors. */
+    /** The engine answers with errors. */
     FAILING("failing");
 
     private final String label;
@@ -15,7 +15,7 @@
         this.label = label;
     }
 
-    /** Returns the word in the log. */
+    /** Returns the text of the reason in log lines. */
     String label() {
         return label;
     }
--- a/src/main/java/junipercourse/decision/health/OutlierDetector.java
+++ b/src/main/java/junipercourse/decision/health/OutlierDetector.java
@@ -12,18 +12,18 @@
 import junipercourse.decision.state.QueryFaults;
 
 /**
- * Decides which engines are ejected: those that hang, fail or cannot be reached. An ejected engine
- * gets a single attempt as a probation after a pause that doubles each time.
+ * Ejects engines that hang, return errors or cannot be reached. After a backoff that doubles each
+ * time, an ejected engine is sent a single attempt as a probation.
  */
 public final class OutlierDetector {
-    private static final double SILENCE_LATENCY_FACTOR = 4; // expected latencies without activity
+    private static final double SILENCE_LATENCY_FACTOR = 4; // times the expected latency
     private static final double MIN_SILENCE_SECONDS = 1.5;
-    private static final int MIN_SILENT_ATTEMPTS = 2; // one may wait for a lock
-    private static final int MAX_CONSECUTIVE_ERRORS = 2; // a single one is chance
+    private static final int MIN_SILENT_ATTEMPTS = 2; // a single one may wait for a lock
+    private static final int MAX_CONSECUTIVE_ERRORS = 2; // a single error may be random
     private static final int MAX_CONSECUTIVE_RESETS = 3;
-    private static final double RECENT_ANSWER_SECONDS =
-            0.5; // an engine that answered so recently is alive
-    private static final double MAX_EJECTED_SHARE = 0.34; // if more seem bad, all are slow
+    // An engine that answered within this time is alive.
+    private static final double RECENT_ANSWER_SECONDS = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.34; // if more seem faulty, the fleet is slow
 
     private final DispatchState state;
     private final EngineSpeedEstimator speedEstimator;
@@ -35,7 +35,10 @@
         this.speedEstimator = speedEstimator;
     }
 
-    /** Ejects the engine of an attempt if several attempts have waited long without activity. */
+    /**
+     * Ejects the engine of an attempt if several of its attempts have had no activity for a long
+     * time.
+     */
     public void checkSilence(double now, Attempt attempt) {
         EngineState engine = attempt.engine();
         EngineHealth health = engine.health();
@@ -47,16 +50,16 @@
         if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= silenceTimeoutSeconds) {
             return;
         }
-        int silentAttempts = health.addSilentAttempt(attempt);
-        if (silentAttempts >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
+        int silentAttemptCount = health.addSilentAttempt(attempt);
+        if (silentAttemptCount >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
             health.setSilentSince(now);
             eject(now, engine, EjectionReason.SILENT);
         }
     }
 
     /**
-     * Returns true if an attempt was sent before its engine began to hang. One that was sent since
-     * is a probation and left to run.
+     * Returns true if the engine of an attempt is ejected and the attempt was sent before the
+     * engine began to hang. An attempt that was sent later is a probation and continues to run.
      */
     public static boolean isHanging(Attempt attempt) {
         EngineHealth health = attempt.engine().health();
@@ -64,8 +67,8 @@
     }
 
     /**
-     * Returns true if an engine seems to be dead after a broken or refused connection. Single
-     * connections break at engines that answer others all the while.
+     * Records a broken or refused connection, and returns true if the engine seems to be dead.
+     * Single connections also break at engines that still answer other attempts.
      */
     public boolean recordReset(double now, EngineState engine) {
         int resetCount = engine.health().addReset();
@@ -74,8 +77,8 @@
     }
 
     /**
-     * Ejects an engine until a probation succeeds. At most a share of all engines is ejected,
-     * whatever the reason.
+     * Schedules the next probation of an engine, and ejects it until a probation succeeds. At most
+     * a share of all engines is ejected at the same time, whatever the reason.
      */
     public void eject(double now, EngineState engine, EjectionReason reason) {
         EngineHealth health = engine.health();
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Ends the ejection of an engine, if it is ejected. */
+    /** Reinstates an engine if it is ejected. */
     public void reinstate(EngineState engine, ReinstatementReason reason) {
         if (engine.health().isEjected()) {
             engine.health().reinstate();
@@ -104,8 +107,8 @@
     }
 
     /**
-     * Counts an error against its engine, until the same query fails at another one as well: then
-     * the query is at fault, and the engine is cleared of it.
+     * Counts an error of a request against the engine. If the request then fails at a second engine
+     * too, it is marked as a poison query, and the error of the first engine is no longer counted.
      */
     public void recordError(double now, PendingRequest request, EngineState engine) {
         QueryFaults faults = request.faults();
@@ -120,7 +123,7 @@
         } else {
             faults.blame(engine);
             if (engine.health().addError() >= MAX_CONSECUTIVE_ERRORS) {
-                eject(now, engine, EjectionReason.FAILING); // errors are fast: it would look idle
+                eject(now, engine, EjectionReason.FAILING); // fast errors make it look idle
             }
         }
     }
--- a/src/main/java/junipercourse/decision/health/ReinstatementReason.java
+++ b/src/main/java/junipercourse/decision/health/ReinstatementReason.java
@@ -1,14 +1,14 @@
 package junipercourse.decision.health;
 
-/** Why an engine is no longer ejected. */
+/** The reason for which the ejection of an engine ended. */
 public enum ReinstatementReason {
-    /** It answered. */
+    /** The engine answered. */
     ANSWERED("readmitted"),
-    /** Its errors turned out to be a query's fault. */
+    /** The errors of the engine were caused by a poison query. */
     CLEARED("cleared"),
-    /** It was draining and is listed as ready again. */
+    /** The engine was draining and is listed as ready again. */
     RELISTED("put back"),
-    /** It is no longer listed. */
+    /** The engine is no longer listed. */
     REMOVED("gone");
 
     private final String label;
@@ -17,7 +17,7 @@
         this.label = label;
     }
 
-    /** Returns the words in the log. */
+    /** Returns the text of the reason in log lines. */
     String label() {
         return label;
     }
--- a/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
+++ b/src/main/java/junipercourse/decision/selection/AttemptLauncher.java
@@ -13,7 +13,10 @@
 import junipercourse.decision.state.PendingRequest;
 import junipercourse.decision.state.Tier;
 
-/** Sends attempts, and reserves what they use. */
+/**
+ * Sends attempts, and accounts for their threads, memory grants, slow-start credit and retry
+ * budget.
+ */
 public final class AttemptLauncher {
     private static final int OVER_QUOTA_PRIORITY = 0;
     private static final int DEFAULT_PRIORITY = 1;
@@ -97,7 +100,11 @@
         }
     }
 
-    /** If nothing can be cancelled, the cutoff is set as the attempt's own timeout. */
+    /**
+     * Returns the timeout of an attempt, or 0 for none. If the platform does not allow
+     * cancellation, an attempt on the front tier times out at its cutoff, unless its query is not
+     * idempotent.
+     */
     private double timeoutSeconds(PendingRequest request, EngineState engine) {
         boolean endsAtCutoff =
                 !state.settings().limits().cancellationAllowed()
@@ -106,7 +113,10 @@
         return endsAtCutoff ? latencyEstimator.cutoffSeconds(request) : 0;
     }
 
-    /** Short queries first: the class with the shortest latency objective, then restarts. */
+    /**
+     * Returns the priority that the engine gives an attempt: highest for the class with the
+     * shortest latency objective, then for restarts.
+     */
     private int attemptPriority(PendingRequest request) {
         if (request.isOverQuota()) {
             return OVER_QUOTA_PRIORITY;
--- a/src/main/java/junipercourse/decision/selection/CandidateSampler.java
+++ b/src/main/java/junipercourse/decision/selection/CandidateSampler.java
@@ -9,14 +9,13 @@
 import junipercourse.decision.state.Tier;
 
 /**
- * Draws the few engines of each tier that are considered for a request. Ranking all engines would
- * take time and send all dispatchers to the same one.
+ * Samples the few engines of each tier that are considered for a request. Ranking all engines would
+ * take longer and make all dispatchers select the same engine.
  */
 public final class CandidateSampler {
-    private static final int FRONT_AFFINITY_ENGINES = 4; // where a table group is read first
-    private static final int TABLE_LOAD_AFFINITY_ENGINES = 2; // where a table group is loaded first
-    private static final double TABLE_LOAD_AFFINITY_WEIGHT =
-            0.8; // threads per core, for the first one
+    private static final int FRONT_AFFINITY_ENGINES = 4; // preferred for reads of a table group
+    private static final int TABLE_LOAD_AFFINITY_ENGINES = 2; // preferred for table loads
+    private static final double TABLE_LOAD_AFFINITY_WEIGHT = 0.8; // threads per core, first engine
 
     private final DispatchState state;
     private final boolean hasTableLoadingClasses;
@@ -27,7 +26,10 @@
         this.hasTableLoadingClasses = state.hasLoadingClasses();
     }
 
-    /** Draws the candidates of a request anew, for its first attempt, a retry or a restart. */
+    /**
+     * Replaces the candidates of a request by a new sample, for its first attempt, a retry or a
+     * restart.
+     */
     public void sample(PendingRequest request) {
         sample(
                 request,
@@ -36,7 +38,7 @@
                         : DecisionDefaults.BACK_CANDIDATES);
     }
 
-    /** Draws the candidates of a restart. */
+    /** Replaces the candidates of a request by a new sample for a restart. */
     public void sampleForRestart(PendingRequest request) {
         sample(request, DecisionDefaults.FRONT_CANDIDATES);
     }
@@ -65,9 +67,9 @@
     }
 
     /**
-     * Returns the engines at which all dispatchers read a table group first, so that a few engines
-     * keep it cached; none if any class loads tables: freshly loaded groups do not stay cached, and
-     * reads would gather where loads lock the group.
+     * Returns the engines that all dispatchers prefer for reads of a table group, so that a few
+     * engines keep it cached. Returns none if any class loads tables: freshly loaded groups do not
+     * stay cached, and reads would concentrate on the engines where loads lock the group.
      */
     List<EngineState> affinityEngines(PendingRequest request) {
         return hasTableLoadingClasses
@@ -76,9 +78,11 @@
     }
 
     /**
-     * Returns the cost of an engine by the loads that other dispatchers place, in threads per core:
-     * loads of a group gather on a few engines by hash, and queries that would wait for a load
-     * avoid these, since no report tells which groups the loads of others lock.
+     * Returns the cost, in threads per core, that accounts for table loads placed by other
+     * dispatchers. All dispatchers place the loads of a table group on the same few engines, chosen
+     * by hash, and queries that a load would block avoid these engines, since load reports do not
+     * say which groups are locked by the loads of others. The cost is largest for the most
+     * preferred engine, and negative for the loads themselves.
      */
     double tableLoadPlacementCost(PendingRequest request, EngineState engine) {
         boolean loadsTables = request.queryClass().loadsTables();
@@ -97,7 +101,7 @@
         return loadsTables ? -weight : weight;
     }
 
-    /** Returns the bonus of an engine for the table group of a request, as a share from 0 to 1. */
+    /** Returns the affinity of an engine to the table group of a request, from 0 to 1. */
     double affinityScore(PendingRequest request, EngineState engine) {
         int rank = affinityEngines(request).indexOf(engine);
         if (rank < 0) {
--- a/src/main/java/junipercourse/decision/selection/EngineCapacity.java
+++ b/src/main/java/junipercourse/decision/selection/EngineCapacity.java
@@ -10,7 +10,7 @@
 
 /** Decides whether an engine has the threads and the memory for one more attempt. */
 public final class EngineCapacity {
-    private static final double MAX_GRANTED_MEMORY_SHARE = 0.95; // in grants: estimates scatter
+    private static final double MAX_GRANTED_MEMORY_SHARE = 0.95; // memory estimates are inexact
 
     private final Estimators estimators;
     private final SlowStartController slowStartController;
@@ -18,7 +18,7 @@
     private final PeerLoadGossip gossip;
     private final MemoryGrants memoryGrants;
 
-    /** Creates the check. */
+    /** Creates a capacity check. */
     public EngineCapacity(
             Estimators estimators,
             SlowStartController slowStartController,
@@ -32,14 +32,20 @@
         this.memoryGrants = memoryGrants;
     }
 
-    /** Returns the load of an engine in threads per core, more if the engine is slow. */
+    /**
+     * Returns the load of an engine in threads per core, scaled up for an engine that is slower
+     * than the others.
+     */
     double loadPerCore(double now, EngineState engine) {
         return (engine.inFlight().threads() + loadEstimator.externalThreads(now, engine))
                 / engine.cores()
                 * Math.exp(estimators.speed().relativeLogSlowdown(engine));
     }
 
-    /** Returns true if an attempt of a request fits an engine. */
+    /**
+     * Returns true if an engine has the threads and the memory for an attempt of a request.
+     * Restarts have a higher thread limit.
+     */
     public boolean fits(double now, PendingRequest request, EngineState engine, boolean isRestart) {
         double externalThreads = loadEstimator.externalThreads(now, engine);
         return threadsFit(now, request, engine, isRestart, externalThreads)
--- a/src/main/java/junipercourse/decision/selection/EngineSelection.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelection.java
@@ -6,9 +6,9 @@
 import junipercourse.decision.state.DispatchState;
 
 /**
- * The parts that select engines and send attempts.
+ * The components that select engines and send attempts.
  *
- * @param sampler draws candidates
+ * @param sampler samples candidates
  * @param grants sizes memory grants
  * @param capacity checks the capacity of engines
  * @param selector selects an engine
@@ -21,7 +21,7 @@
         EngineSelector selector,
         AttemptLauncher launcher) {
 
-    /** Creates the parts of one module. */
+    /** Creates the components of one decision module. */
     public static EngineSelection create(
             DispatchState state,
             Estimators estimators,
--- a/src/main/java/junipercourse/decision/selection/EngineSelector.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelector.java
@@ -13,13 +13,14 @@
 
 /**
  * Selects the engine for the next attempt of a request. First attempts go to the front tier, unless
- * the back tier has less load or is the only one with capacity; restarts go to the back tier.
+ * the back tier has less load or is the only tier with capacity. Restarts go to the back tier.
  */
 public final class EngineSelector {
-    private static final double MAX_RANDOM_COST = 0.12; // threads per core, so that nobody herds
-    private static final double AFFINITY_BONUS = 0.4; // threads per core, for the first engine
-    private static final double TABLE_LOCK_PENALTY =
-            1.0; // threads per core, behind a load of the group
+    // Threads per core; keeps dispatchers from all selecting the same engine.
+    private static final double MAX_RANDOM_COST = 0.12;
+    private static final double AFFINITY_BONUS = 0.4; // threads per core, at affinity 1
+    // Threads per core, for a request that would wait for a load of its table group.
+    private static final double TABLE_LOCK_PENALTY = 1.0;
     private static final double PREVIOUS_ENGINE_PENALTY = 1; // threads per core
 
     private final DispatchState state;
@@ -30,9 +31,12 @@
     private final EngineCapacity engineCapacity;
     private final FairShareLimiter fairShareLimiter;
 
-    /** The best engine of one tier, and the least load among those whose load is known. */
+    /**
+     * The engine with the lowest cost in one tier, and the lowest load among engines whose load is
+     * known.
+     */
     private static final class TierChoice {
-        private double leastLoad = Double.POSITIVE_INFINITY;
+        private double lowestLoad = Double.POSITIVE_INFINITY;
         private double bestCost = Double.POSITIVE_INFINITY;
         private EngineState bestEngine;
     }
@@ -55,7 +59,10 @@
         this.fairShareLimiter = fairShareLimiter;
     }
 
-    /** Returns the engine for the next attempt of a request; null if none has capacity. */
+    /**
+     * Returns the engine for the next attempt of a request, or null if no candidate has capacity or
+     * the request exceeds the fair share of this dispatcher.
+     */
     public EngineState select(double now, PendingRequest request) {
         if (!fairShareLimiter.allows(request)) {
             return null;
@@ -72,7 +79,11 @@
         return chooseEngine(request, frontChoice, backChoice);
     }
 
-    /** Engines without a report look idle, unless gossip tells or the front tier is congested. */
+    /**
+     * Returns true if the back tier may be compared even without recent load reports. An engine
+     * without a report appears idle; this is accepted if there is a single dispatcher, if gossip
+     * reports the load of the others, or if the front tier is the more congested one.
+     */
     private boolean areAllLoadsKnown() {
         boolean isFrontCongested =
                 congestionEstimator.slowdownFactor(Tier.FRONT)
@@ -89,9 +100,9 @@
             boolean allLoadsKnown) {
         double loadPerCore = engineCapacity.loadPerCore(now, engine);
         if (allLoadsKnown || isLoadKnown(now, request, engine)) {
-            tierChoice.leastLoad =
+            tierChoice.lowestLoad =
                     Math.min(
-                            tierChoice.leastLoad,
+                            tierChoice.lowestLoad,
                             loadPerCore * congestionEstimator.slowdownFactor(engine.tier()));
         }
         double cost =
@@ -116,8 +127,8 @@
             PendingRequest request, TierChoice frontChoice, TierChoice backChoice) {
         boolean prefersBackTier =
                 request.isRestarting()
-                        ? backChoice.leastLoad < Double.POSITIVE_INFINITY
-                        : backChoice.leastLoad < frontChoice.leastLoad;
+                        ? backChoice.lowestLoad < Double.POSITIVE_INFINITY
+                        : backChoice.lowestLoad < frontChoice.lowestLoad;
         TierChoice preferredChoice = prefersBackTier ? backChoice : frontChoice;
         TierChoice otherChoice = prefersBackTier ? frontChoice : backChoice;
         boolean isBackCongested =
@@ -144,7 +155,8 @@
     }
 
     /**
-     * Returns true if a request may be sent to an engine at all, as a probation if it is ejected.
+     * Returns true if a request may be sent to an engine. An ejected engine without attempts may be
+     * sent one as a probation.
      */
     private boolean isUsable(double now, PendingRequest request, EngineState engine) {
         if (!constraints.maySend(now, request, engine)) {
@@ -156,7 +168,11 @@
                         && now >= health.nextProbationAt() + probationDelaySeconds(request);
     }
 
-    /** Requests whose retry is not harmless are the last to be risked on a probation. */
+    /**
+     * Returns the delay before a request may be used as a probation. It is 0 for idempotent
+     * requests, which can be retried if the probation fails; others wait, so that they are used
+     * last.
+     */
     private static double probationDelaySeconds(PendingRequest request) {
         return request.queryClass().idempotency() == Idempotency.IDEMPOTENT
                 ? 0
--- a/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
+++ b/src/main/java/junipercourse/decision/selection/FairShareLimiter.java
@@ -8,18 +8,17 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * Keeps this dispatcher's threads in flight within its share of what all engines can take. The
- * limit is looser while engines have little load, and tighter beyond the bound. Busy shares fall
- * when engines are overloaded, while congestion rises: more threads complete less work together.
+ * Limits this dispatcher's threads in flight to its share of the capacity of all engines. The limit
+ * is looser while engines have little load, and tighter once their load exceeds the thread limit.
+ * Load is also derived from congestion, since reported busy shares fall when engines are overloaded
+ * while congestion rises: more threads complete less work together.
  */
 public final class FairShareLimiter {
-    private static final double SHARE_TOLERANCE = 1; // by which much traffic may exceed its share
-    private static final double OVER_QUOTA_LIMIT_SHARE =
-            0.2; // of the limit is open to tenants over quota
-    private static final double MIN_LOAD_RATIO =
-            0.3; // of the bound: a fleet with less load is idle
-    private static final double MAX_CONGESTION_LOAD_RATIO =
-            1.6; // leaves 0.6 threads per core: all keep a share
+    private static final double SHARE_TOLERANCE = 1; // a large share may be exceeded by more
+    private static final double OVER_QUOTA_LIMIT_SHARE = 0.2; // for tenants over quota
+    private static final double MIN_LOAD_RATIO = 0.3; // of the thread limit; an idle fleet has less
+    // The limit is then still 0.6 threads per core, so that every dispatcher keeps a share.
+    private static final double MAX_CONGESTION_LOAD_RATIO = 1.6;
 
     private final Estimators estimators;
     private final LoadEstimator loadEstimator;
@@ -39,7 +38,9 @@
     }
 
     /**
-     * Returns true if a request fits the limit; by chance if the limit is less than its threads.
+     * Returns true if the threads of a request fit the limit, or if gossip is active. The threads
+     * are scaled by the request's random admission draw, so that a request that needs more threads
+     * than the limit is admitted with some probability.
      */
     boolean allows(PendingRequest request) {
         double ownShare = estimators.traffic().ownShare();
--- a/src/main/java/junipercourse/decision/selection/MemoryGrants.java
+++ b/src/main/java/junipercourse/decision/selection/MemoryGrants.java
@@ -8,21 +8,24 @@
 import junipercourse.decision.state.EngineState;
 import junipercourse.decision.state.PendingRequest;
 
-/** Sizes memory grants, and learns their ratio to the estimate from costs and spills. */
+/**
+ * Computes memory grants. The ratio of grant to estimate is learned for each class from reported
+ * memory use and spills.
+ */
 public final class MemoryGrants {
-    private static final double LEARNING_STEP = 0.1; // of the logarithm, for each answer
-    private static final double TARGET_QUANTILE = 0.85; // of queries whose need a grant should meet
+    private static final double LEARNING_STEP = 0.1; // of the logarithmic ratio, per answer
+    private static final double TARGET_QUANTILE = 0.85; // of queries with a sufficient grant
 
     private final EngineCapabilities capabilities;
 
-    /** Creates the grants of one module. */
+    /** Creates the grants of one decision module. */
     public MemoryGrants(DecisionSettings settings) {
         this.capabilities = settings.engineCapabilities();
     }
 
     /**
-     * Returns the grant of a request in MB: by its estimate or, without one, its fair share of an
-     * engine, if spills or reported costs can correct it.
+     * Returns the grant of a request in MB. It is based on the request's estimate or, without one,
+     * on its fair share of an engine if spills or reported costs allow a correction.
      */
     public double grantMb(PendingRequest request) {
         EngineState firstCandidate = request.candidateEngines().get(0);
@@ -47,7 +50,10 @@
                 : 0;
     }
 
-    /** Learns from a complete answer whether the grant was large enough. */
+    /**
+     * Adjusts the grant ratio of a class by whether the grant of an answered attempt was large
+     * enough.
+     */
     public void recordAnswer(Attempt attempt, AttemptResult result) {
         boolean isCostReported = capabilities.reportsCost() && result.actualMemoryMb() > 0;
         if (attempt.memoryMb() > 0
