--- a/src/main/java/junipercourse/decision/AttemptEventHandler.java
+++ b/src/main/java/junipercourse/decision/AttemptEventHandler.java
@@ -11,7 +11,7 @@
 import junipercourse.decision.state.DispatchState;
 import junipercourse.decision.state.PendingRequest;
 
-/** Takes in the events of attempts in flight. */
+/** Handles the events of attempts in flight. */
 final class AttemptEventHandler {
     private final DispatchState state;
     private final LoadEstimator loadEstimator;
@@ -24,7 +24,7 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Binds a request to the attempt whose response has begun. */
+    /** Marks the request as responding: it can no longer be retried or restarted. */
     void handleResponseStarted(double now, RequestId id, int attemptNumber) {
         Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
         if (active != null) {
@@ -33,7 +33,10 @@
         }
     }
 
-    /** Projects the latency of an attempt from its progress. */
+    /**
+     * Updates the projected latency of an attempt from its progress, and schedules an evaluation if
+     * that exceeds the cutoff.
+     */
     void handleProgress(
             double now, RequestId id, int attemptNumber, ProgressKind kind, double value) {
         Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
@@ -52,7 +55,10 @@
         }
     }
 
-    /** Learns from the end of an attempt, and retries or closes its request. */
+    /**
+     * Updates statistics and load from the result of an attempt, and retries or completes its
+     * request.
+     */
     void handleEnded(double now, AttemptResult result) {
         PendingRequest request = state.requests().find(result.id());
         Attempt attempt =
@@ -64,7 +70,7 @@
         AttemptOutcome outcome = result.outcome();
         lifecycle.feedback().record(now, attempt, result);
         attempt.end(outcome);
-        if (outcome != AttemptOutcome.REJECTED) { // a full engine's cores may look idle
+        if (outcome != AttemptOutcome.REJECTED) { // the cores of an engine at its limit may be idle
             boolean slowed = lifecycle.feedback().wasSlowedByCongestion(now, attempt);
             loadEstimator.recordReport(now, attempt.engine(), result.loadReport(), slowed);
         }
@@ -77,15 +83,17 @@
         state.requests().removeIfDone(request);
     }
 
-    /** After an end that does not prove that nothing runs, others of the key have to wait. */
+    /**
+     * Blocks the key of a request if its attempt may still run on the engine after this outcome.
+     */
     private void blockKeyIfPossiblyRunning(
             double now, PendingRequest request, AttemptOutcome outcome) {
         if (outcome != AttemptOutcome.OK && !outcome.neverRan()) {
-            double until =
+            double blockedUntil =
                     now
                             + state.settings().guarantees().keySettleSeconds()
                             + DecisionDefaults.RETRY_INTERVAL_SECONDS;
-            state.requests().keyedQueues().blockKey(request, until);
+            state.requests().keyedQueues().blockKey(request, blockedUntil);
         }
     }
 }
--- a/src/main/java/junipercourse/decision/EndpointListUpdater.java
+++ b/src/main/java/junipercourse/decision/EndpointListUpdater.java
@@ -16,17 +16,17 @@
     private static final EngineKind UNKNOWN_KIND = new EngineKind("", 0, 0);
 
     private final DispatchState state;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
     private final SlowStartController slowStart;
 
     EndpointListUpdater(
-            DispatchState state, OutlierDetector outliers, SlowStartController slowStart) {
+            DispatchState state, OutlierDetector outlierDetector, SlowStartController slowStart) {
         this.state = state;
-        this.outliers = outliers;
+        this.outlierDetector = outlierDetector;
         this.slowStart = slowStart;
     }
 
-    /** Applies an update that has not failed. */
+    /** Applies an update; must not be called for {@link EndpointUpdateKind#FAILED}. */
     void apply(double now, EndpointUpdateKind kind, List<EngineListing> entries) {
         if (kind != EndpointUpdateKind.DELTA) {
             state.engines().all().forEach(EngineState::clearListing);
@@ -46,7 +46,7 @@
     private void apply(EngineListing entry) {
         EngineState engine = state.engines().findOrAdd(entry.id());
         if (engine.isDraining() && entry.stage() == EngineStage.READY) {
-            outliers.reinstate(engine, ReinstatementReason.RELISTED);
+            outlierDetector.reinstate(engine, ReinstatementReason.RELISTED);
         }
         engine.applyListing(entry, resolveKind(entry));
         if (entry.startedAt() > 0 && entry.startedAt() > engine.slowStart().startedAt()) {
@@ -66,7 +66,7 @@
                         .filter(engine -> !engine.isListed())
                         .filter(engine -> engine.inFlight().attemptCount() == 0)
                         .toList();
-        removed.forEach(engine -> outliers.reinstate(engine, ReinstatementReason.REMOVED));
+        removed.forEach(engine -> outlierDetector.reinstate(engine, ReinstatementReason.REMOVED));
         state.engines().removeAll(removed);
     }
 }
--- a/src/main/java/junipercourse/decision/TagsDispatcher.java
+++ b/src/main/java/junipercourse/decision/TagsDispatcher.java
@@ -27,13 +27,13 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * The decision module, by the T+F policy of the TAGS analysis: first attempts run on a front pool;
- * an attempt that outlives the cutoff of its class is cancelled and restarted from scratch on a
- * small back tier, which runs it to completion.
+ * The decision module. It implements the T+F policy of the TAGS (task assignment by guessing size)
+ * analysis: first attempts run on the front tier; an attempt that exceeds the cutoff of its class
+ * is cancelled and restarted from scratch on the smaller back tier, which runs it to completion.
  *
- * <p>Events only update the state; {@link #decide} evaluates requests and sends attempts once all
- * events of a moment are reported, so that a dispatcher that was paused does not take its own
- * silence for that of the engines.
+ * <p>Events only update the state. {@link #decide} evaluates requests and sends attempts after the
+ * whole batch of events has been reported. A dispatcher that was paused therefore processes the
+ * events that arrived in the meantime before it checks which engines are silent.
  */
 public final class TagsDispatcher implements DecisionModule {
     private static final long TIMER_TOKEN = 0;
@@ -42,7 +42,7 @@
     private final Estimators estimators;
     private final SendConstraints constraints;
     private final LoadTracking loadTracking;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
     private final RequestLifecycle lifecycle;
     private final EndpointListUpdater endpointUpdater;
     private final AttemptEventHandler attemptEvents;
@@ -53,25 +53,27 @@
     /**
      * Creates a module.
      *
-     * @param settings what is configured
-     * @param seed seeds all random draws
-     * @param actions carries out what the module decides
+     * @param settings the settings
+     * @param seed seed of the random numbers
+     * @param actions executes the decisions of the module
      */
     public TagsDispatcher(DecisionSettings settings, long seed, DispatcherActions actions) {
         state = DispatchState.create(settings, seed, actions);
         estimators = Estimators.create(settings);
         constraints = new SendConstraints(state, estimators);
         loadTracking = LoadTracking.create(state, estimators, constraints.slowStart());
-        outliers = new OutlierDetector(state, estimators.speed());
-        lifecycle = RequestLifecycle.create(state, estimators, constraints, loadTracking, outliers);
-        endpointUpdater = new EndpointListUpdater(state, outliers, constraints.slowStart());
+        outlierDetector = new OutlierDetector(state, estimators.speed());
+        lifecycle =
+                RequestLifecycle.create(
+                        state, estimators, constraints, loadTracking, outlierDetector);
+        endpointUpdater = new EndpointListUpdater(state, outlierDetector, constraints.slowStart());
         attemptEvents = new AttemptEventHandler(state, loadTracking.estimator(), lifecycle);
     }
 
     /**
-     * Bounds the open requests. Above the bound, those that wait for an engine are rejected, lowest
-     * priority first: clients may open only so many connections, and once all are taken, others
-     * cannot connect whatever their priority.
+     * Limits the number of open requests. Above the limit, requests that wait for an engine are
+     * rejected, lowest priority first: the number of client connections is limited, and once all
+     * are in use, no further client can connect, whatever its priority.
      */
     public void limitOpenRequests(int limit) {
         state.requests().limitOpenRequests(limit);
@@ -79,7 +81,7 @@
 
     /** Returns the engines that outlier detection has ejected. */
     public List<EngineId> ejectedEngines() {
-        return outliers.ejectedEngines();
+        return outlierDetector.ejectedEngines();
     }
 
     @Override
@@ -137,8 +139,8 @@
     }
 
     /**
-     * Returns true if the first byte of an attempt may be written now; if not, the attempt must end
-     * as {@link AttemptOutcome#NOT_SENT}. Changes nothing.
+     * Returns true if the first byte of an attempt may be written now. If not, the caller must end
+     * the attempt as {@link AttemptOutcome#NOT_SENT}. This method changes no state.
      */
     public boolean attemptMayStart(double now, RequestId id, int attemptNumber) {
         Attempt active = state.requests().findActiveAttempt(id, attemptNumber);
@@ -175,8 +177,9 @@
         state.requests().scheduleAdmission();
         switch (outcome) {
             case OK -> loadTracking.estimator().recordReport(now, engine, loadReport, false);
-            case UNREACHABLE -> outliers.eject(now, engine, EjectionReason.DEAD);
-            case TIMEOUT -> loadTracking.estimator().recordFull(now, engine); // full, or it hangs
+            case UNREACHABLE -> outlierDetector.eject(now, engine, EjectionReason.DEAD);
+            case TIMEOUT ->
+                    loadTracking.estimator().recordFull(now, engine); // it is full or it hangs
             default -> {}
         }
     }
@@ -208,10 +211,10 @@
     }
 
     private void evaluateDueRequests(double now) {
-        PendingRequest due = state.requests().evaluations().poll(now);
-        while (due != null) {
-            lifecycle.supervisor().evaluate(now, due);
-            due = state.requests().evaluations().poll(now);
+        PendingRequest dueRequest = state.requests().evaluations().poll(now);
+        while (dueRequest != null) {
+            lifecycle.supervisor().evaluate(now, dueRequest);
+            dueRequest = state.requests().evaluations().poll(now);
         }
     }
 
@@ -225,17 +228,17 @@
         }
     }
 
-    /** Schedules one timer for what is due next; none while nothing is. */
+    /** Schedules a timer for the next due time, unless an earlier timer is already pending. */
     private void scheduleTimer(double now) {
-        double earliest = now + DecisionDefaults.TIMER_RESOLUTION_SECONDS;
-        double nextAt = Math.min(state.requests().evaluations().nextDueAt(), nextSubscriptionAt);
-        double due = Math.max(earliest, nextAt);
+        double earliestAt = now + DecisionDefaults.TIMER_RESOLUTION_SECONDS;
+        double nextDueAt = Math.min(state.requests().evaluations().nextDueAt(), nextSubscriptionAt);
+        double dueAt = Math.max(earliestAt, nextDueAt);
         if (loadTracking.gossip().isActive()) {
-            due = Math.min(due, Math.max(earliest, loadTracking.gossip().nextBroadcastAt()));
+            dueAt = Math.min(dueAt, Math.max(earliestAt, loadTracking.gossip().nextBroadcastAt()));
         }
-        if (due < nextTimerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
-            nextTimerAt = due;
-            state.actions().scheduleTimer(due - now, TIMER_TOKEN);
+        if (dueAt < nextTimerAt - DecisionDefaults.TIMER_RESOLUTION_SECONDS) {
+            nextTimerAt = dueAt;
+            state.actions().scheduleTimer(dueAt - now, TIMER_TOKEN);
         }
     }
 }
--- a/src/main/java/junipercourse/decision/api/AttemptOutcome.java
+++ b/src/main/java/junipercourse/decision/api/AttemptOutcome.java
@@ -8,7 +8,7 @@
     ERROR(false),
     /** The engine rejected the attempt because it was at its limit. */
     REJECTED(true),
-    /** No answer arrived in time. */
+    /** The engine did not answer before the timeout of the attempt. */
     TIMEOUT(false),
     /** No connection could be established. */
     UNREACHABLE(true),
@@ -17,10 +17,13 @@
     /** The attempt was cancelled. */
     CANCELLED(false),
     /**
-     * The platform dropped the attempt, since the request had ended or had used up its attempts.
+     * The platform discarded the attempt because the request was already complete or had used up
+     * its attempts.
      */
     OBSOLETE(true),
-    /** The dispatcher wrote none of its bytes; the outcome says nothing about the engine. */
+    /**
+     * The dispatcher wrote no byte of the attempt, so the outcome says nothing about the engine.
+     */
     NOT_SENT(true);
 
     private final boolean neverRan;
@@ -29,7 +32,7 @@
         this.neverRan = neverRan;
     }
 
-    /** Returns true if the outcome proves that the attempt had no effect. */
+    /** Returns true if the outcome proves that the engine did not execute the query. */
     public boolean neverRan() {
         return neverRan;
     }
--- a/src/main/java/junipercourse/decision/api/CapacityRating.java
+++ b/src/main/java/junipercourse/decision/api/CapacityRating.java
@@ -1,6 +1,6 @@
 package junipercourse.decision.api;
 
-/** Describes the quality of {@link EngineListing#rating()}. */
+/** Describes how accurate {@link EngineListing#rating()} is. */
 public enum CapacityRating {
     /** The endpoint list carries no ratings. */
     OFF,
--- a/src/main/java/junipercourse/decision/api/DecisionSettings.java
+++ b/src/main/java/junipercourse/decision/api/DecisionSettings.java
@@ -5,20 +5,20 @@
 /**
  * Holds all settings of a decision module.
  *
- * @param dispatchers number of dispatchers that share the engines
- * @param ordinal position of this dispatcher among them, from 0
+ * @param dispatcherCount number of dispatchers that share the engines
+ * @param dispatcherIndex position of this dispatcher among them, from 0
  * @param zone zone in which this dispatcher runs
- * @param pollsEndpoints whether the endpoint list must be requested
- * @param capacityRating quality of the listed engines' ratings
- * @param overQuotaWeight share of its weight that a request keeps if its tenant is over quota
+ * @param pollsEndpoints whether the module must subscribe to the endpoint list
+ * @param capacityRating accuracy of the ratings in the endpoint list
+ * @param overQuotaWeight factor for the priority weight of a request whose tenant is over quota
  * @param loadReportChannel how load reports arrive
  * @param loadMetrics the values of a load report, in order
- * @param queryClasses all query classes; requests name them by position
- * @param tenants all tenants; requests name them by position
- * @param engineKinds all engine kinds; engines name them by position
- * @param limits what the platform allows
- * @param guarantees what a dispatcher must keep
- * @param engineCapabilities how engines run queries
+ * @param queryClasses all query classes; requests refer to them by position
+ * @param tenants all tenants; requests refer to them by position
+ * @param engineKinds all engine kinds; engines refer to them by position
+ * @param limits mechanisms that the platform allows
+ * @param guarantees guarantees that the dispatcher must fulfil
+ * @param engineCapabilities features of the engines
  */
 public record DecisionSettings(
         int dispatcherCount,
@@ -39,11 +39,11 @@
     /**
      * Validates the settings.
      *
-     * @throws InvalidSettingsException if a module cannot work with them
+     * @throws InvalidSettingsException if a required setting is missing or out of range
      */
     public DecisionSettings {
         if (queryClasses.isEmpty()) {
-            throw new InvalidSettingsException("classes", "none given");
+            throw new InvalidSettingsException("classes", "must contain at least one query class");
         }
         if (dispatcherCount < 1) {
             throw new InvalidSettingsException("gateways", Integer.toString(dispatcherCount));
@@ -51,7 +51,7 @@
         for (QueryClass queryClass : queryClasses) {
             if (!isUsable(queryClass)) {
                 throw new InvalidSettingsException(
-                        "class " + queryClass.name(), "deadline, aim or threads");
+                        "class " + queryClass.name(), "deadline, aim or threads is out of range");
             }
         }
     }
--- a/src/main/java/junipercourse/decision/api/DeduplicationScope.java
+++ b/src/main/java/junipercourse/decision/api/DeduplicationScope.java
@@ -1,7 +1,8 @@
 package junipercourse.decision.api;
 
 /**
- * Names the engines that recognize the key of an {@link Idempotency#IDEMPOTENT_WITH_KEY} request.
+ * Defines which engines recognize the idempotency key of an {@link Idempotency#IDEMPOTENT_WITH_KEY}
+ * request.
  */
 public enum DeduplicationScope {
     /** All engines. */
--- a/src/main/java/junipercourse/decision/api/DispatcherActions.java
+++ b/src/main/java/junipercourse/decision/api/DispatcherActions.java
@@ -1,42 +1,47 @@
 package junipercourse.decision.api;
 
-/** Carries out what a {@link DecisionModule} decides. Calls take effect in the order made. */
+/**
+ * Executes the decisions of a {@link DecisionModule}. Calls take effect in the order in which they
+ * are made.
+ */
 public interface DispatcherActions {
     /**
      * Starts the request's next attempt; attempts are numbered from 0.
      *
-     * @param timeout seconds after which the attempt must be given up; 0 for none
+     * @param timeoutSeconds seconds after which the attempt ends as {@link AttemptOutcome#TIMEOUT};
+     *     0 for no timeout
      */
     void startAttempt(RequestId id, EngineId engine, double timeoutSeconds);
 
-    /** Cancels an attempt; its end is reported all the same. */
+    /** Cancels an attempt. Its outcome is still reported by {@link DecisionModule#attemptEnded}. */
     void cancelAttempt(RequestId id, int attemptNumber);
 
     /**
-     * Gives the final answer that the request was rejected and can be sent again without harm.
+     * Completes a request with a rejection: the client can safely send it again.
      *
-     * @param retryAfter seconds that the client should wait; 0 for no advice
+     * @param retryAfterSeconds seconds that the client should wait before a retry; 0 if not
+     *     specified
      */
     void reject(RequestId id, double retryAfterSeconds);
 
-    /** Gives the final answer that the request failed; it may have had an effect. */
+    /** Completes a request with an error: it may have had an effect. */
     void fail(RequestId id);
 
     /**
-     * Sets priority and memory of the request's next attempts.
+     * Sets the priority and the memory grant of the next attempts of a request.
      *
-     * @param priority 0 to 3
+     * @param priority priority at the engine, 0 to 3
      * @param memoryMb memory grant in MB; 0 lets the engine choose
      */
     void setAttemptParameters(RequestId id, int priority, double memoryMb);
 
-    /** Schedules a call of {@link DecisionModule#timerFired} after so many seconds. */
+    /** Schedules a call of {@link DecisionModule#timerFired} after a delay. */
     void scheduleTimer(double delaySeconds, long token);
 
-    /** Probes an engine for its load. */
+    /** Sends a load probe to an engine. */
     void probeEngine(EngineId engine);
 
-    /** Sends bytes (256 at most) to every other dispatcher. */
+    /** Sends a message of at most 256 bytes to every other dispatcher. */
     void broadcastToPeers(byte[] payload);
 
     /** Subscribes to changes of the endpoint list. */
--- a/src/main/java/junipercourse/decision/api/EndpointUpdateKind.java
+++ b/src/main/java/junipercourse/decision/api/EndpointUpdateKind.java
@@ -1,6 +1,6 @@
 package junipercourse.decision.api;
 
-/** Describes what an update of the endpoint list carries. */
+/** Describes what an update of the endpoint list contains. */
 public enum EndpointUpdateKind {
     /** Only the entries that have changed. */
     DELTA,
@@ -8,6 +8,6 @@
     FULL,
     /** A complete list from a cache, which may be out of date. */
     CACHED,
-    /** Nothing: the poll has failed. */
+    /** Nothing, because the poll failed. */
     FAILED
 }
--- a/src/main/java/junipercourse/decision/api/EngineCapabilities.java
+++ b/src/main/java/junipercourse/decision/api/EngineCapabilities.java
@@ -1,14 +1,14 @@
 package junipercourse.decision.api;
 
 /**
- * Describes how engines run queries and what a dispatcher may set.
+ * Describes which features the engines support.
  *
- * @param honorsMemoryGrants whether an attempt can carry a memory grant
- * @param honorsPriority whether an attempt can carry a priority
+ * @param honorsMemoryGrants whether engines apply the memory grant of an attempt
+ * @param honorsPriority whether engines apply the priority of an attempt
  * @param maxGrantShare largest grant, as a share of an engine's memory
- * @param outOfMemoryPolicy what happens when grants exceed the memory
- * @param progressPeriod seconds between progress reports; 0 if there are none
- * @param reportsCost whether a result states the cost of its query
+ * @param outOfMemoryPolicy what an engine does when grants exceed its memory
+ * @param progressPeriodSeconds interval between progress reports; 0 if engines send none
+ * @param reportsCost whether a result contains the actual cost of its query
  */
 public record EngineCapabilities(
         boolean honorsMemoryGrants,
--- a/src/main/java/junipercourse/decision/api/EngineId.java
+++ b/src/main/java/junipercourse/decision/api/EngineId.java
@@ -3,7 +3,7 @@
 /**
  * Identifies an engine. All dispatchers use the same id for the same engine.
  *
- * @param value the number that the endpoint list assigns
+ * @param value number assigned by the endpoint list
  */
 public record EngineId(long value) implements Comparable<EngineId> {
     @Override
--- a/src/main/java/junipercourse/decision/api/EngineKind.java
+++ b/src/main/java/junipercourse/decision/api/EngineKind.java
@@ -1,10 +1,10 @@
 package junipercourse.decision.api;
 
 /**
- * Describes a kind of machine.
+ * Describes a machine type of engines.
  *
- * @param name the name in the settings
- * @param cores its cores; 0 if unknown
- * @param memoryMb its memory in MB; 0 if unknown
+ * @param name its name in the settings
+ * @param cores number of cores; 0 if unknown
+ * @param memoryMb memory in MB; 0 if unknown
  */
 public record EngineKind(String name, double cores, double memoryMb) {}
--- a/src/main/java/junipercourse/decision/api/EngineListing.java
+++ b/src/main/java/junipercourse/decision/api/EngineListing.java
@@ -1,15 +1,15 @@
 package junipercourse.decision.api;
 
 /**
- * Describes an engine as the endpoint list names it.
+ * One entry of the endpoint list.
  *
  * @param id the engine
- * @param zone position of its zone in the settings
- * @param kind position of its kind in the settings
- * @param cell its cell, the scope of {@link DeduplicationScope#CELL}
+ * @param zone index of its zone in the settings
+ * @param kind index of its {@link EngineKind} in the settings
+ * @param cell its cell, used by {@link DeduplicationScope#CELL}
  * @param stage whether it accepts work
  * @param rating its relative capacity
- * @param startedAt time of its start in seconds; 0 if it started long ago
+ * @param startedAt time at which it was started, in seconds; 0 if that was long ago
  */
 public record EngineListing(
         EngineId id,
--- a/src/main/java/junipercourse/decision/api/InvalidSettingsException.java
+++ b/src/main/java/junipercourse/decision/api/InvalidSettingsException.java
@@ -1,6 +1,6 @@
 package junipercourse.decision.api;
 
-/** Reports settings with which the decision module cannot work. */
+/** Thrown if the settings of a decision module are invalid. */
 public final class InvalidSettingsException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -9,7 +9,7 @@
     /**
      * Creates an exception.
      *
-     * @param key the setting at fault, as the message names it
+     * @param key the invalid setting, which the message begins with
      * @param problem what is wrong with it
      */
     public InvalidSettingsException(String key, String problem) {
@@ -17,7 +17,7 @@
         this.key = key;
     }
 
-    /** Returns the setting at fault. */
+    /** Returns the invalid setting. */
     public String key() {
         return key;
     }
--- a/src/main/java/junipercourse/decision/api/LoadMetric.java
+++ b/src/main/java/junipercourse/decision/api/LoadMetric.java
@@ -1,8 +1,8 @@
 package junipercourse.decision.api;
 
-/** Names one value of a load report. */
+/** Identifies one value of a load report. */
 public enum LoadMetric {
-    /** Queries that the engine has accepted and not answered. */
+    /** Queries that the engine has accepted but not answered yet. */
     IN_FLIGHT,
     /** Queries in the engine's queue. */
     QUEUED,
@@ -10,9 +10,9 @@
     BUSY,
     /** Recent latency in milliseconds. */
     LATENCY_MS,
-    /** Queries a second. */
+    /** Queries per second. */
     RATE,
-    /** Failed queries a second. */
+    /** Failed queries per second. */
     FAIL_RATE,
     /** Share of memory that is granted, 0 to 1. */
     MEMORY_GRANTED,
--- a/src/main/java/junipercourse/decision/api/LoadReportChannel.java
+++ b/src/main/java/junipercourse/decision/api/LoadReportChannel.java
@@ -6,6 +6,6 @@
     INLINE,
     /** With the response to a load probe. */
     ON_PROBE,
-    /** Engines report no load. */
+    /** Engines send no load reports. */
     OFF
 }
--- a/src/main/java/junipercourse/decision/api/OutOfMemoryPolicy.java
+++ b/src/main/java/junipercourse/decision/api/OutOfMemoryPolicy.java
@@ -4,10 +4,10 @@
 public enum OutOfMemoryPolicy {
     /** The query waits in the engine's queue. */
     QUEUE,
-    /** The query gets the memory that is left and spills to disk. */
+    /** The query is granted the remaining memory and spills to disk. */
     SHRINK_GRANT,
     /**
-     * The query starts; all queries slow down when the memory in use exceeds what the engine has.
+     * The query starts. All queries slow down while the memory in use exceeds that of the engine.
      */
     OVERCOMMIT
 }
--- a/src/main/java/junipercourse/decision/api/QueryRequest.java
+++ b/src/main/java/junipercourse/decision/api/QueryRequest.java
@@ -1,17 +1,18 @@
 package junipercourse.decision.api;
 
 /**
- * Describes a request that a client has sent.
+ * Describes a query as the client sent it.
  *
  * @param id the request
- * @param queryClass position of its class in the settings
- * @param tenant position of its tenant in the settings, or -1
- * @param deadlineAt time in seconds at which the client gives up
- * @param key orders the requests of a class and identifies repeats; 0 for none
- * @param tableGroup the group of tables that it reads or writes; 0 for none
+ * @param queryClass index of its class in the settings
+ * @param tenant index of its tenant in the settings; -1 if it has none
+ * @param deadlineAt time at which the client stops waiting, in seconds
+ * @param key idempotency key, which also orders the requests of a class that is {@link
+ *     QueryClass#orderedByKey}; 0 for none
+ * @param tableGroup group of tables that it reads or writes; 0 for none
  * @param costEstimate estimated work in seconds of one thread; NaN for no estimate
  * @param memoryEstimateMb estimated memory in MB; 0 for no estimate
- * @param clientRetry whether the client marked it as a retry
+ * @param isClientRetry whether the client marked it as a retry
  */
 public record QueryRequest(
         RequestId id,
--- a/src/main/java/junipercourse/decision/api/RequestId.java
+++ b/src/main/java/junipercourse/decision/api/RequestId.java
@@ -1,8 +1,8 @@
 package junipercourse.decision.api;
 
 /**
- * Identifies a request. The caller chooses the value and never uses it twice.
+ * Identifies a request. The caller assigns each value only once.
  *
- * @param value the number that the caller assigned
+ * @param value number assigned by the caller
  */
 public record RequestId(long value) {}
--- a/src/main/java/junipercourse/decision/api/ServiceGuarantees.java
+++ b/src/main/java/junipercourse/decision/api/ServiceGuarantees.java
@@ -1,19 +1,23 @@
 package junipercourse.decision.api;
 
 /**
- * Holds the figures of the guarantees that a dispatcher must keep. All times are in seconds.
+ * Parameters of the guarantees that a dispatcher must fulfil.
  *
- * @param answerGrace slack after a deadline
- * @param drainGrace slack after an engine begins to drain
- * @param slowStartInitialCapacity share of its capacity that an engine has when it starts
- * @param slowStartDuration time from its start until an engine has its full capacity
- * @param overloadMultiple multiple of its capacity at which a starting engine fails
- * @param overloadWindow time over which that work is summed
- * @param keySettleTime how long a key waits after an attempt that may still run
- * @param retryBudgetWindow time over which retries are counted; 0 if retries have no budget
+ * @param answerGraceSeconds tolerance after a deadline
+ * @param drainGraceSeconds tolerance after an engine begins to drain
+ * @param slowStartInitialCapacity share of its full capacity that an engine has right after its
+ *     start
+ * @param slowStartSeconds time from its start until an engine has its full capacity
+ * @param overloadMultiple multiple of its current capacity at which an engine that is warming up
+ *     fails
+ * @param overloadWindowSeconds sliding window over which that work is summed
+ * @param keySettleSeconds how long the next request of a key waits after an attempt that may still
+ *     run
+ * @param retryBudgetWindowSeconds sliding window over which retries are counted; 0 for no retry
+ *     budget
  * @param retryBudgetMinimum retries that are always allowed within the window
- * @param retryBudgetRatio further retries for each request within the window
- * @param pollInterval time within which the endpoint list must be polled
+ * @param retryBudgetRatio additional retries for each request within the window
+ * @param pollIntervalSeconds time within which the endpoint list must be polled
  */
 public record ServiceGuarantees(
         double answerGraceSeconds,
--- a/src/main/java/junipercourse/decision/api/Tenant.java
+++ b/src/main/java/junipercourse/decision/api/Tenant.java
@@ -3,8 +3,8 @@
 /**
  * Describes a tenant.
  *
- * @param name the name in the settings
- * @param quotaShare the tenant's share of the service
- * @param quotaPerSecond requests a second within its quota, at all dispatchers together
+ * @param name its name in the settings
+ * @param quotaShare its share of the service
+ * @param quotaPerSecond quota in requests per second, summed over all dispatchers
  */
 public record Tenant(String name, double quotaShare, double quotaPerSecond) {}
--- a/src/main/java/junipercourse/decision/api/UnknownQueryClassException.java
+++ b/src/main/java/junipercourse/decision/api/UnknownQueryClassException.java
@@ -1,6 +1,6 @@
 package junipercourse.decision.api;
 
-/** Reports a request whose class is not in the settings. */
+/** Thrown if the settings do not contain the class of a request. */
 public final class UnknownQueryClassException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -9,14 +9,14 @@
     /**
      * Creates an exception.
      *
-     * @param queryClass the position that the request named
+     * @param queryClass the class index in the request
      */
     public UnknownQueryClassException(int queryClass) {
-        super("request class " + queryClass + " is not in the settings");
+        super("query class " + queryClass + " is not in the settings");
         this.queryClass = queryClass;
     }
 
-    /** Returns the position that the request named. */
+    /** Returns the class index in the request. */
     public int queryClass() {
         return queryClass;
     }
--- a/src/main/java/junipercourse/decision/estimation/CongestionEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/CongestionEstimator.java
@@ -3,21 +3,21 @@
 import junipercourse.decision.state.Tier;
 
 /**
- * Estimates by which factor congestion slows queries down: by Little's law, the thread seconds held
- * over the work completed, at all engines and in each tier. Unlike the mean latency of answers it
- * also counts attempts that are cancelled or hang, so that it rises as soon as engines are
- * overloaded.
+ * Estimates the factor by which congestion slows queries down, for all engines and for each tier.
+ * By Little's law, it is the ratio of thread seconds in use to work completed. Unlike the mean
+ * latency of answers, this ratio includes attempts that are cancelled or hang, so that it rises as
+ * soon as engines are overloaded.
  */
 public final class CongestionEstimator {
     private final double decaySeconds;
     private final double priorWork;
     private final double priorFactor;
-    private final TierSums front = new TierSums();
-    private final TierSums back = new TierSums();
+    private final TierSums frontSums = new TierSums();
+    private final TierSums backSums = new TierSums();
     private boolean hasSamples;
     private double updatedAt;
 
-    /** Thread seconds held and work completed, in one tier. */
+    /** Thread seconds used and work completed in one tier. */
     private static final class TierSums {
         private double threadSeconds;
         private double work;
@@ -31,9 +31,9 @@
     /**
      * Creates an estimator.
      *
-     * @param decaySeconds time over which samples fade
-     * @param priorWork seconds of work that always count as seen
-     * @param priorFactor the slowdown factor of that work
+     * @param decaySeconds time constant with which samples decay
+     * @param priorWork work of the prior, which never decays, in seconds of one thread
+     * @param priorFactor slowdown factor of the prior
      */
     public CongestionEstimator(double decaySeconds, double priorWork, double priorFactor) {
         this.decaySeconds = decaySeconds;
@@ -44,31 +44,34 @@
     /**
      * Adds an attempt.
      *
-     * @param threadSeconds threads that it held, times seconds
-     * @param completedWork work that was answered, in seconds of one thread
+     * @param threadSeconds threads that it used, multiplied by its duration in seconds
+     * @param completedWork work that it completed, in seconds of one thread; 0 without an answer
      */
     public void addAttempt(double now, Tier tier, double threadSeconds, double completedWork) {
         double decayFactor = hasSamples ? Math.exp(Math.min(0, updatedAt - now) / decaySeconds) : 1;
         hasSamples = true;
         updatedAt = now;
-        front.decay(decayFactor);
-        back.decay(decayFactor);
+        frontSums.decay(decayFactor);
+        backSums.decay(decayFactor);
         TierSums sums = sums(tier);
         sums.threadSeconds += threadSeconds;
         sums.work += completedWork;
     }
 
     private TierSums sums(Tier tier) {
-        return tier == Tier.FRONT ? front : back;
+        return tier == Tier.FRONT ? frontSums : backSums;
     }
 
-    /** Returns the factor at all engines: about 1 without congestion, 2 to 3 with much of it. */
+    /**
+     * Returns the slowdown factor of all engines: about 1 without congestion, 2 to 3 with heavy
+     * congestion.
+     */
     public double slowdownFactor() {
-        return (front.threadSeconds + back.threadSeconds + priorWork * priorFactor)
-                / (front.work + back.work + priorWork);
+        return (frontSums.threadSeconds + backSums.threadSeconds + priorWork * priorFactor)
+                / (frontSums.work + backSums.work + priorWork);
     }
 
-    /** Returns the factor in one tier. */
+    /** Returns the slowdown factor of one tier. */
     public double slowdownFactor(Tier tier) {
         TierSums sums = sums(tier);
         return (sums.threadSeconds + priorWork * priorFactor) / (sums.work + priorWork);
--- a/src/main/java/junipercourse/decision/estimation/EngineSpeedEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/EngineSpeedEstimator.java
@@ -3,14 +3,17 @@
 import junipercourse.decision.state.DecisionDefaults;
 import junipercourse.decision.state.EngineState;
 
-/** Compares each engine's slowdown to the median engine: a common slowdown is no engine's fault. */
+/**
+ * Compares the slowdown of each engine to the median engine, since a slowdown of all engines is not
+ * the fault of a single one.
+ */
 public final class EngineSpeedEstimator {
-    private static final double LOG_SLOWDOWN_TOLERANCE =
-            0.2; // logarithm of the slowdown that is ignored
+    // Smaller differences to the median are ignored.
+    private static final double LOG_SLOWDOWN_TOLERANCE = 0.2;
 
     private double medianLogSlowdown;
 
-    /** Adds an attempt of an engine, as latency over expectation. */
+    /** Adds an attempt of an engine; its slowdown is the ratio of actual to expected latency. */
     public void record(EngineState engine, double slowdown) {
         double weight = DecisionDefaults.SAMPLE_WEIGHT;
         double sample = Math.log(Math.min(DecisionDefaults.MAX_LATENCY_RATIO, slowdown));
@@ -24,7 +27,10 @@
         return medianLogSlowdown;
     }
 
-    /** Returns the logarithm of an engine's slowdown against the median one, at least 0. */
+    /**
+     * Returns by how much the logarithm of an engine's slowdown exceeds the median and a tolerance,
+     * at least 0.
+     */
     public double relativeLogSlowdown(EngineState engine) {
         return Math.max(0, engine.logSlowdown() - medianLogSlowdown - LOG_SLOWDOWN_TOLERANCE);
     }
--- a/src/main/java/junipercourse/decision/estimation/Estimators.java
+++ b/src/main/java/junipercourse/decision/estimation/Estimators.java
@@ -6,12 +6,12 @@
 /**
  * All estimators of one decision module.
  *
- * @param traffic share of all traffic that arrives here
- * @param quota which requests exceed their tenant's quota
- * @param latency latency and work of requests
- * @param speed speed of each engine against the others
- * @param congestion slowdown by congestion
- * @param workload threads and memory of the average query in flight
+ * @param traffic share of all traffic that this dispatcher receives
+ * @param quota detects requests that exceed the quota of their tenant
+ * @param latency expected latency and work of requests
+ * @param speed slowdown of each engine relative to the median
+ * @param congestion slowdown caused by congestion
+ * @param workload average threads and memory of the queries in flight
  */
 public record Estimators(
         TrafficShareEstimator traffic,
--- a/src/main/java/junipercourse/decision/estimation/LatencyEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/LatencyEstimator.java
@@ -6,11 +6,15 @@
 import junipercourse.decision.state.PendingRequest;
 import junipercourse.decision.state.RunningMean;
 
-/** Estimates latency and work of requests, and the times that follow from them. */
+/**
+ * Estimates the latency and work of requests, and derives cutoffs and objective deadlines from
+ * them.
+ */
 public final class LatencyEstimator {
-    private static final double UNKNOWN_LATENCY_SHARE = 0.5; // of the objective, before any sample
-    private static final double STRETCH_SHARE =
-            0.7; // of the expected latency that extends the objective
+    // Share of the latency objective that is expected before the first sample.
+    private static final double UNKNOWN_LATENCY_SHARE = 0.5;
+    // Share of the expected latency that extends the latency objective.
+    private static final double STRETCH_SHARE = 0.7;
 
     private final CongestionEstimator congestion;
 
@@ -19,7 +23,7 @@
         this.congestion = congestion;
     }
 
-    /** Returns the seconds that an attempt of a request is expected to take. */
+    /** Returns the expected latency of an attempt of a request, in seconds. */
     public double expectedLatency(PendingRequest request) {
         RunningMean logSlowdown = request.classStatistics().logSlowdown();
         if (logSlowdown.isKnown()) {
@@ -30,17 +34,20 @@
                 : request.queryClass().latencyObjectiveSeconds() * UNKNOWN_LATENCY_SHARE;
     }
 
-    /** Returns how much longer than usual for its class a request is, at least 1. */
+    /**
+     * Returns the estimated size of a request relative to the geometric mean of its class, at least
+     * 1.
+     */
     public double sizeFactor(PendingRequest request) {
-        RunningMean usual = request.classStatistics().logUnloadedLatency();
-        return request.hasCostEstimate() && usual.isKnown()
-                ? Math.max(1, request.unloadedLatency() / Math.exp(usual.value()))
+        RunningMean classMean = request.classStatistics().logUnloadedLatency();
+        return request.hasCostEstimate() && classMean.isKnown()
+                ? Math.max(1, request.unloadedLatency() / Math.exp(classMean.value()))
                 : 1;
     }
 
     /**
-     * Returns the usual work of a class in seconds of one thread. It does not rise while engines
-     * are slow, if requests state estimates.
+     * Returns the mean work of a class in seconds of one thread. If requests carry estimates, it
+     * does not rise while engines are slow.
      */
     public double usualWork(ClassStatistics statistics) {
         QueryClass queryClass = statistics.queryClass();
@@ -49,8 +56,8 @@
     }
 
     /**
-     * Returns the work of a request in seconds of one thread: its own estimate, since the heaviest
-     * requests of a class take many times the mean.
+     * Returns the work of a request in seconds of one thread. Its own estimate has precedence over
+     * the mean of the class, since the heaviest requests take many times the mean.
      */
     public double work(PendingRequest request) {
         return request.hasCostEstimate()
@@ -58,7 +65,7 @@
                 : usualWork(request.classStatistics());
     }
 
-    /** Returns the time up to which an answer meets the latency objective. */
+    /** Returns the time until which an answer meets the latency objective. */
     public double objectiveDeadlineAt(PendingRequest request) {
         QueryClass queryClass = request.queryClass();
         return request.receivedAt()
@@ -71,12 +78,18 @@
         return now + expectedLatency(request) > objectiveDeadlineAt(request);
     }
 
-    /** Returns the lowest cutoff of a class: its latency objective, or half of its deadline. */
+    /**
+     * Returns the lowest possible cutoff of a class in seconds: its latency objective, but at most
+     * half of its deadline.
+     */
     public static double lowestCutoff(QueryClass queryClass) {
         return Math.min(queryClass.latencyObjectiveSeconds(), queryClass.deadlineSeconds() / 2);
     }
 
-    /** Returns the seconds after which a first attempt of a request is cancelled and restarted. */
+    /**
+     * Returns the seconds after which the first attempt of a request is cancelled and restarted:
+     * the cutoff of its class, scaled by the size of the request and by congestion.
+     */
     public double cutoffSeconds(PendingRequest request) {
         return request.classStatistics().cutoff()
                 * sizeFactor(request)
--- a/src/main/java/junipercourse/decision/estimation/TokenBucket.java
+++ b/src/main/java/junipercourse/decision/estimation/TokenBucket.java
@@ -9,9 +9,9 @@
     /**
      * Refills the bucket and takes one token.
      *
-     * @param tokensPerSecond rate of the refill
-     * @param capacity most tokens that the bucket holds
-     * @return false if there was no token
+     * @param tokensPerSecond refill rate
+     * @param capacity maximum number of tokens in the bucket
+     * @return false if no token was available
      */
     public boolean tryTake(double now, double tokensPerSecond, double capacity) {
         tokens =
--- a/src/main/java/junipercourse/decision/estimation/TrafficShareEstimator.java
+++ b/src/main/java/junipercourse/decision/estimation/TrafficShareEstimator.java
@@ -4,17 +4,17 @@
 import junipercourse.decision.api.Tenant;
 import junipercourse.decision.state.DecisionDefaults;
 
-/** Estimates which share of all dispatchers' traffic arrives at this one. */
+/** Estimates the share of the traffic of all dispatchers that this one receives. */
 public final class TrafficShareEstimator {
-    private static final double EVEN_SHARE_DIVISOR =
-            4; // the share is at least a fourth of an even one
+    // The estimate is at least a fourth of an even share.
+    private static final double EVEN_SHARE_DIVISOR = 4;
     private static final double INITIAL_AVERAGING_SECONDS = 2;
 
     private final int dispatcherCount;
     private final double totalQuota;
     private double requestsPerSecond;
     private double updatedAt;
-    private double startedAt = Double.NaN; // as long as the module has not started
+    private double startedAt = Double.NaN; // until the module starts
     private boolean started;
 
     /** Creates an estimator that assumes an even share. */
@@ -24,14 +24,14 @@
         requestsPerSecond = totalQuota / dispatcherCount;
     }
 
-    /** Notes the time of the module's first event. */
+    /** Starts the measurement at the time of the module's first event. */
     public void start(double now) {
         started = true;
         startedAt = now;
         updatedAt = now;
     }
 
-    /** Returns true once {@link #start} was called. */
+    /** Returns true after {@link #start} was called. */
     public boolean isStarted() {
         return started;
     }
@@ -48,7 +48,7 @@
         requestsPerSecond += weight * (1 - secondsSinceLast * requestsPerSecond);
     }
 
-    /** Returns the requests a second that arrive here. */
+    /** Returns the requests per second that this dispatcher receives. */
     public double requestsPerSecond() {
         return requestsPerSecond;
     }
@@ -62,7 +62,7 @@
                 : evenShare;
     }
 
-    /** Returns the seconds over which traffic was counted, from 1 to the averaging time. */
+    /** Returns the seconds over which the traffic was measured, from 1 to the averaging time. */
     public double observedSeconds(double now) {
         return Math.max(1, Math.min(DecisionDefaults.TRAFFIC_AVERAGING_SECONDS, now - startedAt));
     }
--- a/src/main/java/junipercourse/decision/estimation/WorkloadMix.java
+++ b/src/main/java/junipercourse/decision/estimation/WorkloadMix.java
@@ -1,6 +1,9 @@
 package junipercourse.decision.estimation;
 
-/** Threads and memory of the attempts, weighted by their duration: long ones are met more often. */
+/**
+ * Average threads and memory of attempts, weighted by their duration, since long attempts make up
+ * more of the queries in flight.
+ */
 public final class WorkloadMix {
     private static final double PRIOR_QUERY_SECONDS = 0.1;
     private static final double PRIOR_THREAD_SECONDS = 0.2;
@@ -12,7 +15,7 @@
     /**
      * Adds an attempt.
      *
-     * @param weight weight of the new sample
+     * @param weight weight of the attempt in the mean
      */
     public void addAttempt(double seconds, int threads, double memoryMb, double weight) {
         querySeconds += seconds - weight * querySeconds;
@@ -20,12 +23,12 @@
         mbSeconds += seconds * memoryMb - weight * mbSeconds;
     }
 
-    /** Returns the threads of the average query in flight. */
+    /** Returns the average threads per query in flight. */
     public double threadsPerQuery() {
         return threadSeconds / querySeconds;
     }
 
-    /** Returns the granted memory per thread, in MB. */
+    /** Returns the average memory granted per thread in flight, in MB. */
     public double mbPerThread() {
         return mbSeconds / threadSeconds;
     }
--- a/src/main/java/junipercourse/decision/estimation/package-info.java
+++ b/src/main/java/junipercourse/decision/estimation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Estimates of traffic, latency, engine speed and congestion, from what the dispatcher itself has
- * seen. Depends on {@link junipercourse.decision.state}.
+ * Estimators of traffic, latency, engine speed and congestion, based on the requests and attempts
+ * of this dispatcher. Depends on {@link junipercourse.decision.state}.
  */
 package junipercourse.decision.estimation;
--- a/src/main/java/junipercourse/decision/load/AggregateCapacity.java
+++ b/src/main/java/junipercourse/decision/load/AggregateCapacity.java
@@ -4,12 +4,17 @@
 import junipercourse.decision.state.EngineRegistry;
 import junipercourse.decision.state.EngineState;
 
-/** This dispatcher's threads in flight, and the cores that are warm, at all ready engines. */
+/**
+ * The threads that this dispatcher has in flight and the cores that are available, summed over all
+ * ready engines.
+ */
 public final class AggregateCapacity {
     private double ownThreads;
     private double warmCores;
 
-    /** Recomputes both figures. Overlong attempts and ejected engines do not count as threads. */
+    /**
+     * Recomputes both sums. The threads of overlong attempts and at ejected engines are excluded.
+     */
     public void recompute(double now, EngineRegistry engines, SlowStartController slowStart) {
         ownThreads = 0;
         warmCores = 0;
@@ -24,7 +29,7 @@
         }
     }
 
-    /** Adds the threads of an attempt that was just sent. */
+    /** Adds the threads of an attempt that is sent after the last recomputation. */
     public void addThreads(int threads) {
         ownThreads += threads;
     }
@@ -34,7 +39,10 @@
         return ownThreads;
     }
 
-    /** Returns the cores of all engines, less for those that are warming up. */
+    /**
+     * Returns the cores of all ready engines; engines that are warming up count with their current
+     * share.
+     */
     public double warmCores() {
         return warmCores;
     }
--- a/src/main/java/junipercourse/decision/load/LoadEstimator.java
+++ b/src/main/java/junipercourse/decision/load/LoadEstimator.java
@@ -11,10 +11,14 @@
 
 /** Estimates the threads that other dispatchers have in flight at each engine. */
 public final class LoadEstimator {
-    private static final double INITIAL_USUAL_LOAD = 1; // threads per core: a start meets load
-    private static final double USUAL_LOAD_WEIGHT = 0.1; // of a new report in the usual load
-    private static final double PREVIOUS_REPORT_WEIGHT = 0.5; // of the last report beside a new one
-    private static final double FULLY_BUSY_SHARE = 0.93; // reports lag: this may mean all cores
+    // Threads per core assumed before the first report: a dispatcher usually starts under load.
+    private static final double INITIAL_USUAL_LOAD = 1;
+    // Weight of a new report in the usual load.
+    private static final double USUAL_LOAD_WEIGHT = 0.1;
+    // Weight of the previous report against a new one, if it is recent.
+    private static final double PREVIOUS_REPORT_WEIGHT = 0.5;
+    // Busy share from which all cores may be busy, since reports lag.
+    private static final double FULLY_BUSY_SHARE = 0.93;
 
     private final DispatchState state;
     private final Estimators estimators;
@@ -37,12 +41,12 @@
         this.capacity = capacity;
     }
 
-    /** Returns the threads per core that others usually have in flight. */
+    /** Returns the threads per core that other dispatchers usually have in flight. */
     public double usualThreadsPerCore() {
         return usualThreadsPerCore;
     }
 
-    /** Takes the usual load from gossip, if that is active. */
+    /** Updates the usual load from gossip, if gossip is active. */
     public void refreshUsualLoad() {
         if (gossip.isActive()) {
             usualThreadsPerCore = gossip.peerThreads() / Math.max(1, state.engines().totalCores());
@@ -50,25 +54,28 @@
     }
 
     /**
-     * Returns others' threads on an engine: by gossip or, fading with its age, by the last report.
-     * If an engine has reported nothing since its start, the others know no more than we do: they
-     * have as much there as we do, or all leave it idle.
+     * Returns the threads of other dispatchers on an engine: according to gossip, or else a mean of
+     * the last load report and the usual load, in which the weight of the report decays with its
+     * age. If an engine has sent no report since its start, other dispatchers know no more about it
+     * than this one does. They are then assumed to have at most as many threads there as this one,
+     * in proportion to their traffic; otherwise all dispatchers would leave the engine idle.
      */
     public double externalThreads(double now, EngineState engine) {
         ExternalLoad external = engine.externalLoad();
         if (gossip.isActive()) {
             return external.peerThreads();
         }
-        double usual = usualThreadsPerCore * engine.cores() * slowStart.capacityShare(now, engine);
+        double usualThreads =
+                usualThreadsPerCore * engine.cores() * slowStart.capacityShare(now, engine);
         if (external.reportedAt() < engine.slowStart().startedAt()) {
-            usual =
+            usualThreads =
                     Math.min(
-                            usual,
+                            usualThreads,
                             engine.inFlight().threads()
                                     * (1 / estimators.traffic().ownShare() - 1));
         }
         double weight = reportWeight(now, external);
-        return weight * external.reportedThreads() + (1 - weight) * usual;
+        return weight * external.reportedThreads() + (1 - weight) * usualThreads;
     }
 
     private static double reportWeight(double now, ExternalLoad external) {
@@ -76,7 +83,8 @@
     }
 
     /**
-     * Notes that an engine is full, such as one that rejects attempts or leaves probes unanswered.
+     * Records that an engine is at its limit, for example because it rejected an attempt or did not
+     * answer a load probe.
      */
     public void recordFull(double now, EngineState engine) {
         recordExternalThreads(now, engine, DecisionDefaults.MAX_THREADS_PER_CORE * engine.cores());
@@ -93,12 +101,13 @@
     }
 
     /**
-     * Takes over a load report: by the queries in flight if it names them, or else by the scarcest
-     * of cores, disks and memory. A congested engine completes less and shows fewer busy cores the
-     * more it has to do: if an answer was slow, or all cores are busy, others are assumed to have
-     * as much there as we have on the average engine.
+     * Updates the estimate from a load report. The report's number of queries in flight is used if
+     * it contains one, otherwise the highest utilization of cores, disks and memory. An engine that
+     * is congested completes less and reports fewer busy cores as its load grows. Therefore, if the
+     * answer was slow or all cores are busy, other dispatchers are assumed to have at least as many
+     * threads there, in proportion to their traffic, as this one has on an average engine.
      *
-     * @param slowedByCongestion whether the answer that carried the report was slow
+     * @param slowedByCongestion whether the answer with this report was slowed by congestion
      */
     public void recordReport(
             double now, EngineState engine, float[] report, boolean slowedByCongestion) {
@@ -150,7 +159,10 @@
                 : threads;
     }
 
-    /** Threads per core of others, if each has as many as we do for its share of the traffic. */
+    /**
+     * Returns the threads per core of other dispatchers, if their load is in proportion to their
+     * traffic.
+     */
     private double averageExternalThreadsPerCore() {
         return (1 / estimators.traffic().ownShare() - 1)
                 * capacity.ownThreads()
--- a/src/main/java/junipercourse/decision/load/LoadProber.java
+++ b/src/main/java/junipercourse/decision/load/LoadProber.java
@@ -6,29 +6,38 @@
 import junipercourse.decision.state.EngineState;
 import junipercourse.decision.state.PendingRequest;
 
-/** Probes the candidates of a request whose load reports are old, within a budget. */
+/**
+ * Sends load probes to those candidates of a request whose load reports are old, within a budget.
+ */
 public final class LoadProber {
-    private static final double PROBES_PER_REQUEST = 0.35; // probes scale with traffic
-    private static final int MAX_CONCURRENT_PROBES = 3; // more would crowd the least loaded engine
-    private static final double FRESH_REPORT_SECONDS = 0.4; // reports lag as much
-    private static final double PROBE_WAIT_SECONDS = 0.01; // a few round trips
+    // The number of probes is proportional to the traffic.
+    private static final double PROBES_PER_REQUEST = 0.35;
+    // More probes would make requests concentrate on the least loaded engine.
+    private static final int MAX_CONCURRENT_PROBES = 3;
+    // Reports lag by about as much.
+    private static final double FRESH_REPORT_SECONDS = 0.4;
+    // A few network round trips.
+    private static final double PROBE_WAIT_SECONDS = 0.01;
 
     private final DispatchState state;
     private final PeerLoadGossip gossip;
     private double probeBudget;
 
-    /** Creates a prober without budget. */
+    /** Creates a prober with an empty budget. */
     public LoadProber(DispatchState state, PeerLoadGossip gossip) {
         this.state = state;
         this.gossip = gossip;
     }
 
-    /** Adds the probes that a new request pays for. */
+    /** Increases the probe budget for a new request. */
     public void recordRequest() {
         probeBudget = Math.min(probeBudget + PROBES_PER_REQUEST, MAX_CONCURRENT_PROBES);
     }
 
-    /** Probes the candidates of a request whose reports are old; the request waits for them. */
+    /**
+     * Probes those candidates of a request whose load reports are old, and makes the request wait
+     * for the results.
+     */
     public void probeCandidates(double now, PendingRequest request) {
         if (!state.settings().limits().probesAllowed() || gossip.isActive()) {
             return;
@@ -51,7 +60,7 @@
         return !engine.externalLoad().isProbeInFlight() && !reportIsFresh && !isInBackoff;
     }
 
-    /** Returns true while a request waits for the reports of its candidates. */
+    /** Returns true while a request waits for load probes of its candidates. */
     public boolean isAwaitingReports(double now, PendingRequest request) {
         return now < request.awaitReportsUntil()
                 && request.candidateEngines().stream()
--- a/src/main/java/junipercourse/decision/load/LoadTracking.java
+++ b/src/main/java/junipercourse/decision/load/LoadTracking.java
@@ -5,12 +5,12 @@
 import junipercourse.decision.state.DispatchState;
 
 /**
- * The parts that track the load of engines.
+ * The components that track the load of engines.
  *
- * @param gossip load that peers report
- * @param capacity own threads and warm cores at all engines
- * @param estimator load of others at each engine
- * @param prober probes for load
+ * @param gossip exchange of load between dispatchers
+ * @param capacity threads of this dispatcher and available cores, summed over all engines
+ * @param estimator load that other dispatchers place on each engine
+ * @param prober load probes
  */
 public record LoadTracking(
         PeerLoadGossip gossip,
@@ -18,7 +18,7 @@
         LoadEstimator estimator,
         LoadProber prober) {
 
-    /** Creates the parts of one module. */
+    /** Creates the components of one decision module. */
     public static LoadTracking create(
             DispatchState state, Estimators estimators, SlowStartController slowStart) {
         PeerLoadGossip gossip = new PeerLoadGossip(state, estimators.traffic());
--- a/src/main/java/junipercourse/decision/load/PeerLoad.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoad.java
@@ -1,9 +1,9 @@
 package junipercourse.decision.load;
 
 /**
- * The load that a peer reports for one engine.
+ * The load that a peer places on one engine, as the peer reports it.
  *
- * @param threads threads of its attempts in flight
- * @param memoryMb memory granted to them, in MB
+ * @param threads threads of the peer's attempts in flight
+ * @param memoryMb memory granted to these attempts, in MB
  */
 record PeerLoad(double threads, double memoryMb) {}
--- a/src/main/java/junipercourse/decision/load/PeerLoadCodec.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadCodec.java
@@ -11,11 +11,11 @@
 import junipercourse.decision.state.EngineState;
 
 /**
- * Encodes the load that dispatchers exchange: eight bytes for each engine, big-endian: the id (four
- * bytes), threads and memory (two bytes each, in steps).
+ * Encodes the load that dispatchers exchange. An engine takes eight bytes, big-endian: its id (four
+ * bytes), threads in multiples of 0.1 and memory in multiples of 16 MB (two bytes each, unsigned).
  */
 final class PeerLoadCodec {
-    /** Engines that fit into one message of 256 bytes. */
+    /** Maximum number of engines in one message, which is limited to 256 bytes. */
     static final int MAX_ENGINES = 31;
 
     private static final double THREAD_STEP = 0.1;
@@ -26,7 +26,7 @@
 
     private PeerLoadCodec() {}
 
-    /** Encodes the engines with most threads in flight, as many as fit into one message. */
+    /** Encodes the engines with the most threads in flight, as many as fit into one message. */
     static byte[] encode(Collection<EngineState> engines) {
         List<EngineState> busiest =
                 engines.stream()
@@ -47,7 +47,7 @@
         return (short) Math.min(MAX_STEPS, Math.round(value));
     }
 
-    /** Decodes a message; unknown engines and incomplete entries are skipped. */
+    /** Decodes a message; entries that are incomplete or refer to unknown engines are skipped. */
     static Map<EngineState, PeerLoad> decode(byte[] payload, EngineRegistry engines) {
         Map<EngineState, PeerLoad> loads = new LinkedHashMap<>();
         ByteBuffer buffer = ByteBuffer.wrap(payload);
--- a/src/main/java/junipercourse/decision/load/PeerLoadGossip.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadGossip.java
@@ -4,19 +4,25 @@
 import junipercourse.decision.estimation.TrafficShareEstimator;
 import junipercourse.decision.state.DispatchState;
 
-/** Exchanges with all other dispatchers what each has in flight, if that is cheap enough. */
+/**
+ * Exchanges the load that each dispatcher has in flight with all others, if messages can be sent
+ * often enough within their budget.
+ */
 public final class PeerLoadGossip {
-    private static final double MIN_INTERVAL_SECONDS = 0.15; // about the time of a query or less
-    private static final double MAX_MESSAGES_PER_REQUEST = 0.3; // full messages delivered
-    private static final double REPORT_LIFETIME_SECONDS = 1.5; // a silent peer counts no longer
+    // At most about the duration of a query.
+    private static final double MIN_INTERVAL_SECONDS = 0.15;
+    // Limits the messages sent to peers, in messages of full size.
+    private static final double MAX_MESSAGES_PER_REQUEST = 0.3;
+    // The load of a peer is dropped if it sends nothing for this time.
+    private static final double REPORT_LIFETIME_SECONDS = 1.5;
     private static final double MIN_REQUEST_RATE = 1e-3;
 
     private final DispatchState state;
     private final TrafficShareEstimator traffic;
-    private final PeerLoadTable peers = new PeerLoadTable();
+    private final PeerLoadTable peerLoads = new PeerLoadTable();
     private double nextBroadcastAt;
 
-    /** Creates the gossip of one module. */
+    /** Creates the gossip of one decision module. */
     public PeerLoadGossip(DispatchState state, TrafficShareEstimator traffic) {
         this.state = state;
         this.traffic = traffic;
@@ -27,7 +33,9 @@
         nextBroadcastAt = now + MIN_INTERVAL_SECONDS * state.random().nextDouble();
     }
 
-    /** Returns true if dispatchers may gossip and can do so often enough. */
+    /**
+     * Returns true if gossip is allowed and its interval is short enough for reports not to expire.
+     */
     public boolean isActive() {
         DecisionSettings settings = state.settings();
         return settings.limits().gossipAllowed()
@@ -44,7 +52,7 @@
         return Math.max(MIN_INTERVAL_SECONDS, peerCount * messageShare / messagesPerSecond);
     }
 
-    /** Broadcasts this dispatcher's load if that is due. */
+    /** Broadcasts the load of this dispatcher if that is due. */
     public void broadcastIfDue(double now) {
         if (!isActive() || now < nextBroadcastAt) {
             return;
@@ -58,7 +66,7 @@
         return nextBroadcastAt;
     }
 
-    /** Takes over a peer's load; returns false if the sender is not a peer. */
+    /** Replaces the load of a peer; returns false if the sender is not a peer. */
     public boolean receive(double now, int sender, byte[] payload) {
         DecisionSettings settings = state.settings();
         if (sender < 0
@@ -66,17 +74,17 @@
                 || sender == settings.dispatcherIndex()) {
             return false;
         }
-        peers.put(sender, now, PeerLoadCodec.decode(payload, state.engines()));
+        peerLoads.put(sender, now, PeerLoadCodec.decode(payload, state.engines()));
         return true;
     }
 
-    /** Drops the reports of peers that have fallen silent. */
+    /** Removes the reports of peers that have sent nothing for too long. */
     public void expire(double now) {
-        peers.expire(now - REPORT_LIFETIME_SECONDS);
+        peerLoads.expire(now - REPORT_LIFETIME_SECONDS);
     }
 
-    /** Returns the threads that all peers have in flight. */
+    /** Returns the total threads that all peers have in flight. */
     public double peerThreads() {
-        return peers.totalThreads();
+        return peerLoads.totalThreads();
     }
 }
--- a/src/main/java/junipercourse/decision/load/PeerLoadTable.java
+++ b/src/main/java/junipercourse/decision/load/PeerLoadTable.java
@@ -4,13 +4,16 @@
 import java.util.TreeMap;
 import junipercourse.decision.state.EngineState;
 
-/** Sums up the last load report of each peer. Bounded by the number of dispatchers. */
+/**
+ * Holds the last load report of each peer and adds it to the external load of the engines. The
+ * number of dispatchers bounds its size.
+ */
 final class PeerLoadTable {
     private final Map<Integer, PeerReport> reports = new TreeMap<>();
 
     private record PeerReport(double receivedAt, Map<EngineState, PeerLoad> loads) {}
 
-    /** Replaces the report of a peer. */
+    /** Replaces the load report of a peer. */
     void put(int peer, double now, Map<EngineState, PeerLoad> loads) {
         PeerReport latest = new PeerReport(now, loads);
         PeerReport previous = reports.put(peer, latest);
@@ -20,7 +23,7 @@
         addToEngines(latest, 1);
     }
 
-    /** Removes the reports that were received before a time. */
+    /** Removes the load reports received before a time. */
     void expire(double receivedBefore) {
         reports.values().stream()
                 .filter(report -> report.receivedAt < receivedBefore)
@@ -28,7 +31,7 @@
         reports.values().removeIf(report -> report.receivedAt < receivedBefore);
     }
 
-    /** Returns the threads in flight at all engines. */
+    /** Returns the total threads in flight of all peers. */
     double totalThreads() {
         return reports.values().stream()
                 .flatMap(report -> report.loads.values().stream())
--- a/src/main/java/junipercourse/decision/package-info.java
+++ b/src/main/java/junipercourse/decision/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decision module: {@link junipercourse.decision.TagsDispatcher} takes in events and decides
- * which engine runs each query, when, with which retries, and which queries are rejected. It knows
- * no socket and no clock and depends on no other package of the project.
+ * The decision module: {@link junipercourse.decision.TagsDispatcher} receives events and decides
+ * which engine runs each query and when, which attempts are retried, and which queries are
+ * rejected. It uses neither sockets nor a clock: the caller passes in the time and executes the
+ * decisions. It depends on no package outside of this one.
  */
 package junipercourse.decision;
--- a/src/main/java/junipercourse/decision/state/Attempt.java
+++ b/src/main/java/junipercourse/decision/state/Attempt.java
@@ -21,12 +21,12 @@
     private boolean overlong;
 
     /**
-     * Creates the next attempt of a request. It counts only after {@link #begin}.
+     * Creates the next attempt of a request. It reserves nothing before {@link #begin}.
      *
      * @param sentAt time at which it is sent
      * @param memoryMb memory grant in MB
-     * @param expectedLatency seconds that it is expected to take
-     * @param slowStartCharge what it takes of the engine's slow-start budget, in seconds of work
+     * @param expectedLatency expected latency in seconds
+     * @param slowStartCharge charge to the slow-start credit of the engine, in seconds of work
      */
     public Attempt(
             PendingRequest request,
@@ -47,7 +47,7 @@
         this.expectedLatency = expectedLatency;
     }
 
-    /** Reserves its capacity at the engine and makes it the active attempt of its request. */
+    /** Reserves capacity at the engine and makes this the active attempt of the request. */
     public void begin() {
         request.begin(this);
         if (engine.inFlight().attemptCount() == 0) {
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Releases its capacity. If none of it was written, the slow-start charge is refunded, unless
-     * the engine has been restarted since.
+     * Releases the reserved capacity. The slow-start charge is refunded if no byte of the attempt
+     * was written and the engine has not been restarted since.
      */
     public void end(AttemptOutcome outcome) {
         engine.inFlight().release(this);
@@ -72,22 +72,22 @@
         request.end(this, outcome);
     }
 
-    /** Returns its request. */
+    /** Returns the request that this attempt belongs to. */
     public PendingRequest request() {
         return request;
     }
 
-    /** Returns its engine. */
+    /** Returns the engine that it was sent to. */
     public EngineState engine() {
         return engine;
     }
 
-    /** Returns the engine's list entry when it was sent. */
+    /** Returns the endpoint list entry of the engine at the time of sending. */
     public EngineListing listingAtStart() {
         return listingAtStart;
     }
 
-    /** Returns its number within the request, from 0. */
+    /** Returns the number of this attempt within the request, from 0. */
     public int number() {
         return number;
     }
@@ -97,7 +97,7 @@
         return tier == Tier.FRONT;
     }
 
-    /** Returns true if its engine has been restarted since it was sent. */
+    /** Returns true if the engine has been restarted since this attempt was sent. */
     public boolean engineRestarted() {
         return engineStartedAt != engine.slowStart().startedAt();
     }
@@ -107,32 +107,34 @@
         return sentAt;
     }
 
-    /** Returns its memory grant in MB. */
+    /** Returns the memory grant in MB. */
     public double memoryMb() {
         return memoryMb;
     }
 
-    /** Returns the seconds that it was expected to take when it was sent. */
+    /** Returns the latency expected at the time of sending, in seconds. */
     public double expectedLatency() {
         return expectedLatency;
     }
 
-    /** Returns the latency projected from its progress, in seconds; 0 without a report. */
+    /**
+     * Returns the latency projected from progress reports, in seconds; 0 before the first report.
+     */
     public double projectedLatency() {
         return projectedLatency;
     }
 
-    /** Sets the latency projected from its progress, in seconds. */
+    /** Sets the latency projected from a progress report, in seconds. */
     public void setProjectedLatency(double seconds) {
         projectedLatency = seconds;
     }
 
-    /** Returns true once its cancellation was requested. */
+    /** Returns true after its cancellation was requested. */
     public boolean isCancelled() {
         return cancelled;
     }
 
-    /** Notes that its cancellation was requested. */
+    /** Records that its cancellation was requested. */
     public void markCancelled() {
         cancelled = true;
     }
@@ -142,17 +144,20 @@
         return spilled;
     }
 
-    /** Notes that it reported a spill to disk. */
+    /** Records that it reported a spill to disk. */
     public void markSpilled() {
         spilled = true;
     }
 
-    /** Returns true once it has run for far longer than expected. */
+    /** Returns true after it was marked as running far longer than expected. */
     public boolean isOverlong() {
         return overlong;
     }
 
-    /** Notes that it has run for far longer than expected. */
+    /**
+     * Marks it as running far longer than expected; its threads are then excluded from the
+     * aggregate load of this dispatcher.
+     */
     public void markOverlong() {
         overlong = true;
         engine.inFlight().addOverlongThreads(request.queryClass().threads());
--- a/src/main/java/junipercourse/decision/state/ClassStatistics.java
+++ b/src/main/java/junipercourse/decision/state/ClassStatistics.java
@@ -2,12 +2,16 @@
 
 import junipercourse.decision.api.QueryClass;
 
-/** What is known of a query class: its latency, its cutoff, and how much of its traffic started. */
+/**
+ * Statistics of a query class: its latency, its cutoff, and the share of its requests that are
+ * started.
+ */
 public final class ClassStatistics {
-    /** Samples kept: enough to see a tail of a few per cent. */
+    /** Number of latency samples kept: enough to resolve a tail of a few per cent. */
     public static final int LATENCY_SAMPLES = 200;
 
-    private static final double INITIAL_GRANT_RATIO = 1.2; // a spill costs more than spare memory
+    // Above 1, since a spill costs more than unused memory.
+    private static final double INITIAL_GRANT_RATIO = 1.2;
 
     private final QueryClass queryClass;
     private final KaplanMeierEstimator latencyTail = new KaplanMeierEstimator(LATENCY_SAMPLES);
@@ -22,13 +26,13 @@
     private double startedWithinQuota;
     private double logGrantRatio = Math.log(INITIAL_GRANT_RATIO);
 
-    /** Creates the statistics of a class without traffic; its cutoff is its deadline. */
+    /** Creates statistics without samples; the initial cutoff is the deadline of the class. */
     public ClassStatistics(QueryClass queryClass) {
         this.queryClass = queryClass;
         this.cutoff = queryClass.deadlineSeconds();
     }
 
-    /** Returns the class. */
+    /** Returns the query class. */
     public QueryClass queryClass() {
         return queryClass;
     }
@@ -38,32 +42,36 @@
         return latencyTail;
     }
 
-    /** Returns the logarithm of latency over {@link PendingRequest#unloadedLatency()}. */
+    /**
+     * Returns the mean logarithm of latency divided by {@link PendingRequest#unloadedLatency()}.
+     */
     public RunningMean logSlowdown() {
         return logSlowdown;
     }
 
-    /** Returns the logarithm of {@link PendingRequest#unloadedLatency()}. */
+    /** Returns the mean logarithm of {@link PendingRequest#unloadedLatency()}. */
     public RunningMean logUnloadedLatency() {
         return logUnloadedLatency;
     }
 
-    /** Returns the latency of attempts in seconds. */
+    /** Returns the mean latency of attempts in seconds. */
     public RunningMean attemptLatency() {
         return attemptLatency;
     }
 
-    /** Returns the latency of restarted attempts in seconds. */
+    /** Returns the mean latency of restarted attempts in seconds. */
     public RunningMean restartLatency() {
         return restartLatency;
     }
 
-    /** Returns the estimated work of requests, in seconds of one thread. */
+    /** Returns the mean estimated work of requests, in seconds of one thread. */
     public RunningMean work() {
         return work;
     }
 
-    /** Returns the seconds after which a usual first attempt is cancelled and restarted. */
+    /**
+     * Returns the seconds after which a first attempt of typical size is cancelled and restarted.
+     */
     public double cutoff() {
         return cutoff;
     }
@@ -73,22 +81,22 @@
         cutoff = seconds;
     }
 
-    /** Returns recent arrivals; older ones count for less. */
+    /** Returns the number of recent arrivals, in which older ones have less weight. */
     public double arrivals() {
         return arrivals;
     }
 
-    /** Returns recent arrivals of tenants within their quota. */
+    /** Returns the same count for the arrivals within the quota of their tenant. */
     public double arrivalsWithinQuota() {
         return arrivalsWithinQuota;
     }
 
-    /** Returns how many of {@link #arrivalsWithinQuota()} have started. */
+    /** Returns the same count for the requests within quota whose first attempt was sent. */
     public double startedWithinQuota() {
         return startedWithinQuota;
     }
 
-    /** Returns the logarithm of the memory grant over the estimate. */
+    /** Returns the logarithm of the ratio of memory grant to memory estimate. */
     public double logGrantRatio() {
         return logGrantRatio;
     }
@@ -104,12 +112,12 @@
         startedWithinQuota += 1;
     }
 
-    /** Changes the logarithm of the memory grant over the estimate. */
+    /** Adds to the logarithm of the ratio of memory grant to memory estimate. */
     public void adjustGrantRatio(double logChange) {
         logGrantRatio += logChange;
     }
 
-    /** Reduces the counts of earlier traffic to a share of what they were. */
+    /** Multiplies the counts of arrivals and started requests by a factor below 1. */
     public void decay(double factor) {
         arrivals *= factor;
         arrivalsWithinQuota *= factor;
--- a/src/main/java/junipercourse/decision/state/DispatchState.java
+++ b/src/main/java/junipercourse/decision/state/DispatchState.java
@@ -7,14 +7,16 @@
 import junipercourse.decision.api.QueryClass;
 
 /**
- * What all parts of one decision module share. Each mutable object has its own invariants.
+ * The state that all components of one decision module share. Each mutable object maintains its own
+ * invariants.
  *
- * @param settings the module's settings
- * @param actions carries out what is decided
- * @param random the only source of random numbers; the order of draws is part of the behaviour
+ * @param settings settings of the module
+ * @param actions executes decisions
+ * @param random the only source of random numbers; decisions depend on the order in which they are
+ *     drawn
  * @param engines all engines
  * @param requests all requests
- * @param classes the statistics of all query classes, by position in the settings
+ * @param classes statistics of all query classes, indexed as in the settings
  */
 public record DispatchState(
         DecisionSettings settings,
@@ -24,7 +26,7 @@
         RequestTable requests,
         List<ClassStatistics> classes) {
 
-    /** Creates the state of a module that has seen no event. */
+    /** Creates the state of a module that has not received an event yet. */
     public static DispatchState create(
             DecisionSettings settings, long seed, DispatcherActions actions) {
         return new DispatchState(
--- a/src/main/java/junipercourse/decision/state/EngineHealth.java
+++ b/src/main/java/junipercourse/decision/state/EngineHealth.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * The signs of life and faults of one engine, and whether it is ejected. Changed by the outlier
- * detector and by the attempts themselves.
+ * Recent activity and errors of one engine, and whether it is ejected. Updated by the outlier
+ * detector and by attempts.
  */
 public final class EngineHealth {
     private final Set<Attempt> silentAttempts = new LinkedHashSet<>();
@@ -19,13 +19,13 @@
     private double nextProbationAt;
     private double ejectionBackoffSeconds;
 
-    /** Notes activity of any attempt: the engine does not hang. */
+    /** Records activity of an attempt, which shows that the engine does not hang. */
     public void recordActivity(double now) {
         lastActivityAt = now;
         silentAttempts.clear();
     }
 
-    /** Notes a complete answer. */
+    /** Records a complete answer, which resets the error counts. */
     public void recordAnswer(double now) {
         recordActivity(now);
         lastAnswerAt = now;
@@ -51,13 +51,13 @@
         return lastAnswerAt;
     }
 
-    /** Adds an attempt to those that wait without activity; returns their number. */
+    /** Adds an attempt that waits without activity; returns the number of such attempts. */
     public int addSilentAttempt(Attempt attempt) {
         silentAttempts.add(attempt);
         return silentAttempts.size();
     }
 
-    /** Notes that the engine hangs since a time. */
+    /** Records since when the engine hangs. */
     public void setSilentSince(double since) {
         silentSince = since;
     }
@@ -67,22 +67,25 @@
         return silentSince;
     }
 
-    /** Counts an error; returns how many there were since the last answer. */
+    /** Counts an error; returns the number of errors since the last answer. */
     public int addError() {
         return ++consecutiveErrors;
     }
 
-    /** Takes back an error that turned out to be the query's fault; returns those that remain. */
+    /**
+     * Subtracts an error that was caused by the query and not by the engine; returns the remaining
+     * number.
+     */
     public int removeError() {
         return --consecutiveErrors;
     }
 
-    /** Returns the errors since the last answer. */
+    /** Returns the number of errors since the last answer. */
     public int consecutiveErrors() {
         return consecutiveErrors;
     }
 
-    /** Counts a broken or refused connection; returns how many there were since the last answer. */
+    /** Counts a broken or refused connection; returns their number since the last answer. */
     public int addReset() {
         return ++consecutiveResets;
     }
@@ -92,28 +95,30 @@
         return ejected;
     }
 
-    /** Returns true if the engine was ejected because of its errors. */
+    /** Returns true if the engine was ejected because of errors. */
     public boolean isEjectedForErrors() {
         return ejectedForErrors;
     }
 
-    /** Returns the time from which an ejected engine may get a single attempt. */
+    /**
+     * Returns the time from which an ejected engine may receive a single attempt as a probation.
+     */
     public double nextProbationAt() {
         return nextProbationAt;
     }
 
-    /** Returns the seconds between probations. */
+    /** Returns the current backoff between probations, in seconds. */
     public double ejectionBackoffSeconds() {
         return ejectionBackoffSeconds;
     }
 
-    /** Schedules the next probation after so many seconds. */
+    /** Schedules the next probation after a backoff. */
     public void scheduleProbation(double now, double backoffSeconds) {
         ejectionBackoffSeconds = backoffSeconds;
         nextProbationAt = now + backoffSeconds;
     }
 
-    /** Ejects the engine. */
+    /** Ejects the engine; {@code forErrors} is true if that is because of errors. */
     public void eject(boolean forErrors) {
         ejected = true;
         ejectedForErrors = forErrors;
--- a/src/main/java/junipercourse/decision/state/EngineRegistry.java
+++ b/src/main/java/junipercourse/decision/state/EngineRegistry.java
@@ -9,11 +9,11 @@
 import junipercourse.decision.api.EngineId;
 
 /**
- * All engines that are listed or have an attempt in flight, in order of their ids, and the two
- * tiers. Bounded by the endpoint list.
+ * All engines that are listed or have an attempt in flight, ordered by id, and their assignment to
+ * the two tiers. The endpoint list bounds its size.
  */
 public final class EngineRegistry {
-    /** Share of the engines in the back tier: the design's default. */
+    /** Share of the engines that form the back tier. */
     public static final double BACK_TIER_SHARE = 0.25;
 
     private final Map<EngineId, EngineState> engines = new TreeMap<>();
@@ -24,17 +24,17 @@
     private double totalCores;
     private boolean knownToBeEmpty;
 
-    /** Returns all engines in order of their ids. */
+    /** Returns all engines, ordered by id. */
     public Collection<EngineState> all() {
         return Collections.unmodifiableCollection(engines.values());
     }
 
-    /** Returns an engine; null if it is unknown. */
+    /** Returns the engine with this id; null if it is unknown. */
     public EngineState find(EngineId id) {
         return engines.get(id);
     }
 
-    /** Returns an engine, which is added if it is unknown. */
+    /** Returns the engine with this id, and adds it if it is unknown. */
     public EngineState findOrAdd(EngineId id) {
         return engines.computeIfAbsent(id, EngineState::new);
     }
@@ -44,12 +44,12 @@
         engines.values().removeAll(removed);
     }
 
-    /** Returns the engines of a tier that are ready, in no particular order. */
+    /** Returns the ready engines of a tier, in no particular order. */
     public List<EngineState> readyEngines(Tier tier) {
         return Collections.unmodifiableList(tier == Tier.FRONT ? frontEngines : backEngines);
     }
 
-    /** Exchanges two engines of a tier, to draw from it at random. */
+    /** Swaps two ready engines of a tier by their positions, as a step of a random shuffle. */
     public void swap(Tier tier, int first, int second) {
         Collections.swap(tier == Tier.FRONT ? frontEngines : backEngines, first, second);
     }
@@ -59,29 +59,32 @@
         return frontEngines.size() + backEngines.size();
     }
 
-    /** Returns the cores of the back tier. */
+    /** Returns the number of cores of the ready engines in the back tier. */
     public double backCores() {
         return backCores;
     }
 
-    /** Returns the cores of both tiers. */
+    /** Returns the number of cores of all ready engines. */
     public double totalCores() {
         return totalCores;
     }
 
-    /** Returns true if a current endpoint list names no engine. */
+    /**
+     * Returns true if the endpoint list is empty and is not a cached copy, which may be out of
+     * date.
+     */
     public boolean isKnownToBeEmpty() {
         return knownToBeEmpty;
     }
 
-    /** Notes whether the endpoint list is current, after it has changed. */
+    /** Records whether the endpoint list is up to date, after an update was applied. */
     public void recordListUpdate(boolean isCurrent) {
         knownToBeEmpty = isCurrent && engines.values().stream().noneMatch(EngineState::isListed);
     }
 
     /**
-     * Assigns the listed engines to the tiers: the last quarter by id, at least one, is the back
-     * tier. All dispatchers make the same assignment.
+     * Assigns the listed engines to the tiers: the last quarter by id, but at least one engine, is
+     * the back tier. All dispatchers compute the same assignment.
      */
     public void assignTiers() {
         List<EngineState> listed = engines.values().stream().filter(EngineState::isListed).toList();
@@ -110,7 +113,10 @@
         totalCores += engine.cores();
     }
 
-    /** Returns the engines of each tier that all dispatchers prefer for a table group. */
+    /**
+     * Returns the engines of each tier that all dispatchers prefer for a table group, front tier
+     * first.
+     */
     public List<EngineState> preferredEngines(float tableGroup, int frontCount, int backCount) {
         return affinity.preferredEngines(
                 tableGroup, frontEngines, frontCount, backEngines, backCount);
--- a/src/main/java/junipercourse/decision/state/EngineState.java
+++ b/src/main/java/junipercourse/decision/state/EngineState.java
@@ -5,9 +5,10 @@
 import junipercourse.decision.api.EngineListing;
 import junipercourse.decision.api.EngineStage;
 
-/** What is known of an engine. */
+/** The state of one engine. */
 public final class EngineState {
-    private static final double CORES_PER_RATING_UNIT = 8; // if the kind does not state its cores
+    // Applies if the engine kind does not state its cores.
+    private static final double CORES_PER_RATING_UNIT = 8;
     private static final double MIN_RATING = 0.1;
 
     private final EngineId id;
@@ -31,32 +32,32 @@
         return id;
     }
 
-    /** Returns this dispatcher's work on the engine. */
+    /** Returns the attempts of this dispatcher at the engine. */
     public InFlightWork inFlight() {
         return inFlight;
     }
 
-    /** Returns other dispatchers' work on the engine. */
+    /** Returns the load that other dispatchers place on the engine. */
     public ExternalLoad externalLoad() {
         return externalLoad;
     }
 
-    /** Returns the engine's slow start. */
+    /** Returns the slow-start state of the engine. */
     public SlowStartState slowStart() {
         return slowStart;
     }
 
-    /** Returns the engine's health. */
+    /** Returns the health of the engine. */
     public EngineHealth health() {
         return health;
     }
 
-    /** Returns the engine's entry in the endpoint list; null if it is not listed. */
+    /** Returns the entry of the engine in the endpoint list; null if it is not listed. */
     public EngineListing listing() {
         return listing;
     }
 
-    /** Returns true if the endpoint list names the engine. */
+    /** Returns true if the endpoint list contains the engine. */
     public boolean isListed() {
         return listing != null;
     }
@@ -66,32 +67,32 @@
         return listing != null && listing.stage() == EngineStage.READY;
     }
 
-    /** Returns true if the engine completes its work and accepts no more. */
+    /** Returns true if the engine completes its queries and accepts no others. */
     public boolean isDraining() {
         return listing != null && listing.stage() == EngineStage.DRAINING;
     }
 
-    /** Returns the engine's tier. */
+    /** Returns the tier of the engine. */
     public Tier tier() {
         return tier;
     }
 
-    /** Returns the engine's cores. */
+    /** Returns the number of cores of the engine. */
     public double cores() {
         return cores;
     }
 
-    /** Returns the engine's memory in MB; 0 if unknown. */
+    /** Returns the memory of the engine in MB; 0 if unknown. */
     public double memoryMb() {
         return memoryMb;
     }
 
-    /** Returns the logarithm of recent latency over expectation. */
+    /** Returns the logarithm of the recent ratio of actual to expected latency. */
     public double logSlowdown() {
         return logSlowdown;
     }
 
-    /** Takes over a list entry and the engine's kind. */
+    /** Applies an entry of the endpoint list and the properties of its engine kind. */
     public void applyListing(EngineListing newListing, EngineKind kind) {
         listing = newListing.stage() == EngineStage.GONE ? null : newListing;
         cores =
@@ -101,17 +102,17 @@
         memoryMb = kind.memoryMb();
     }
 
-    /** Notes that the engine is no longer listed. */
+    /** Marks the engine as not listed. */
     public void clearListing() {
         listing = null;
     }
 
-    /** Forgets how slow the engine was: it has been restarted. */
+    /** Resets the measured slowdown after a restart of the engine. */
     public void resetSlowdown() {
         logSlowdown = 0;
     }
 
-    /** Changes the logarithm of recent latency over expectation. */
+    /** Adds to the logarithm of the recent ratio of actual to expected latency. */
     public void adjustSlowdown(double logChange) {
         logSlowdown += logChange;
     }
--- a/src/main/java/junipercourse/decision/state/EvaluationQueue.java
+++ b/src/main/java/junipercourse/decision/state/EvaluationQueue.java
@@ -2,12 +2,12 @@
 
 import java.util.PriorityQueue;
 
-/** Schedules requests for evaluation, each at the earliest time that was asked for. */
+/** Schedules requests for evaluation, each at the earliest requested time. */
 public final class EvaluationQueue {
     private final PriorityQueue<Entry> queue = new PriorityQueue<>();
     private long nextSequence;
 
-    /** An entry is void once its request was scheduled for another time. */
+    /** A scheduled evaluation. An entry is stale if its request has been rescheduled since. */
     private record Entry(double dueAt, long sequence, PendingRequest request)
             implements Comparable<Entry> {
         @Override
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Schedules a request, unless it is scheduled for an earlier time. */
+    /** Schedules an evaluation, unless one is already scheduled at the same time or earlier. */
     public void schedule(double dueAt, PendingRequest request) {
         if (dueAt < request.nextEvaluationAt()) {
             request.setNextEvaluationAt(dueAt);
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Removes and returns the next request that is due; null if there is none. */
+    /** Removes and returns the next request whose evaluation is due; null if there is none. */
     public PendingRequest poll(double now) {
         while (nextDueAt() <= now) {
             Entry entry = queue.poll();
--- a/src/main/java/junipercourse/decision/state/InFlightWork.java
+++ b/src/main/java/junipercourse/decision/state/InFlightWork.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The attempts of this dispatcher that are in flight at one engine, and what they use there. */
+/**
+ * The attempts of this dispatcher in flight at one engine, and the threads and memory that they
+ * use.
+ */
 public final class InFlightWork {
     private final Map<Float, Integer> loadCountsByTableGroup = new HashMap<>();
     private int attemptCount;
--- a/src/main/java/junipercourse/decision/state/KaplanMeierEstimator.java
+++ b/src/main/java/junipercourse/decision/state/KaplanMeierEstimator.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 
 /**
- * The Kaplan-Meier (product-limit) estimate of a survival function from the most recent samples,
- * some of them censored.
+ * Kaplan-Meier (product-limit) estimator of a survival function from the most recent samples, some
+ * of which are censored.
  */
 public final class KaplanMeierEstimator {
     private final double[] values;
@@ -18,7 +18,7 @@
     /**
      * Creates an estimator without samples.
      *
-     * @param capacity number of samples that are kept
+     * @param capacity maximum number of samples kept
      */
     public KaplanMeierEstimator(int capacity) {
         values = new double[capacity];
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Adds a sample in place of the oldest one.
+     * Adds a sample; at capacity, it replaces the oldest one.
      *
-     * @param isCensored true if the true value is at least {@code value}
+     * @param isCensored true if {@code value} is only a lower bound of the actual value
      */
     public void add(double value, boolean isCensored) {
         int slot = totalSamples++ % values.length;
@@ -43,7 +43,7 @@
         return Math.min(totalSamples, values.length);
     }
 
-    /** Returns the share that outlives a value; 1 without samples. */
+    /** Returns the estimated share of samples above a value; 1 without samples. */
     public double survival(double value) {
         sortIfStale();
         int position = Arrays.binarySearch(sortedValues, 0, size(), value);
--- a/src/main/java/junipercourse/decision/state/KeyedRequestQueues.java
+++ b/src/main/java/junipercourse/decision/state/KeyedRequestQueues.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * The requests of each key in order of arrival, for classes that are {@link
- * junipercourse.decision.api.QueryClass#orderedByKey}. Bounded by the open requests; idle keys are
- * removed by {@link #removeIdleKeys}.
+ * Queues the requests of each key in order of arrival, for classes that are {@link
+ * junipercourse.decision.api.QueryClass#orderedByKey}. The number of open requests bounds its size;
+ * {@link #removeIdleKeys} removes idle keys.
  */
 public final class KeyedRequestQueues {
     private final Map<Long, KeyQueue> queues = new HashMap<>();
@@ -22,7 +22,7 @@
         return request.queryClass().orderedByKey() ? queues.get(request.query().key()) : null;
     }
 
-    /** Appends a request to the queue of its key, if it has one. */
+    /** Appends a request to the queue of its key, if its class is ordered by key and it has one. */
     public void add(PendingRequest request) {
         if (request.queryClass().orderedByKey() && request.query().key() != 0) {
             queues.computeIfAbsent(request.query().key(), key -> new KeyQueue())
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Returns true if a request is the first of its key and the key is not blocked. */
+    /**
+     * Returns true if a request is the first in the queue of its key and the key is not blocked, or
+     * if it is not ordered by key. A block does not apply to a request that already had an attempt.
+     */
     public boolean isNextForKey(double now, PendingRequest request) {
         KeyQueue queue = findQueue(request);
         if (queue == null) {
@@ -41,7 +44,9 @@
         return queue.requests.peek() == request && isUnblocked;
     }
 
-    /** Blocks the key of a request for others until a time: an attempt may still run. */
+    /**
+     * Blocks the key of a request for other requests until a time, since an attempt may still run.
+     */
     public void blockKey(PendingRequest request, double until) {
         KeyQueue queue = findQueue(request);
         if (queue != null) {
@@ -49,7 +54,7 @@
         }
     }
 
-    /** Removes a request. */
+    /** Removes a request from the queue of its key. */
     public void remove(PendingRequest request) {
         KeyQueue queue = findQueue(request);
         if (queue != null) {
@@ -57,7 +62,7 @@
         }
     }
 
-    /** Removes the keys without requests that are no longer blocked. */
+    /** Removes the keys that have no requests and are not blocked. */
     public void removeIdleKeys(double now) {
         queues.values().removeIf(queue -> queue.requests.isEmpty() && now > queue.blockedUntil);
     }
--- a/src/main/java/junipercourse/decision/state/PendingRequest.java
+++ b/src/main/java/junipercourse/decision/state/PendingRequest.java
@@ -8,7 +8,7 @@
 import junipercourse.decision.api.QueryClass;
 import junipercourse.decision.api.QueryRequest;
 
-/** A request from its arrival until it has its final answer and none of its attempts is left. */
+/** A request, from its arrival until it has its final answer and all of its attempts have ended. */
 public final class PendingRequest {
     private final Map<Integer, Attempt> outstandingAttempts = new LinkedHashMap<>();
     private final List<EngineState> candidateEngines = new ArrayList<>();
@@ -35,9 +35,9 @@
      * Creates a request.
      *
      * @param receivedAt time of arrival
-     * @param sequence order of arrival
+     * @param sequence position in the order of arrival
      * @param overQuota whether its tenant is over quota
-     * @param admissionDraw random number from 0 to 1 that decides fractional admission
+     * @param admissionDraw random number from 0 to 1 for probabilistic admission
      */
     public PendingRequest(
             QueryRequest query,
@@ -54,17 +54,17 @@
         this.admissionDraw = admissionDraw;
     }
 
-    /** Returns the request as the client sent it. */
+    /** Returns the query as the client sent it. */
     public QueryRequest query() {
         return query;
     }
 
-    /** Returns its class. */
+    /** Returns its query class. */
     public QueryClass queryClass() {
         return classStatistics.queryClass();
     }
 
-    /** Returns the statistics of its class. */
+    /** Returns the statistics of its query class. */
     public ClassStatistics classStatistics() {
         return classStatistics;
     }
@@ -74,7 +74,7 @@
         return receivedAt;
     }
 
-    /** Returns the order of arrival. */
+    /** Returns its position in the order of arrival. */
     public long sequence() {
         return sequence;
     }
@@ -84,7 +84,7 @@
         return overQuota;
     }
 
-    /** Returns the random number, 0 to 1, that decides fractional admission. */
+    /** Returns the random number, from 0 to 1, for probabilistic admission. */
     public double admissionDraw() {
         return admissionDraw;
     }
@@ -94,17 +94,20 @@
         return query.tableGroup();
     }
 
-    /** Returns the time from which its final answer is due. */
+    /** Returns the time at which its final answer is due, shortly before the deadline. */
     public double answerDueAt() {
         return query.deadlineAt() - DecisionDefaults.ANSWER_LEAD_SECONDS;
     }
 
-    /** Returns true if the client stated an estimate of its work. */
+    /** Returns true if the client sent an estimate of its work. */
     public boolean hasCostEstimate() {
         return query.costEstimate() > 0;
     }
 
-    /** Returns the seconds that it would take alone by its estimate; 1 without an estimate. */
+    /**
+     * Returns the latency on an idle engine according to the estimate, in seconds; 1 without an
+     * estimate.
+     */
     public double unloadedLatency() {
         return hasCostEstimate() ? query.costEstimate() / queryClass().threads() : 1;
     }
@@ -114,7 +117,7 @@
         return candidateEngines;
     }
 
-    /** Returns the attempt that it waits for; null if there is none. */
+    /** Returns the attempt whose result it waits for; null if there is none. */
     public Attempt activeAttempt() {
         return activeAttempt;
     }
@@ -124,12 +127,12 @@
         return firstExecutedAttempt;
     }
 
-    /** Returns true if an attempt has not ended yet. */
+    /** Returns true if at least one attempt has not ended yet. */
     public boolean hasOutstandingAttempts() {
         return !outstandingAttempts.isEmpty();
     }
 
-    /** Removes an attempt that has ended; returns null if there is no such attempt. */
+    /** Removes and returns an attempt that has ended; null if there is no such attempt. */
     public Attempt removeOutstandingAttempt(int number) {
         return outstandingAttempts.remove(number);
     }
@@ -139,22 +142,22 @@
         return attemptCount;
     }
 
-    /** Returns the number of attempts of which an engine may have received something. */
+    /** Returns the number of attempts of which an engine may have received at least one byte. */
     public int sentAttemptCount() {
         return attemptCount - notSentCount;
     }
 
-    /** Returns true if its next attempt restarts one that was cancelled at its cutoff. */
+    /** Returns true if its next attempt is a restart of one that exceeded its cutoff. */
     public boolean isRestarting() {
         return restarting;
     }
 
-    /** Notes that its next attempt is a restart. */
+    /** Marks its next attempt as a restart. */
     public void markRestarting() {
         restarting = true;
     }
 
-    /** Returns true once it has its final answer. */
+    /** Returns true after it got its final answer. */
     public boolean isClosed() {
         return closed;
     }
@@ -163,33 +166,36 @@
         closed = true;
     }
 
-    /** Returns true once the response to the client has begun. */
+    /** Returns true after the response to the client has begun. */
     public boolean isResponding() {
         return responding;
     }
 
-    /** Binds it to its active attempt, which can no longer be cancelled or restarted. */
+    /**
+     * Records that the response to the client has begun: the active attempt can no longer be
+     * cancelled or restarted.
+     */
     public void startResponse() {
         activeAttempt = null;
         responding = true;
     }
 
-    /** Returns the engine of its last attempt; null before the first. */
+    /** Returns the engine of its previous attempt; null if there is none. */
     public EngineState previousEngine() {
         return previousEngine;
     }
 
-    /** Notes the engine of its last attempt. */
+    /** Sets the engine of its previous attempt. */
     public void setPreviousEngine(EngineState engine) {
         previousEngine = engine;
     }
 
-    /** Returns its errors. */
+    /** Returns the errors of its attempts. */
     public QueryFaults faults() {
         return faults;
     }
 
-    /** Returns its priority in the admission queue; the highest is served first. */
+    /** Returns its priority in the admission queue; requests with a higher priority start first. */
     public double priority() {
         return priority;
     }
@@ -199,12 +205,12 @@
         priority = value;
     }
 
-    /** Returns the time until which it waits for the load reports of its candidates. */
+    /** Returns the time until which it waits for load probes of its candidates. */
     public double awaitReportsUntil() {
         return awaitReportsUntil;
     }
 
-    /** Makes it wait for the load reports of its candidates. */
+    /** Sets the time until which it waits for load probes of its candidates. */
     public void awaitReports(double until) {
         awaitReportsUntil = until;
     }
--- a/src/main/java/junipercourse/decision/state/QueryFaults.java
+++ b/src/main/java/junipercourse/decision/state/QueryFaults.java
@@ -1,6 +1,6 @@
 package junipercourse.decision.state;
 
-/** The errors of one request, and which engine is blamed for them. */
+/** The errors of one request, and the engine that they are attributed to. */
 public final class QueryFaults {
     private int errors;
     private boolean poisonQuery;
@@ -16,22 +16,25 @@
         errors++;
     }
 
-    /** Returns true if the query fails at any engine, so that no engine is at fault. */
+    /**
+     * Returns true if this is a poison query: it fails at any engine, so its errors do not count
+     * against engines.
+     */
     public boolean isPoisonQuery() {
         return poisonQuery;
     }
 
-    /** Notes that the query fails at any engine. */
+    /** Marks the query as a poison query. */
     public void markPoisonQuery() {
         poisonQuery = true;
     }
 
-    /** Returns the engine that is blamed; null if there is none. */
+    /** Returns the engine that the errors are attributed to; null if there is none. */
     public EngineState blamedEngine() {
         return blamedEngine;
     }
 
-    /** Notes the engine that is blamed. */
+    /** Sets the engine that the errors are attributed to. */
     public void blame(EngineState engine) {
         blamedEngine = engine;
     }
--- a/src/main/java/junipercourse/decision/state/RendezvousAffinity.java
+++ b/src/main/java/junipercourse/decision/state/RendezvousAffinity.java
@@ -7,20 +7,23 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Rendezvous hashing: all dispatchers prefer the same engines of each tier for a table group. */
+/**
+ * Selects preferred engines for a table group by rendezvous hashing, so that all dispatchers prefer
+ * the same engines of each tier.
+ */
 public final class RendezvousAffinity {
-    private static final int MAX_CACHED_GROUPS = 4096; // bounds memory
+    private static final int MAX_CACHED_GROUPS = 4096; // limits memory use
     private static final int ID_MULTIPLIER = 31;
 
     private final Map<Float, List<EngineState>> cache = new HashMap<>();
 
-    /** Drops all results; must be called when a tier changes. */
+    /** Clears the cached results. Must be called whenever the engines of a tier change. */
     public void clear() {
         cache.clear();
     }
 
     /**
-     * Returns the first engines of the front tier by hash, then the first ones of the back tier.
+     * Returns the front tier engines with the lowest hashes, followed by those of the back tier.
      */
     public List<EngineState> preferredEngines(
             float tableGroup,
--- a/src/main/java/junipercourse/decision/state/RequestTable.java
+++ b/src/main/java/junipercourse/decision/state/RequestTable.java
@@ -10,12 +10,12 @@
 import junipercourse.decision.api.RequestId;
 
 /**
- * All requests that are open or have an attempt in flight, and those of them that wait for an
- * engine. Bounded by {@link #limitOpenRequests}.
+ * All requests that are open or have an attempt in flight, and the list of those that wait for an
+ * engine. {@link #limitOpenRequests} limits its size.
  */
 public final class RequestTable {
-    private static final int MIN_WAITING_REQUESTS =
-            4; // may always wait: capacity frees up within milliseconds
+    // So many may always wait, since capacity becomes free within milliseconds.
+    private static final int MIN_WAITING_REQUESTS = 4;
 
     private final Map<RequestId, PendingRequest> requests = new HashMap<>();
     private final List<PendingRequest> waiting = new ArrayList<>();
@@ -24,7 +24,7 @@
     private int maxOpenRequests = Integer.MAX_VALUE;
     private boolean admissionDue;
 
-    /** Returns the order of requests by key. */
+    /** Returns the queues of requests that are ordered by key. */
     public KeyedRequestQueues keyedQueues() {
         return keyedQueues;
     }
@@ -34,7 +34,10 @@
         return evaluations;
     }
 
-    /** Bounds the open requests; those that wait with the lowest priority are shed above it. */
+    /**
+     * Limits the number of open requests; above it, waiting requests with the lowest priority are
+     * shed.
+     */
     public void limitOpenRequests(int limit) {
         maxOpenRequests = limit;
     }
@@ -45,25 +48,28 @@
         keyedQueues.add(request);
     }
 
-    /** Returns a request; null if there is no such request. */
+    /** Returns the request with this id; null if there is none. */
     public PendingRequest find(RequestId id) {
         return requests.get(id);
     }
 
-    /** Returns an attempt if its request waits for it; null otherwise. */
+    /**
+     * Returns the attempt with this number if it is the active attempt of its request; null
+     * otherwise.
+     */
     public Attempt findActiveAttempt(RequestId id, int number) {
         PendingRequest request = requests.get(id);
         Attempt active = request == null ? null : request.activeAttempt();
         return active != null && active.number() == number ? active : null;
     }
 
-    /** Notes that a request has its final answer; its attempts may still be in flight. */
+    /** Marks a request as closed: it has its final answer, but attempts may still be in flight. */
     public void close(PendingRequest request) {
         request.close();
         waiting.remove(request);
     }
 
-    /** Removes a request that is closed and has no attempt in flight. */
+    /** Removes a request if it is closed and has no attempt in flight. */
     public void removeIfDone(PendingRequest request) {
         if (request.isClosed() && !request.hasOutstandingAttempts()) {
             requests.remove(request.query().id());
@@ -72,7 +78,7 @@
         }
     }
 
-    /** Makes a request wait for an engine. */
+    /** Adds a request to those that wait for an engine. */
     public void enqueue(PendingRequest request) {
         waiting.add(request);
         scheduleAdmission();
@@ -83,34 +89,40 @@
         return Collections.unmodifiableList(waiting);
     }
 
-    /** Sorts the waiting requests by priority, then by arrival. */
+    /** Sorts the waiting requests by descending priority, then by arrival. */
     public void sortWaiting() {
         waiting.sort(
                 Comparator.<PendingRequest>comparingDouble(request -> -request.priority())
                         .thenComparingLong(PendingRequest::sequence));
     }
 
-    /** Offers the waiting requests in order and removes those that were started. */
+    /**
+     * Calls {@code tryStart} for each waiting request in order, and removes those that it has
+     * started.
+     */
     public void removeIfStarted(Predicate<PendingRequest> tryStart) {
         waiting.removeIf(tryStart);
     }
 
-    /** Returns the waiting request to shed next; null while the bound is kept. */
+    /** Returns the next waiting request to shed; null if the limit is not exceeded. */
     public PendingRequest nextToShed() {
         boolean isLimitExceeded =
                 waiting.size() > MIN_WAITING_REQUESTS && requests.size() > maxOpenRequests;
         return isLimitExceeded ? waiting.get(waiting.size() - 1) : null;
     }
 
-    /** Notes that something has changed so that waiting requests may start. */
+    /**
+     * Schedules an admission pass: the state has changed in a way that may let waiting requests
+     * start.
+     */
     public void scheduleAdmission() {
         admissionDue = true;
     }
 
-    /** Returns whether waiting requests may start, and resets it. */
+    /** Returns whether an admission pass is scheduled, and clears that. */
     public boolean pollAdmissionDue() {
-        boolean due = admissionDue;
+        boolean wasDue = admissionDue;
         admissionDue = false;
-        return due;
+        return wasDue;
     }
 }
--- a/src/main/java/junipercourse/decision/state/RunningMean.java
+++ b/src/main/java/junipercourse/decision/state/RunningMean.java
@@ -1,11 +1,11 @@
 package junipercourse.decision.state;
 
-/** An exponentially weighted mean that is unknown until its first sample. */
+/** Exponentially weighted moving mean, which is unknown until the first sample. */
 public final class RunningMean {
     private boolean known;
     private double value;
 
-    /** Returns true once a sample was added. */
+    /** Returns true after the first sample. */
     public boolean isKnown() {
         return known;
     }
@@ -15,12 +15,12 @@
         return value;
     }
 
-    /** Returns the mean, or a default as long as it is unknown. */
+    /** Returns the mean, or a default value if it is unknown. */
     public double valueOr(double defaultValue) {
         return known ? value : defaultValue;
     }
 
-    /** Adds a sample; the first one becomes the mean. */
+    /** Adds a sample; the first one sets the mean. */
     public void add(double sample) {
         value = known ? value + DecisionDefaults.SAMPLE_WEIGHT * (sample - value) : sample;
         known = true;
--- a/src/main/java/junipercourse/decision/state/SlowStartState.java
+++ b/src/main/java/junipercourse/decision/state/SlowStartState.java
@@ -1,12 +1,12 @@
 package junipercourse.decision.state;
 
-/** When an engine started and how much of its slow-start budget this dispatcher may use. */
+/** The start time of an engine, and how much of its slow-start budget this dispatcher may use. */
 public final class SlowStartState {
     private double startedAt = Double.NEGATIVE_INFINITY;
     private double refilledAt;
     private double credit;
 
-    /** Returns the time of the engine's start; negative infinity if it has been up for long. */
+    /** Returns the time at which the engine started; negative infinity if that was long ago. */
     public double startedAt() {
         return startedAt;
     }
@@ -16,23 +16,23 @@
         return refilledAt;
     }
 
-    /** Returns the credit in seconds of work; below 0 nothing may be sent. */
+    /** Returns the credit in seconds of work; while it is negative, nothing may be sent. */
     public double credit() {
         return credit;
     }
 
-    /** Moves the start to a later time; an earlier one is ignored. */
+    /** Sets a later start time; an earlier one is ignored. */
     public void restart(double newStartedAt) {
         startedAt = Math.max(startedAt, newStartedAt);
         refilledAt = startedAt;
     }
 
-    /** Sets the credit with which the slow start begins. */
+    /** Sets the credit at the beginning of the slow start. */
     public void setCredit(double initialCredit) {
         credit = initialCredit;
     }
 
-    /** Adds credit, up to 0. */
+    /** Adds credit; the total never exceeds 0. */
     public void refill(double now, double addedCredit) {
         credit = Math.min(0, credit + addedCredit);
         refilledAt = now;
--- a/src/main/java/junipercourse/decision/state/package-info.java
+++ b/src/main/java/junipercourse/decision/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the decision module remembers: engines, requests, attempts and the statistics of each query
- * class. Nothing is decided here. Depends on {@link junipercourse.decision.api} only.
+ * The state of the decision module: engines, requests, attempts and the statistics of each query
+ * class. It contains no decisions. Depends on {@link junipercourse.decision.api} only.
  */
 package junipercourse.decision.state;
