--- a/src/main/java/junipercourse/decision/AttemptEventHandler.java
+++ b/src/main/java/junipercourse/decision/AttemptEventHandler.java
@@ -68,7 +68,7 @@
         }
         state.requests().scheduleAdmission();
         AttemptOutcome outcome = result.outcome();
-        lifecycle.feedback().record(now, attempt, result);
+        lifecycle.feedback().recordResult(now, attempt, result);
         attempt.end(outcome);
         if (outcome != AttemptOutcome.REJECTED) { // the cores of an engine at its limit may be idle
             boolean slowed = lifecycle.feedback().wasSlowedByCongestion(now, attempt);
