--- a/src/main/java/junipercourse/net/AcceptBacklog.java
+++ b/src/main/java/junipercourse/net/AcceptBacklog.java
@@ -10,13 +10,13 @@
 import java.util.Locale;
 
 /**
- * How many connections wait at a listening socket without having been accepted, as Linux tells it
- * in {@code /proc/net/tcp} and {@code tcp6}: for a listening socket the receive queue counts them
+ * Counts the connections that wait unaccepted at a listening socket, as Linux reports them in
+ * {@code /proc/net/tcp} and {@code tcp6}: for a listening socket the receive queue counts them
  * (proc(5)).
  *
- * <p>Asked only after a stall: XNIO's acceptor, once it has a bound, hands over what waits in
- * several passes (43 and, 30 ms later, 107 of 150 were seen), and offers no way to ask whether more
- * is to come.
+ * <p>Read only after a stall or a backlog: the XNIO acceptor, once it has a limit, hands over
+ * waiting connections in several passes (43 and, 30 ms later, 107 of 150 were observed), and offers
+ * no way to find out whether more follow.
  */
 final class AcceptBacklog {
     private static final List<Path> TABLES =
@@ -24,14 +24,14 @@
     private static final String STATE_LISTEN = "0A";
 
     /**
-     * Listening sockets come first; guards the loop against a machine with a hundred thousand
-     * others.
+     * Listening sockets come first; the limit protects the loop on a machine with a hundred
+     * thousand other sockets.
      */
     private static final int MAX_LINES = 2000;
 
     private AcceptBacklog() {}
 
-    /** The number at an address; -1 where the system does not tell. */
+    /** The number of connections waiting at an address; -1 if the system does not report it. */
     static int countWaiting(InetSocketAddress listening) {
         for (Path table : TABLES) {
             try (BufferedReader reader =
@@ -41,17 +41,17 @@
                     return waiting;
                 }
             } catch (IOException | IllegalArgumentException e) {
-                continue; // another system, or IPv6 is off: the other table, or no answer
+                continue; // another system, or IPv6 is off: try the other table
             }
         }
         return -1;
     }
 
-    /** Finds the address in a table; -1 if it does not listen there. */
+    /** Finds the number for an address in a table; -1 if nothing listens on it there. */
     static int findWaiting(BufferedReader table, InetSocketAddress listening) throws IOException {
         byte[] addressBytes = listening.getAddress().getAddress();
         StringBuilder hexAddress =
-                new StringBuilder(); // four bytes are written as one little-endian number
+                new StringBuilder(); // each four bytes are one little-endian number
         for (int i = addressBytes.length - 1; i >= addressBytes.length - 4; i--) {
             hexAddress.append(String.format("%02X", addressBytes[i]));
         }
--- a/src/main/java/junipercourse/net/Clock.java
+++ b/src/main/java/junipercourse/net/Clock.java
@@ -2,9 +2,9 @@
 
 import java.time.Instant;
 
-/** The two clocks of a machine. Tests put others in their place. */
+/** The two clocks of a machine. Tests replace them. */
 public interface Clock {
-    /** Those of the system. */
+    /** The clocks of the system. */
     Clock SYSTEM =
             new Clock() {
                 @Override
@@ -14,14 +14,17 @@
 
                 @Override
                 public double unixSeconds() {
-                    Instant t = Instant.now();
-                    return t.getEpochSecond() + t.getNano() / 1e9;
+                    Instant now = Instant.now();
+                    return now.getEpochSecond() + now.getNano() / 1e9;
                 }
             };
 
-    /** Seconds from some point; never steps, and stands still while the machine is suspended. */
+    /**
+     * Seconds since an arbitrary origin; never steps, and stands still while the machine is
+     * suspended.
+     */
     double monotonicSeconds();
 
-    /** Unix time in seconds; may step either way. */
+    /** Unix time in seconds; may step in either direction. */
     double unixSeconds();
 }
--- a/src/main/java/junipercourse/net/Connection.java
+++ b/src/main/java/junipercourse/net/Connection.java
@@ -12,29 +12,27 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A connection with a handler: bytes go to the handler as they come, and what is written waits
- * until the peer takes it ({@link WriteQueue}). It is given back in one place, {@link #close}.
+ * A connection with a handler: received bytes go to the handler, and written bytes wait until the
+ * peer accepts them ({@link WriteQueue}). It is released in one place, {@link #close}.
  */
 public final class Connection {
-    private static final int MAX_READS_PER_EVENT =
-            8; // so that no one peer keeps the thread to itself
+    private static final int MAX_READS_PER_EVENT = 8; // so that no peer monopolizes the thread
 
-    /** What happens on a link. */
+    /** Receives the events of a connection. */
     public interface Handler {
-        /** Bytes have come; all of them are to be consumed or copied. */
+        /** Bytes were received; the handler must consume or copy all of them. */
         void received(ByteBuffer bytes);
 
         /**
-         * The peer has closed, or the connection broke; not called after {@link Connection#close}.
+         * The peer closed the connection, or it broke; not called after {@link Connection#close}.
          */
         void disconnected();
 
-        /** All that was written has gone out. */
+        /** All written bytes have been sent. */
         default void flushed() {}
 
         /**
-         * An exception in the handler has cost this connection, which is closed; it is to be
-         * counted.
+         * The handler threw an exception, which is to be counted; the connection has been closed.
          */
         void handlerFailed();
     }
@@ -62,13 +60,13 @@
         source.setReadListener(c -> readable());
         sink.setWriteListener(c -> writable());
         arrival = loop.arrival();
-        assumeUnread(arrival.earliest()); // it may have brought bytes with it
+        assumeUnread(arrival.earliest()); // its first bytes may be here already
         source.resumeReads();
     }
 
-    /** Bytes may lie there that came since then, until a whole pass from now on has found none. */
-    private void assumeUnread(double sinceSeconds) {
-        unreadSince = sinceSeconds;
+    /** Assumes that bytes since then are unread until a whole later pass has found none. */
+    private void assumeUnread(double since) {
+        unreadSince = since;
         assumedUnreadAt = loop.now();
     }
 
@@ -82,7 +80,7 @@
                 : loopArrival;
     }
 
-    /** When the bytes that were read last have come. */
+    /** The interval in which the bytes that were read last arrived. */
     public ArrivalInterval arrival() {
         return arrival;
     }
@@ -105,7 +103,7 @@
                 readBuffer.flip();
                 handler.received(readBuffer);
             }
-            if (!closed) { // what is left came after what was read
+            if (!closed) { // the rest arrived after the bytes just read
                 assumeUnread(arrival.earliest());
             }
         } catch (IOException e) {
@@ -129,16 +127,14 @@
         }
     }
 
-    /**
-     * Takes in at once what has come, as if its turn had come; nothing while reading is stopped.
-     */
+    /** Reads available bytes now, ahead of the event; does nothing while reading is disabled. */
     public void readNow() {
         if (!closed && source.isReadResumed()) {
             readable();
         }
     }
 
-    /** Whether it is open and nothing has come that was not read; what has come is lost. */
+    /** Whether the connection is open and has no unread bytes; bytes that are found are lost. */
     public boolean isOpenWithoutInput() {
         try {
             readBuffer.clear();
@@ -148,7 +144,7 @@
         }
     }
 
-    /** Reading stops while a peer sends more than can be taken. */
+    /** Disables reading while a peer sends more than can be processed, and enables it again. */
     public void setReadingEnabled(boolean enabled) {
         if (closed) {
             return;
@@ -162,7 +158,7 @@
     }
 
     /**
-     * Queues bytes for the peer and sends what it takes now. The array is not to be changed
+     * Queues bytes for the peer and sends as many as it accepts now. The array must not be changed
      * afterwards.
      */
     public void write(byte[] bytes) {
@@ -173,7 +169,7 @@
         flush();
     }
 
-    /** Bytes that the peer has not taken yet. */
+    /** Bytes that the peer has not accepted yet. */
     public long unsentBytes() {
         return unsent.unsentBytes();
     }
@@ -194,17 +190,16 @@
             }
             sink.suspendWrites();
         } catch (IOException e) {
-            // Told through the reading side's turn: a caller in the middle of its work is not
-            // called back.
+            // Reported by a later task: the caller must not be called back while it is working.
             unsent.clear();
             loop.execute(this::fail);
         }
     }
 
     /**
-     * Ends the connection in order, with last words; the handler hears nothing more. For use right
-     * after {@link #readNow}: whatever this process does in between, or is kept from doing by a
-     * stop, is time in which a query may come that nobody would read.
+     * Closes in order after {@code finalBytes}; the handler is not called again. To be called right
+     * after {@link #readNow}: a query that arrives in between, also while this process is
+     * suspended, would never be read.
      */
     public LingeringClose closeLingering(byte[] finalBytes, Consumer<LingeringClose> onClosing) {
         markClosed();
@@ -215,9 +210,9 @@
     }
 
     /**
-     * Closes; the handler hears nothing more. The system call comes after this pass over the
-     * sockets: so what is accepted later in this pass cannot meet descriptors that are closed but
-     * not given back yet.
+     * Closes; the handler is not called again. The system call follows after this selector pass, so
+     * that connections accepted later in the pass cannot meet descriptors that are closed but not
+     * released yet.
      */
     public void close() {
         if (markClosed()) {
@@ -234,14 +229,13 @@
     }
 
     /**
-     * Closes with a reset, which empties the kernel's buffer: an orderly close would still deliver
-     * what lies there, across a cut network when that heals. Also good after {@link #close} in the
-     * same pass.
+     * Closes with a reset, which empties the kernel buffer: an orderly close would still deliver
+     * its bytes when a cut network heals. May also be called after {@link #close} in the same pass.
      */
     public void abort() {
         try {
             connection.setOption(Options.CLOSE_ABORT, true);
-        } catch (IOException e) { // it is closed already
+        } catch (IOException e) { // already closed
             Logger.debug("a connection could not be reset: {}", e.getMessage());
         }
         close();
--- a/src/main/java/junipercourse/net/DeadlineQueue.java
+++ b/src/main/java/junipercourse/net/DeadlineQueue.java
@@ -2,12 +2,12 @@
 
 import java.util.TreeSet;
 
-/** All deadlines, in one ordered set. */
+/** The deadlines of an event loop, ordered by time, then by insertion. */
 public final class DeadlineQueue {
     private final TreeSet<Entry> entries = new TreeSet<>();
     private long nextSequence;
 
-    /** One deadline. */
+    /** A scheduled deadline. */
     public static final class Entry implements Comparable<Entry> {
         private final double time;
         private final long sequence;
@@ -39,12 +39,12 @@
         }
     }
 
-    /** The time of the next deadline; infinite without any. */
+    /** The time of the next deadline; infinite if there is none. */
     double nextTime() {
         return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.first().time;
     }
 
-    /** Takes out the first task that is due, or null. */
+    /** Removes and returns the first task that is due, or null. */
     Runnable pollDue(double now) {
         return nextTime() <= now ? entries.pollFirst().task : null;
     }
--- a/src/main/java/junipercourse/net/DescriptorBudget.java
+++ b/src/main/java/junipercourse/net/DescriptorBudget.java
@@ -5,13 +5,12 @@
 import java.util.StringJoiner;
 
 /**
- * The descriptors of the process: each share of them has its bound, and all bounds together stay
- * below the limit, so that the limit is never met, whatever clients, engines and the event bus do
- * at once.
+ * The file descriptors of the process: each share has a limit, and all of them together stay below
+ * the limit of the process, so that it is never reached, whatever clients, engines and the event
+ * bus do at once.
  *
- * <p>A connection that is closed holds its descriptor until the selector has looked at its sockets
- * once more. Up to a share's slack such ones are not counted; those beyond it are, until they are
- * gone.
+ * <p>A closed connection occupies its descriptor until the next selector pass. Up to the slack of a
+ * share such descriptors are not counted; those beyond it are, until they are released.
  */
 public final class DescriptorBudget {
     private final int limit;
@@ -21,60 +20,60 @@
     private int allowed;
 
     /**
-     * @param limit what the process may hold
-     * @param own what is not given out here: files of the JVM, selector, pipe, event bus, listening
-     *     sockets
+     * @param limit the maximum number of descriptors of the process
+     * @param reserved descriptors that are not allocated here: files of the JVM, selector, pipe,
+     *     event bus, listening sockets
      */
     public DescriptorBudget(int limit, int reserved) {
         if (reserved >= limit) {
             throw new IllegalArgumentException(
                     "limits.sockets: "
                             + limit
-                            + " leaves nothing beside "
+                            + " leaves none beside the "
                             + reserved
-                            + " of our own");
+                            + " reserved descriptors");
         }
         this.limit = limit;
         this.reserved = reserved;
         this.allowed = limit;
     }
 
-    /** What is open or closing now, with all that is our own. */
+    /** Descriptors that are open or closing now, including the reserved ones. */
     public int used() {
-        return reserved + shares.stream().mapToInt(s -> s.openCount + s.markClosing).sum();
+        return reserved + shares.stream().mapToInt(s -> s.openCount + s.closingCount).sum();
     }
 
-    /** What this process may hold for now; its limit while it is alone. */
+    /** How many descriptors this process may use for now; its limit while it has no siblings. */
     public int allowed() {
         return allowed;
     }
 
     /**
-     * What a process may claim beside another: half of what neither claims, so that both get some.
-     * Claims are made one at a time, and each is told before it is used: so all together stay below
-     * the limit.
+     * Computes the claim of a process that has siblings: its own plus half of what nobody claims,
+     * so that every process gets some. Claims are made one at a time, and each is published before
+     * it is used: so all of them together stay within the limit.
      *
-     * @param held what it claims by now, at least all that it holds
-     * @param others what all others claim; -1: there are none
+     * @param ownClaim the present claim, at least all descriptors in use
+     * @param othersClaim the sum of the claims of all siblings; -1: there are none
      */
     public static int claim(int ownClaim, int othersClaim, int limit) {
         return othersClaim < 0 ? limit : ownClaim + Math.max(0, limit - ownClaim - othersClaim) / 2;
     }
 
     /**
-     * Takes a claim on that has been told. Beside others, half of what is not used of it is given
-     * back.
+     * Applies a claim that has been published. With siblings, half of its unused descriptors are
+     * released.
      */
     public void applyClaim(int claimed, boolean hasSiblings) {
         allowed = hasSiblings ? used() + Math.max(0, claimed - used()) / 2 : limit;
     }
 
-    /** What is not promised to any share yet. */
+    /** Descriptors that are not allocated to a share yet. */
     public int unallocated() {
         return limit - reserved - allocated;
     }
 
-    /** Promises a part: so many open at most, and so many more that are closing. */
+    /** Allocates a share with a maximum of open descriptors, and of closing ones beyond that. */
     public Share allocateShare(String name, int maxOpen, int slack) {
         if (maxOpen < 1 || slack < 0 || maxOpen + slack > unallocated()) {
             throw new IllegalArgumentException(
@@ -118,13 +117,13 @@
         return allowed == limit ? Integer.MAX_VALUE : allowed - used();
     }
 
-    /** One part, with one user, who takes before he opens and says when he closes. */
+    /** The descriptors of one user, who acquires one before opening and reports when closing. */
     public final class Share {
         private final String name;
         private final int maxOpen;
         private final int slack;
         private int openCount;
-        private int markClosing;
+        private int closingCount;
         private int peak;
         private long refusedCount;
 
@@ -137,42 +136,46 @@
         /** How many more may be opened now. */
         public int available() {
             return Math.min(
-                    maxOpen - openCount - Math.max(0, markClosing - slack), availableOverall());
+                    maxOpen - openCount - Math.max(0, closingCount - slack), availableOverall());
         }
 
-        /** Takes one; false if none is left. */
+        /** Acquires a descriptor; false if none is left. */
         public boolean tryAcquire() {
             if (available() <= 0) {
                 refusedCount++;
                 return false;
             }
             openCount++;
-            peak = Math.max(peak, openCount + markClosing);
+            peak = Math.max(peak, openCount + closingCount);
             return true;
         }
 
-        /** Counts one that is open already, whatever the bounds: the system has accepted it. */
+        /**
+         * Counts a descriptor that is open already, whatever the limits: the system has accepted
+         * it.
+         */
         public void acquireUnconditionally() {
             openCount++;
-            peak = Math.max(peak, openCount + markClosing);
+            peak = Math.max(peak, openCount + closingCount);
         }
 
-        /** One is being closed. */
+        /** Records that a descriptor is being closed. */
         public void markClosing() {
             if (openCount <= 0) {
-                throw new IllegalStateException(name + ": one is closed that was not open");
+                throw new IllegalStateException(name + ": cannot close a descriptor, none is open");
             }
             openCount--;
-            markClosing++;
-            peak = Math.max(peak, openCount + markClosing);
+            closingCount++;
+            peak = Math.max(peak, openCount + closingCount);
         }
 
-        /** One that was being closed is gone. */
+        /** Records that a closing descriptor has been released. */
         public void markClosed() {
-            if (markClosing <= 0) {
-                throw new IllegalStateException(name + ": one is gone that was not closing");
+            if (closingCount <= 0) {
+                throw new IllegalStateException(
+                        name + ": cannot release a descriptor, none is closing");
             }
-            markClosing--;
+            closingCount--;
         }
 
         public String name() {
@@ -187,17 +190,17 @@
             return openCount;
         }
 
-        /** Those closed whose descriptors the system may still count. */
+        /** Closed descriptors that the system may still count. */
         public int closingCount() {
-            return markClosing;
+            return closingCount;
         }
 
-        /** The most that were open or closing at once. */
+        /** The maximum that was open or closing at once. */
         public int peak() {
             return peak;
         }
 
-        /** How often one was wanted and none was left. */
+        /** How often a descriptor was requested and none was left. */
         public long refusedCount() {
             return refusedCount;
         }
--- a/src/main/java/junipercourse/net/EventLoop.java
+++ b/src/main/java/junipercourse/net/EventLoop.java
@@ -14,17 +14,17 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The one I/O thread, which owns all state of the program, and the deadlines that hang on it.
- * Everything here but {@link #execute} and {@link #stop} is called on that thread.
+ * The single I/O thread, which owns all state of the program, and its deadlines. All methods but
+ * {@link #execute} and {@link #stop} must be called on that thread.
  *
- * <p>It beats: at least every {@link #HEARTBEAT_SECONDS} it has a turn, so that a gap of its own
- * shows as such. After one, all that came meanwhile is read before any deadline is run: what was
- * late here is not held against others ({@link StallRecovery}).
+ * <p>A heartbeat runs an iteration at least every {@link #HEARTBEAT_SECONDS}, so that a longer gap
+ * is detected as a stall. After a stall, all bytes that arrived during it are read before any
+ * deadline runs, so that the delay is not blamed on peers ({@link StallRecovery}).
  */
 public final class EventLoop {
     /**
-     * Between turns at most, while nothing is wrong; well under what lies between two requests of a
-     * key.
+     * Maximum time between iterations while nothing is wrong; well below the time between two
+     * requests with the same key.
      */
     private static final double HEARTBEAT_SECONDS = 0.02;
 
@@ -37,22 +37,22 @@
     private final WatermarkProbe watermarkProbe;
 
     /**
-     * One buffer serves all reads of this thread, another all writes: handlers keep no reference to
-     * them.
+     * One buffer is shared by all reads of this thread, another by all writes: handlers must not
+     * keep references to them.
      */
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 * 1024);
 
     private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(64 * 1024);
 
     /**
-     * @param onFault is told of each task that failed
-     * @param onError is told of an error of the JVM itself, after which the thread may not go on
+     * @param onTaskFailure runs after each task that failed
+     * @param onFatalError receives an error of the JVM, after which the thread may not continue
      */
     public EventLoop(Runnable onTaskFailure, Consumer<Throwable> onFatalError) throws IOException {
         this(onTaskFailure, onFatalError, Clock.SYSTEM);
     }
 
-    /** A loop on clocks of the caller's. */
+    /** Creates a loop that uses the given clocks. */
     public EventLoop(Runnable onTaskFailure, Consumer<Throwable> onFatalError, Clock clock)
             throws IOException {
         this.clock = clock;
@@ -64,20 +64,18 @@
         watermarkProbe = new WatermarkProbe(this, thread, listeners, stallRecovery);
     }
 
-    /**
-     * From now on the loop beats, and gaps of its own are stalls. What comes before is the start.
-     */
+    /** Starts the heartbeat and the detection of stalls; earlier gaps belong to startup. */
     public void startStallDetection() {
         stallRecovery.startDetection();
         heartbeat();
     }
 
-    /** Unix time at the start and from there on monotonic: seconds that never step. */
+    /** Seconds that never step: Unix time at startup, advanced by the monotonic clock. */
     public double now() {
         return origin + clock.monotonicSeconds();
     }
 
-    /** Turns a Unix time told by others, in seconds, into the loop's. */
+    /** Converts a Unix time in seconds, received from another process, to loop time. */
     public double fromUnix(double unix) {
         return stallRecovery.fromUnix(unix);
     }
@@ -90,70 +88,69 @@
         return writeBuffer;
     }
 
-    // ---- attention ----
+    // ---- stalls and the read watermark ----
 
-    /**
-     * Seconds in which this process has attended to its sockets: what silences are measured with.
-     */
+    /** Seconds in which this process could read its sockets; measures the silence of peers. */
     public double attendedSeconds() {
         return stallRecovery.attendedSeconds();
     }
 
-    /** When bytes that are read now have come, on a socket that was read to its end before. */
+    /** The interval in which bytes read now arrived, on a socket read until empty before. */
     public ArrivalInterval arrival() {
         double readAt = now();
         return new ArrivalInterval(Math.min(readAt, watermarkProbe.readWatermark()), readAt);
     }
 
-    /** All that came before this time has been read. */
+    /** All bytes that arrived before this time have been read. */
     public double readWatermark() {
         return watermarkProbe.readWatermark();
     }
 
-    /** Figures of stalls. */
+    /** Statistics of stalls and clock steps. */
     public StallStatistics stallStatistics() {
         return stallRecovery.statistics();
     }
 
     /**
-     * Is told of each stall once all that came during it was read, and before any deadline is run.
+     * Adds a listener, called for each stall once all bytes that arrived during it have been read,
+     * and before any deadline runs.
      */
     public void addStallListener(Consumer<StallDetector.Stall> listener) {
         stallRecovery.addStallListener(listener);
     }
 
-    /** Whether a stall has ended and what came during it is still being read. */
+    /** Whether a stall has ended and bytes that arrived during it are still being read. */
     public boolean isCatchingUp() {
         return stallRecovery.isCatchingUp();
     }
 
-    /** Runs a task at once or, while a stall is being caught up with, when that is done. */
+    /** Runs a task now or, while the loop is catching up after a stall, once it has caught up. */
     public void runWhenCaughtUp(Runnable task) {
         stallRecovery.runWhenCaughtUp(task);
     }
 
-    /** To be called first whenever the thread gets to do something. */
+    /** Must be called first by every callback on the I/O thread. */
     void recordActivity() {
         stallRecovery.recordActivity();
         watermarkProbe.recordActivity();
     }
 
     /**
-     * Whether connections may be waiting unaccepted, and with them what their clients have written:
-     * as long as that is so, nothing proves that all that came has been read.
+     * Sets whether connections may be waiting unaccepted, along with bytes from their clients:
+     * while they may, nothing proves that all bytes that arrived have been read.
      */
-    public void setBacklogged(boolean mayWait) {
-        listeners.setBacklogged(mayWait);
-        if (mayWait) {
+    public void setBacklogged(boolean backlogged) {
+        listeners.setBacklogged(backlogged);
+        if (backlogged) {
             watermarkProbe.markIncomplete();
         }
     }
 
     private void heartbeat() {
-        try { // first of all, so that no fault in this beat makes it the last
+        try { // first, so that an exception below does not end the heartbeat
             thread.executeAfter((long) (HEARTBEAT_SECONDS * 1e3), this::heartbeat);
         } catch (RejectedExecutionException e) {
-            Logger.debug("the loop has ended");
+            Logger.debug("the event loop has stopped: no further heartbeat");
         }
         recordActivity();
         watermarkProbe.sendProbe();
@@ -161,8 +158,8 @@
     }
 
     /**
-     * Runs a task once the sockets have been looked for anew twice: by then the descriptors of what
-     * is closed now have been given back to the system.
+     * Runs a task after two more selector passes: by then the descriptors of sockets that are
+     * closed now have been released.
      */
     public void runAfterNextPass(Runnable task) {
         watermarkProbe.runAfterNextPass(task);
@@ -170,7 +167,7 @@
 
     // ---- tasks and deadlines ----
 
-    /** Runs a task on the I/O thread, after what has come in by now. */
+    /** Runs a task on the I/O thread, after the events that are queued already. */
     public void execute(Runnable task) {
         thread.enqueue(
                 () -> {
@@ -179,17 +176,17 @@
                 });
     }
 
-    /** Runs a task at a time unless it is taken back before. */
+    /** Runs a task at a loop time unless it is cancelled before. */
     public DeadlineQueue.Entry scheduleAt(double time, Runnable task) {
         return wakeupTimer.scheduleAt(time, task);
     }
 
-    /** Runs a task after so many seconds unless it is taken back before. */
+    /** Runs a task after a delay unless it is cancelled before. */
     public DeadlineQueue.Entry scheduleAfter(double seconds, Runnable task) {
         return scheduleAt(now() + seconds, task);
     }
 
-    /** Takes a deadline back; null and one that has passed are ignored. */
+    /** Cancels a deadline; null and a deadline that has passed are ignored. */
     public void cancel(DeadlineQueue.Entry entry) {
         wakeupTimer.cancel(entry);
     }
@@ -199,7 +196,7 @@
         return wakeupTimer.wakeUpCount();
     }
 
-    /** Hands on what a handler met that is no exception. */
+    /** Reports an error of the JVM that a handler threw. */
     void reportError(Error error) {
         thread.reportError(error);
     }
@@ -207,8 +204,9 @@
     // ---- connections ----
 
     /**
-     * Listens on an address; each accepted connection is handed over on the I/O thread. Once {@code
-     * most} are open, others wait in the system's queue, unaccepted, until one has closed.
+     * Listens on an address and passes each accepted connection to {@code onAccepted} on the I/O
+     * thread. While {@code maxConnections} are open, further ones wait unaccepted in the kernel
+     * queue.
      */
     public AcceptingChannel<StreamConnection> listen(
             InetSocketAddress address, int maxConnections, Consumer<StreamConnection> onAccepted)
@@ -216,7 +214,7 @@
         return listeners.listen(address, maxConnections, onAccepted);
     }
 
-    /** The same on a socket that listens already. */
+    /** Accepts on a socket that is listening already. */
     public AcceptingChannel<StreamConnection> listen(
             ServerSocketChannel socket, int maxConnections, Consumer<StreamConnection> onAccepted)
             throws IOException {
@@ -224,14 +222,14 @@
     }
 
     /**
-     * Closes a listening socket once what waits there is handed over, as far as the bound on it
-     * allows.
+     * Closes a listening socket after accepting the connections that wait in its queue, as far as
+     * its limit of connections allows.
      */
     public void drainAndClose(AcceptingChannel<StreamConnection> server, Runnable onDrained) {
         listeners.drainAndClose(server, onDrained);
     }
 
-    /** Opens a connection; exactly one of the two is called, later, on the I/O thread. */
+    /** Opens a connection; exactly one of the two callbacks is called later, on the I/O thread. */
     public Dial dial(
             InetSocketAddress address,
             double timeoutSeconds,
@@ -242,19 +240,19 @@
         return dial;
     }
 
-    /** Why a connection did not come up. */
+    /** Why a connection attempt failed. */
     public enum DialFailure {
         REFUSED,
         TIMED_OUT
     }
 
-    /** A connection that is being opened. */
+    /** A connection attempt in progress. */
     public interface Dial {
-        /** Gives the connection up; neither side is called. */
+        /** Cancels the attempt; neither callback is called. */
         void cancel();
     }
 
-    /** Ends the I/O thread. */
+    /** Stops the I/O thread. */
     public void stop() {
         thread.stop();
     }
--- a/src/main/java/junipercourse/net/InheritedSocket.java
+++ b/src/main/java/junipercourse/net/InheritedSocket.java
@@ -8,26 +8,26 @@
 import java.nio.file.Path;
 
 /**
- * The clients' listening socket where the platform holds it and hands it down (DAYS, replacing the
- * process). All processes accept from one queue in the kernel: what one leaves there, another
- * takes.
+ * The clients' listening socket when the platform holds it and passes it to the process, so that a
+ * new process can replace an old one. All processes accept from one queue in the kernel:
+ * connections that one leaves there are accepted by another.
  *
- * <p>It is never closed here: the JDK, when it closes an inherited channel, leads standard error to
- * {@code /dev/null}, too. Who is done with it just stops accepting; the system closes it with the
- * process.
+ * <p>It is never closed here: when the JDK closes an inherited channel, it also redirects standard
+ * error to {@code /dev/null}. A process that no longer needs it just stops accepting; the system
+ * closes it when the process exits.
  */
 public final class InheritedSocket {
-    /** The only descriptor that the JDK takes over ({@link System#inheritedChannel}). */
+    /** The only descriptor that the JDK can take over ({@link System#inheritedChannel}). */
     private static final String DESCRIPTOR = "0";
 
     private InheritedSocket() {}
 
     /**
-     * Takes it over.
+     * Takes over the listening socket.
      *
-     * @param named the descriptor's number, as the platform gives it
-     * @param listen where it has to listen
-     * @throws IllegalArgumentException if it is none that can be used; the message says what it is
+     * @param descriptor the number of the descriptor, as set by the platform
+     * @param expectedAddress the address on which the socket must listen
+     * @throws IllegalArgumentException if the socket cannot be used; the message says why
      */
     public static ServerSocketChannel takeOver(
             String descriptor, InetSocketAddress expectedAddress) {
--- a/src/main/java/junipercourse/net/IoThread.java
+++ b/src/main/java/junipercourse/net/IoThread.java
@@ -19,8 +19,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * XNIO's worker with its one I/O thread: starts it, queues tasks on it and ends it, and keeps a
- * task that fails from costing more than itself.
+ * The XNIO worker with its single I/O thread: starts it, queues tasks on it and stops it, and
+ * confines the failure of a task to that task.
  */
 final class IoThread {
     private final Runnable onTaskFailure;
@@ -29,8 +29,8 @@
     private final XnioIoThread thread;
 
     /**
-     * @param onFault is told of each task that failed
-     * @param onError is told of an error of the JVM itself, after which the thread may not go on
+     * @param onTaskFailure runs after each task that failed
+     * @param onFatalError receives an error of the JVM, after which the thread may not continue
      */
     IoThread(Runnable onTaskFailure, Consumer<Throwable> onFatalError) throws IOException {
         this.onTaskFailure = onTaskFailure;
@@ -48,29 +48,29 @@
         thread.setUncaughtExceptionHandler((t, e) -> onFatalError.accept(e));
     }
 
-    /** What listening sockets belong to. */
+    /** The worker that listening sockets belong to. */
     XnioWorker worker() {
         return worker;
     }
 
-    /** Runs a task on the thread, unguarded; ignored after the end. */
+    /** Runs a task on the thread without exception handling; ignored after {@link #stop}. */
     void enqueue(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
-            Logger.debug("a task came after the loop's end");
+            Logger.debug("the event loop has stopped: a task is ignored");
         }
     }
 
     /**
-     * Runs a task on the thread after so many whole milliseconds, unguarded; rejected after the
-     * end.
+     * Runs a task on the thread after a delay, without exception handling; rejected after {@link
+     * #stop}.
      */
     XnioIoThread.Key executeAfter(long millis, Runnable task) {
         return thread.executeAfter(task, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** A pipe whose both ends are on the thread; it ends with it. */
+    /** Creates a pipe with both ends on the thread; it is closed with the thread. */
     ChannelPipe<StreamSourceChannel, StreamSinkChannel> createPipe() throws IOException {
         return thread.createHalfDuplexPipe();
     }
@@ -82,25 +82,28 @@
                 address, opened, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    /** An exception costs the task at hand, never the process; an error of the JVM costs that. */
+    /**
+     * Runs a task: an exception ends that task and never the process; an error of the JVM ends the
+     * process.
+     */
     void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | StackOverflowError e) {
             onTaskFailure.run();
             Logger.error(e, "a task failed");
-        } catch (Error e) { // XNIO would log it and go on, or lose its thread
+        } catch (Error e) { // XNIO would log it and continue, or lose its thread
             onFatalError.accept(e);
             throw e;
         }
     }
 
-    /** Hands on what a handler met that is no exception. */
+    /** Reports an error of the JVM that a handler threw. */
     void reportError(Error error) {
         onFatalError.accept(error);
     }
 
-    /** Ends the thread, and with it all that is on it. */
+    /** Stops the thread and everything on it. */
     void stop() {
         worker.shutdownNow();
     }
--- a/src/main/java/junipercourse/net/LingeringClose.java
+++ b/src/main/java/junipercourse/net/LingeringClose.java
@@ -8,23 +8,23 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A connection that we end in order: what is left is sent, then our side is shut, and what the peer
- * still sends is read and thrown away until it ends, too. Only then it is closed: a close over
- * unread bytes resets the connection and takes what was sent last with it.
+ * Closes a connection in order: sends the remaining bytes, shuts down writing, then reads and
+ * discards what the peer still sends until it closes, too. Only then the connection is closed: a
+ * close with unread bytes resets it, and the bytes sent last are lost.
  *
- * <p>A peer that does not end gets so many seconds and bytes at most. What is read here is never
+ * <p>The time and the bytes are limited for a peer that does not close. Bytes read here are never
  * parsed.
  */
 public final class LingeringClose {
     private static final double MAX_LINGER_SECONDS = 1.0;
     private static final long MAX_DISCARDED_BYTES = 1 << 20;
-    private static final int MAX_READS_PER_EVENT = 8; // as a link's
+    private static final int MAX_READS_PER_EVENT = 8; // as in Connection
 
     private final EventLoop loop;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
-    private final WriteQueue hasUnsentBytes;
+    private final WriteQueue unsent;
     private final Consumer<LingeringClose> onClosing;
     private final DeadlineQueue.Entry timeout;
     private long discardedBytes;
@@ -32,7 +32,7 @@
     private boolean peerClosed;
     private boolean closed;
 
-    /** {@code gone} runs once, later, when it is being closed. */
+    /** {@code onClosing} runs once, later, when the connection is being closed. */
     LingeringClose(
             EventLoop loop,
             StreamConnection connection,
@@ -40,14 +40,14 @@
             Consumer<LingeringClose> onClosing) {
         this.loop = loop;
         this.connection = connection;
-        this.hasUnsentBytes = unsent;
+        this.unsent = unsent;
         this.onClosing = onClosing;
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
         source.setReadListener(c -> readable());
         sink.setWriteListener(c -> writable());
         timeout = loop.scheduleAfter(MAX_LINGER_SECONDS, this::close);
-        send(() -> loop.execute(this::close)); // whoever begins this is in the middle of its work
+        send(() -> loop.execute(this::close)); // later, as the caller is still working
         if (!closed) {
             source.resumeReads();
         }
@@ -55,7 +55,7 @@
 
     private void send(Runnable onComplete) {
         try {
-            if (!hasUnsentBytes.sendTo(sink)) {
+            if (!unsent.sendTo(sink)) {
                 sink.resumeWrites();
                 return;
             }
@@ -91,7 +91,7 @@
                 }
                 discardedBytes += Math.max(0, n);
                 peerClosed = n < 0;
-                if (peerClosed && !writesShutDown) { // it may still read what it has not taken yet
+                if (peerClosed && !writesShutDown) { // the peer may still read the rest
                     source.suspendReads();
                     return;
                 }
@@ -104,14 +104,14 @@
         }
     }
 
-    /** Whether some of what was written has not been taken, or its end not been told yet. */
+    /** Whether written bytes or the end of the stream have not been sent yet. */
     public boolean hasUnsentBytes() {
         return !writesShutDown && !closed;
     }
 
     /**
-     * Closes at once, whatever is on its way; like {@link Connection#close}, after this pass over
-     * the sockets.
+     * Closes at once, whatever is still unsent; like {@link Connection#close}, the system call
+     * follows after this selector pass.
      */
     public void close() {
         if (closed) {
--- a/src/main/java/junipercourse/net/Listeners.java
+++ b/src/main/java/junipercourse/net/Listeners.java
@@ -16,15 +16,16 @@
 import org.xnio.nio.ExistingTcpServer;
 
 /**
- * The loop's listening sockets: hands over what they accept, and knows whether more may wait
- * unaccepted, with what their clients have written. Who listens has the socket closed.
+ * The listening sockets of the event loop: passes on accepted connections, and knows whether more
+ * may wait unaccepted, along with bytes from their clients. Closing a socket is up to the code that
+ * opened it.
  */
 final class Listeners {
     private static final int BACKLOG = 512;
 
     /**
-     * Once there is room again, the acceptor is woken in a pass, accepts in the next, and is read
-     * then.
+     * Once connections may be accepted again, one pass wakes the acceptor, the next accepts, and
+     * the third reads.
      */
     private static final int PROBES_AFTER_BACKLOG = 3;
 
@@ -33,7 +34,7 @@
     private final List<InetSocketAddress> listeningAddresses = new ArrayList<>();
     private long acceptedCount;
     private long acceptTarget;
-    private boolean setBacklogged;
+    private boolean backlogged;
     private int remainingProbes;
 
     Listeners(EventLoop loop, IoThread thread) {
@@ -57,7 +58,7 @@
                                         .getMap()));
     }
 
-    /** The same on a socket that listens already. */
+    /** Accepts on a socket that is listening already. */
     AcceptingChannel<StreamConnection> listen(
             ServerSocketChannel socket, int maxConnections, Consumer<StreamConnection> onAccepted)
             throws IOException {
@@ -105,46 +106,50 @@
     }
 
     /**
-     * Closes a listening socket once what waits there is handed over, as far as the bound on it
-     * allows.
+     * Closes a listening socket after accepting the connections that wait in its queue, as far as
+     * its limit of connections allows.
      */
     void drainAndClose(AcceptingChannel<StreamConnection> server, Runnable onDrained) {
         ExistingTcpServer.drainAndClose(
-                server, BACKLOG, () -> loop.execute(onDrained)); // behind those accepted
+                server, BACKLOG, () -> loop.execute(onDrained)); // after those accepted
     }
 
-    /** Whether connections may be waiting unaccepted because no more may be open. */
-    void setBacklogged(boolean mayWait) {
-        setBacklogged = mayWait;
-        if (mayWait) {
+    /**
+     * Sets whether connections may be waiting unaccepted because the limit of connections is
+     * reached.
+     */
+    void setBacklogged(boolean backlogged) {
+        this.backlogged = backlogged;
+        if (backlogged) {
             remainingProbes = PROBES_AFTER_BACKLOG;
         }
     }
 
     /**
-     * A mark goes out. Returns whether connections may be waiting that it cannot vouch for.
+     * Called when a probe is sent. Returns whether connections may be waiting that the probe does
+     * not cover.
      *
-     * @param catchingUp whether to count those that wait; done anyway while there is a backlog
+     * @param isCatchingUp whether to count the waiting connections; also done after a backlog
      */
-    boolean mayMissConnections(boolean catchingUp) {
-        if (catchingUp || remainingProbes > 0) {
+    boolean mayMissConnections(boolean isCatchingUp) {
+        if (isCatchingUp || remainingProbes > 0) {
             updateAcceptTarget();
         }
         if (remainingProbes > 0) {
-            remainingProbes -= setBacklogged ? 0 : 1;
+            remainingProbes -= backlogged ? 0 : 1;
             return true;
         }
         return false;
     }
 
-    /** Whether some of those that were counted last have not been accepted yet. */
+    /** Whether some of the connections that were counted last have not been accepted yet. */
     boolean hasWaitingConnections() {
         return acceptedCount < acceptTarget;
     }
 
     /**
-     * Guards against an acceptor that is not done: what waits now comes first, since the queue is
-     * one. Where the system does not tell how many wait, time must do.
+     * Covers an acceptor that has not finished: the connections that wait now are accepted first,
+     * since there is one queue. Where the system does not report how many wait, only time helps.
      */
     private void updateAcceptTarget() {
         int waiting =
--- a/src/main/java/junipercourse/net/PendingConnect.java
+++ b/src/main/java/junipercourse/net/PendingConnect.java
@@ -5,8 +5,9 @@
 import org.xnio.StreamConnection;
 
 /**
- * A connection that is being opened. It ends in one of three ways, once: it is handed over, it
- * fails, or it is given up; what comes up later than that is closed here.
+ * A connection attempt in progress. It ends once, in one of three ways: the connection is handed
+ * over, the attempt fails, or it is cancelled; a connection that is established after that is
+ * closed here.
  */
 final class PendingConnect implements EventLoop.Dial {
     private final EventLoop loop;
@@ -25,7 +26,7 @@
         this.onFailed = onFailed;
     }
 
-    /** Waits for the connection so many seconds. */
+    /** Limits the time that the attempt may take. */
     void watch(IoFuture<StreamConnection> connectFuture, double timeoutSeconds) {
         future = connectFuture;
         deadline = loop.scheduleAfter(timeoutSeconds, () -> fail(EventLoop.DialFailure.TIMED_OUT));
@@ -38,10 +39,10 @@
                 null);
     }
 
-    /** It came up. */
+    /** Called when the connection is established. */
     void complete(StreamConnection connection) {
         loop.recordActivity();
-        if (done) { // it came up just after it was given up
+        if (done) { // established just after the attempt ended
             Connection.closeQuietly(connection);
             return;
         }
--- a/src/main/java/junipercourse/net/StallRecovery.java
+++ b/src/main/java/junipercourse/net/StallRecovery.java
@@ -9,22 +9,26 @@
 import org.tinylog.Logger;
 
 /**
- * The loop's own gaps: finds them, and after one keeps deadlines back until all that came meanwhile
- * is read, so that what was late here is not held against others.
+ * Detects stalls of the event loop and, after one, delays deadlines until all bytes that arrived
+ * during it have been read, so that the delay is not blamed on peers.
  */
 final class StallRecovery {
     /**
-     * A gap this much longer than a beat is a stall; single turns of a busy core come close to it.
+     * A gap that exceeds the heartbeat interval by this much is a stall; single iterations on a
+     * busy core come close to it.
      */
     private static final double MIN_STALL_SECONDS = 0.1;
 
-    /** The wall clock is corrected by less than this all the time. */
+    /** Smaller corrections of the wall clock happen all the time. */
     private static final double MIN_CLOCK_STEP_SECONDS = 0.25;
 
-    /** After a stall, deadlines wait for all that came during it no longer than this. */
+    /**
+     * Maximum time that deadlines wait, after a stall, for the bytes that arrived during it to be
+     * read.
+     */
     private static final double MAX_CATCH_UP_SECONDS = 0.3;
 
-    /** The first pass accepts what waited, the second reads it. */
+    /** The first pass accepts the waiting connections, the second reads from them. */
     private static final int PROBES_TO_CATCH_UP = 2;
 
     private final EventLoop loop;
@@ -41,8 +45,8 @@
     private int remainingProbes;
 
     /**
-     * @param alarm goes off once a stall is caught up with: the deadlines kept back are due
-     * @param beat between the loop's turns at most, in seconds
+     * @param wakeupTimer fires once the loop has caught up, when the delayed deadlines are due
+     * @param heartbeatSeconds maximum time between iterations of the loop
      */
     StallRecovery(
             EventLoop loop,
@@ -63,40 +67,41 @@
                         clock.unixSeconds());
     }
 
-    /** From now on gaps are stalls. */
+    /** Starts to treat gaps as stalls. */
     void startDetection() {
         stallDetector.restartMeasurement(loop.now());
         isDetecting = true;
     }
 
-    /** Seconds in which this process has attended to its sockets. */
+    /** Seconds in which this process could read its sockets. */
     double attendedSeconds() {
         return stallDetector.responsiveSeconds();
     }
 
-    /** Turns a Unix time told by others, in seconds, into the loop's. */
+    /** Converts a Unix time in seconds, received from another process, to loop time. */
     double fromUnix(double unix) {
         return stallDetector.toLoopTime(unix);
     }
 
-    /** Figures of those that were. */
+    /** Statistics of past stalls and clock steps. */
     StallStatistics statistics() {
         return statistics;
     }
 
     /**
-     * Is told of each stall once all that came during it was read, and before any deadline is run.
+     * Adds a listener, called for each stall once all bytes that arrived during it have been read,
+     * and before any deadline runs.
      */
     void addStallListener(Consumer<StallDetector.Stall> listener) {
         listeners.add(listener);
     }
 
-    /** Whether a stall has ended and what came during it is still being read. */
+    /** Whether a stall has ended and bytes that arrived during it are still being read. */
     boolean isCatchingUp() {
         return stall != null;
     }
 
-    /** Runs a task at once or, while a stall is being caught up with, when that is done. */
+    /** Runs a task now or, while the loop is catching up, once it has caught up. */
     void runWhenCaughtUp(Runnable task) {
         if (isCatchingUp()) {
             tasksAfterCatchUp.add(task);
@@ -105,7 +110,7 @@
         }
     }
 
-    /** The thread has a turn: the first after a gap finds the stall. */
+    /** Records that the thread is running; the first call after a gap detects the stall. */
     void recordActivity() {
         double now = loop.now();
         StallDetector.Stall detected = isDetecting ? stallDetector.recordIteration(now) : null;
@@ -116,7 +121,9 @@
         }
     }
 
-    /** Compares the clocks, and ends a catching-up that takes too long. */
+    /**
+     * Compares the wall clock with the monotonic clock, and ends a catch-up that takes too long.
+     */
     void onHeartbeat() {
         double wallSeconds = clock.unixSeconds();
         double stepSeconds = stallDetector.detectClockStep(loop.now(), wallSeconds);
@@ -132,10 +139,10 @@
     }
 
     /**
-     * A pass over the sockets has ended. Returns whether one more mark is needed to catch up.
+     * Called at the end of a selector pass. Returns whether another probe is needed to catch up.
      *
-     * @param looked whether a mark came home in it
-     * @param readUpTo all that came before this time has been read
+     * @param probeReturned whether a probe was received in the pass
+     * @param readWatermark all bytes that arrived before this time have been read
      */
     boolean needsProbe(boolean probeReturned, double readWatermark) {
         if (!isCatchingUp()) {
@@ -157,7 +164,7 @@
         statistics.recordStall(endedStall, clock.unixSeconds());
         statistics.recordCatchUp(loop.now() - endedStall.endTime());
         Logger.warn(
-                "this process did nothing for {} ms; read what came meanwhile in {} ms",
+                "this process did nothing for {} ms; read the pending input in {} ms",
                 Math.round(endedStall.durationSeconds() * 1e3),
                 Math.round((loop.now() - endedStall.endTime()) * 1e3));
         listeners.forEach(listener -> thread.runGuarded(() -> listener.accept(endedStall)));
--- a/src/main/java/junipercourse/net/WakeupTimer.java
+++ b/src/main/java/junipercourse/net/WakeupTimer.java
@@ -4,7 +4,7 @@
 import org.tinylog.Logger;
 import org.xnio.XnioIoThread;
 
-/** Wakes the loop for its deadlines: one alarm, set for the next of them. */
+/** Wakes the event loop for its deadlines, with one timer set for the next of them. */
 final class WakeupTimer {
     private final EventLoop loop;
     private final IoThread thread;
@@ -18,14 +18,14 @@
         this.thread = thread;
     }
 
-    /** Runs a task at a time unless it is taken back before. */
+    /** Runs a task at a loop time unless it is cancelled before. */
     DeadlineQueue.Entry scheduleAt(double time, Runnable task) {
         DeadlineQueue.Entry entry = deadlines.add(time, task);
         rearm();
         return entry;
     }
 
-    /** Takes a deadline back; null and one that has passed are ignored. */
+    /** Cancels a deadline; null and a deadline that has passed are ignored. */
     void cancel(DeadlineQueue.Entry entry) {
         deadlines.remove(entry);
     }
@@ -40,32 +40,31 @@
             wakeUpKey = null;
         }
         nextWakeUp = next;
-        // XNIO cuts a delay to whole milliseconds, and one under a millisecond to none: rounded
-        // down, the
-        // rest of each deadline's last millisecond would be spent in a busy loop.
+        // XNIO truncates a delay to whole milliseconds: rounded down, the last partial millisecond
+        // before each deadline would be spent in a busy loop of delays of zero.
         long millis = (long) Math.ceil(Math.max(0, next - loop.now()) * 1e3);
         try {
             wakeUpKey = thread.executeAfter(millis, this::fire);
         } catch (RejectedExecutionException e) {
-            Logger.debug("a deadline came after the loop's end");
+            Logger.debug("the event loop has stopped: a deadline is ignored");
         }
     }
 
-    /** How often it went off. */
+    /** How often the timer has fired. */
     int wakeUpCount() {
         return wakeUpCount;
     }
 
     /**
-     * Runs the deadlines that are due, unless a stall is being caught up with, and is set for the
-     * next.
+     * Runs the deadlines that are due, unless the loop is catching up after a stall, and sets the
+     * timer for the next.
      */
     void fire() {
         wakeUpCount++;
         wakeUpKey = null;
         nextWakeUp = Double.POSITIVE_INFINITY;
         loop.recordActivity();
-        if (loop.isCatchingUp()) { // StallRecovery comes back here when that is done
+        if (loop.isCatchingUp()) { // StallRecovery calls fire() again afterwards
             return;
         }
         for (Runnable due = deadlines.pollDue(loop.now());
--- a/src/main/java/junipercourse/net/WatermarkProbe.java
+++ b/src/main/java/junipercourse/net/WatermarkProbe.java
@@ -12,9 +12,9 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * The marks that the loop sends to itself through a pipe, and the passes over the sockets that they
- * come home in: what {@link ReadWatermark} needs to know up to which time everything has been read.
- * The pipe ends with the thread.
+ * Sends probes to the event loop itself through a pipe and tracks the selector passes that receive
+ * them: {@link ReadWatermark} derives from them up to which time everything has been read. The pipe
+ * is closed with the thread.
  */
 final class WatermarkProbe {
     private final EventLoop loop;
@@ -30,8 +30,8 @@
     private boolean passInProgress;
 
     /**
-     * @param acceptors may hold connections that a mark cannot vouch for
-     * @param stalls are caught up with once enough marks came home
+     * @param listeners may have connections waiting that a probe does not cover
+     * @param stallRecovery has caught up once enough probes have returned
      */
     WatermarkProbe(
             EventLoop loop, IoThread thread, Listeners listeners, StallRecovery stallRecovery)
@@ -48,36 +48,34 @@
         source.resumeReads();
     }
 
-    /** All that came before this time has been read. */
+    /** All bytes that arrived before this time have been read. */
     double readWatermark() {
         return watermark.watermark();
     }
 
-    /** Something is left in this pass, so that the mark on its way proves nothing. */
+    /** Input is left over in this pass, so that the pending probe proves nothing. */
     void markIncomplete() {
         watermark.recordUnreadData();
     }
 
     /**
-     * Runs a task when the second mark from now has come home: sockets were looked for anew twice
-     * then.
+     * Runs a task when the second probe from now has returned: by then two selector passes have
+     * run.
      */
     void runAfterNextPass(Runnable task) {
         nextPassTasks.add(task);
     }
 
-    /** The thread has a turn: the first of a pass sees to it that the pass's end is noticed. */
+    /** Records that the thread is running; the first call in a pass schedules {@link #endPass}. */
     void recordActivity() {
         if (!passInProgress) {
             passInProgress = true;
             thread.enqueue(
-                    () ->
-                            thread.enqueue(
-                                    this::endPass)); // behind what XNIO has queued of this pass
+                    () -> thread.enqueue(this::endPass)); // after what XNIO queued in this pass
         }
     }
 
-    /** Sends a mark, unless one is on its way. */
+    /** Sends a probe, unless one is pending. */
     void sendProbe() {
         if (watermark.isProbePending()) {
             return;
@@ -90,9 +88,9 @@
         try {
             sink.write(probeBuffer);
         } catch (ClosedChannelException e) {
-            Logger.debug("the loop has ended");
+            Logger.debug("the event loop has stopped: no further probe");
         } catch (IOException e) {
-            Logger.error(e, "the loop cannot write to its own pipe");
+            Logger.error(e, "cannot write a probe to the pipe of the event loop");
         }
     }
 
@@ -104,11 +102,11 @@
                 watermark.recordProbeRead();
             }
         } catch (IOException e) {
-            Logger.error(e, "the loop cannot read from its own pipe");
+            Logger.error(e, "cannot read a probe from the pipe of the event loop");
         }
     }
 
-    /** Runs when all sockets of a pass have been dealt with, before the next are looked for. */
+    /** Runs after all ready sockets of a pass have been processed, before the next selection. */
     private void endPass() {
         passInProgress = false;
         if (listeners.hasWaitingConnections()) {
--- a/src/main/java/junipercourse/net/WriteQueue.java
+++ b/src/main/java/junipercourse/net/WriteQueue.java
@@ -6,11 +6,11 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
 /**
- * What was written to a link and its peer has not taken yet, in order. It has no bound of its own:
- * who writes looks at {@link #unsentBytes}.
+ * Written bytes that the peer has not accepted yet, in order. The queue has no limit of its own:
+ * writers check {@link #unsentBytes}.
  */
 final class WriteQueue {
-    /** The loop's: small pieces are gathered here, so that one system call sends many. */
+    /** The event loop's write buffer: gathers small pieces, so that one system call sends many. */
     private final ByteBuffer gatherBuffer;
 
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
@@ -20,7 +20,7 @@
         this.gatherBuffer = gatherBuffer;
     }
 
-    /** Adds bytes at the end. The array is not to be changed afterwards. */
+    /** Appends bytes. The array must not be changed afterwards. */
     void add(byte[] data) {
         unsent.add(ByteBuffer.wrap(data));
         unsentBytes += data.length;
@@ -30,12 +30,12 @@
         return unsent.isEmpty();
     }
 
-    /** Bytes that have not been taken yet. */
+    /** Bytes that the peer has not accepted yet. */
     long unsentBytes() {
         return unsentBytes;
     }
 
-    /** Sends what is taken now. Returns whether that is all. */
+    /** Sends as many bytes as the peer accepts now. Returns whether that is all. */
     boolean sendTo(ConduitStreamSinkChannel sink) throws IOException {
         while (!unsent.isEmpty()) {
             int n = sink.write(gather());
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** Forgets all: nobody will take it. */
+    /** Drops all bytes, for a peer that will not accept them any more. */
     void clear() {
         unsent.clear();
         unsentBytes = 0;
--- a/src/main/java/org/xnio/nio/ExistingTcpServer.java
+++ b/src/main/java/org/xnio/nio/ExistingTcpServer.java
@@ -10,21 +10,21 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Lets a worker accept on a listening socket that exists already. XNIO 3.8 opens server sockets of
- * its own only; this puts an existing one behind the very parts that {@code
- * createStreamConnectionServer} makes, and closes either kind without losing what waits. They are
- * visible in their package alone, which is why this one class stands here.
+ * Lets a worker accept on a listening socket that exists already. XNIO 3.8 only opens server
+ * sockets itself; this class builds the same objects as {@code createStreamConnectionServer} around
+ * an existing one, and closes either kind without losing waiting connections. Their classes are
+ * package-private, which is why this class is in their package.
  */
 public final class ExistingTcpServer {
     private static final int ACCEPTS_PER_ITERATION =
-            128; // that the worker accepts before it looks elsewhere
+            128; // by the worker, before it serves other sockets
 
     private ExistingTcpServer() {}
 
     /**
-     * The channel, accepted on by the worker as if it had opened it.
+     * Returns the channel as a server on which the worker accepts, as if the worker had opened it.
      *
-     * @param options as for a server of the worker's own, but for those that must precede the bind
+     * @param options as for a server of the worker's own, except those that must precede the bind
      * @throws IOException if the channel cannot be registered
      */
     public static AcceptingChannel<StreamConnection> adopt(
@@ -42,12 +42,13 @@
     }
 
     /**
-     * Accepts whatever waits in the system's queue, hands it over and closes the socket, all in one
-     * turn of the worker's accepting thread, which alone may do so: what is left in the queue at
-     * the close is reset.
+     * Accepts the connections that wait in the kernel queue, hands them over and closes the socket,
+     * all in one task of the worker's accept thread, the only one that may accept: connections left
+     * in the queue at the close are reset.
      *
      * @param backlog the length of that queue
-     * @param over runs on that thread once all has been queued for the I/O threads
+     * @param onDrained runs on that thread once all connections have been queued for the I/O
+     *     threads
      */
     public static void drainAndClose(
             AcceptingChannel<StreamConnection> server, int backlog, Runnable onDrained) {
--- a/src/test/java/junipercourse/ArchitecturePageTest.java
+++ b/src/test/java/junipercourse/ArchitecturePageTest.java
@@ -19,8 +19,8 @@
     private static final Path PAGE = Path.of("docs/ARCHITECTURE.md");
     private static final Path SOURCES = Path.of("src/main/java");
     private static final Path TESTS = Path.of("src/test/java");
-    private static final Pattern TYPE = Pattern.compile("`([A-Z][a-z]\\w*)`");
-    private static final Pattern PACKAGE = Pattern.compile("^\\| `([a-z]+(?:\\.[a-z]+)*)` \\|");
+    private static final Pattern QUOTED_TYPE = Pattern.compile("`([A-Z][a-z]\\w*)`");
+    private static final Pattern PACKAGE_ROW = Pattern.compile("^\\| `([a-z]+(?:\\.[a-z]+)*)` \\|");
     private static final int MIN_TYPES = 80;
 
     private static Set<String> typesBelow(Path root) throws IOException {
@@ -37,7 +37,8 @@
         Set<String> existing = typesBelow(SOURCES);
         existing.addAll(typesBelow(TESTS));
         Set<String> named =
-                TYPE.matcher(Files.readString(PAGE))
+                QUOTED_TYPE
+                        .matcher(Files.readString(PAGE))
                         .results()
                         .map(match -> match.group(1))
                         .collect(Collectors.toCollection(TreeSet::new));
@@ -50,7 +51,7 @@
     void listsOnlyPackagesThatExist() throws IOException {
         List<String> missing =
                 Files.readAllLines(PAGE).stream()
-                        .flatMap(line -> PACKAGE.matcher(line).results())
+                        .flatMap(line -> PACKAGE_ROW.matcher(line).results())
                         .map(match -> match.group(1))
                         .filter(name -> !isPackage(name))
                         .toList();
--- a/src/test/java/junipercourse/ArchitectureTest.java
+++ b/src/test/java/junipercourse/ArchitectureTest.java
@@ -29,13 +29,13 @@
 /** The plan of the packages, held in the build: a change of the plan is a change of this test. */
 @AnalyzeClasses(packages = "junipercourse", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    private static final int LINES_MOST = 250;
+    private static final int MAX_LINES = 250;
 
     /**
      * Files that are over the bound still, and their lines. They may shrink, and go from here,
      * alone.
      */
-    private static final Map<String, Integer> STILL_OVER =
+    private static final Map<String, Integer> KNOWN_LONG_FILES =
             Map.ofEntries(
                     Map.entry("Connection.java", 252),
                     Map.entry("Gateway.java", 253),
@@ -65,7 +65,7 @@
                     "sim");
 
     /** Types of the JDK whose values never change. */
-    private static final List<Class<?>> VALUES =
+    private static final List<Class<?>> IMMUTABLE_TYPES =
             List.of(
                     String.class,
                     Integer.class,
@@ -77,7 +77,7 @@
                     Charset.class,
                     Path.class);
 
-    private static final String[] PURE = {
+    private static final String[] PURE_PACKAGES = {
         "junipercourse.fleet.membership..", "junipercourse.liveness..", "junipercourse.decision.."
     };
 
@@ -85,7 +85,7 @@
     static final ArchRule PURE_PACKAGES_DO_NO_IO =
             noClasses()
                     .that()
-                    .resideInAnyPackage(PURE)
+                    .resideInAnyPackage(PURE_PACKAGES)
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
@@ -103,7 +103,7 @@
     static final ArchRule PURE_PACKAGES_OWN_NO_THREADS =
             noClasses()
                     .that()
-                    .resideInAnyPackage(PURE)
+                    .resideInAnyPackage(PURE_PACKAGES)
                     .should()
                     .dependOnClassesThat()
                     .belongToAnyOf(Thread.class, java.util.Timer.class);
@@ -112,14 +112,14 @@
     static final ArchRule PURE_PACKAGES_READ_NO_CLOCK =
             noClasses()
                     .that()
-                    .resideInAnyPackage(PURE)
+                    .resideInAnyPackage(PURE_PACKAGES)
                     .should()
                     .callMethod(System.class, "currentTimeMillis")
                     .orShould()
                     .callMethod(System.class, "nanoTime");
 
     @ArchTest
-    static final ArchRule DECISION_KNOWS_NOTHING_OF_OURS =
+    static final ArchRule DECISION_DEPENDS_ON_NO_OTHER_PACKAGE =
             noClasses()
                     .that()
                     .resideInAPackage("junipercourse.decision..")
@@ -134,7 +134,7 @@
                     .allowEmptyShould(false);
 
     @ArchTest
-    static final ArchRule ARROWS_RUN_ONE_WAY =
+    static final ArchRule PACKAGES_HAVE_NO_CYCLES =
             slices().matching("junipercourse.(**)").should().beFreeOfCycles();
 
     /**
@@ -143,30 +143,30 @@
      * off by a list of names.
      */
     @ArchTest
-    static void noClassKeepsAnythingThatCanChange(JavaClasses all)
+    static void noClassHasMutableStaticState(JavaClasses classes)
             throws ReflectiveOperationException {
-        List<String> faults = new ArrayList<>();
-        for (JavaClass each : all) {
-            for (Field f : each.reflect().getDeclaredFields()) {
-                if (Modifier.isStatic(f.getModifiers()) && !f.isSynthetic()) {
-                    f.setAccessible(true);
-                    if (!Modifier.isFinal(f.getModifiers())) {
-                        faults.add(f + " is not final");
-                    } else if (!unchangeable(f.get(null))) {
-                        faults.add(f + " holds a " + f.get(null).getClass().getName());
+        List<String> violations = new ArrayList<>();
+        for (JavaClass javaClass : classes) {
+            for (Field field : javaClass.reflect().getDeclaredFields()) {
+                if (Modifier.isStatic(field.getModifiers()) && !field.isSynthetic()) {
+                    field.setAccessible(true);
+                    if (!Modifier.isFinal(field.getModifiers())) {
+                        violations.add(field + " is not final");
+                    } else if (!isImmutable(field.get(null))) {
+                        violations.add(field + " holds a " + field.get(null).getClass().getName());
                     }
                 }
             }
         }
-        assertEquals(List.of(), faults);
+        assertEquals(List.of(), violations);
     }
 
     /**
      * A value without parts that change: by the JDK's word, by its elements, or by its fields if
      * ours.
      */
-    private static boolean unchangeable(Object value) throws ReflectiveOperationException {
-        if (value == null || VALUES.stream().anyMatch(type -> type.isInstance(value))) {
+    private static boolean isImmutable(Object value) throws ReflectiveOperationException {
+        if (value == null || IMMUTABLE_TYPES.stream().anyMatch(type -> type.isInstance(value))) {
             return true;
         }
         Class<?> type = value.getClass();
@@ -174,23 +174,25 @@
             return Array.getLength(value) == 0;
         }
         if (type.getName().startsWith("java.util.ImmutableCollections$")) {
-            List<Object> parts =
+            List<Object> elements =
                     new ArrayList<>(
                             value instanceof Map<?, ?> map ? map.values() : (Collection<?>) value);
-            parts.addAll(value instanceof Map<?, ?> map ? map.keySet() : List.of());
-            for (Object part : parts) {
-                if (!unchangeable(part)) {
+            elements.addAll(value instanceof Map<?, ?> map ? map.keySet() : List.of());
+            for (Object element : elements) {
+                if (!isImmutable(element)) {
                     return false;
                 }
             }
             return true;
         }
-        for (Class<?> c = type; c != Object.class && c != Enum.class; c = c.getSuperclass()) {
-            for (Field f : c.getDeclaredFields()) {
-                if (!Modifier.isStatic(f.getModifiers())) {
-                    if (!Modifier.isFinal(f.getModifiers())
-                            || !f.trySetAccessible()
-                            || !unchangeable(f.get(value))) {
+        for (Class<?> declaring = type;
+                declaring != Object.class && declaring != Enum.class;
+                declaring = declaring.getSuperclass()) {
+            for (Field field : declaring.getDeclaredFields()) {
+                if (!Modifier.isStatic(field.getModifiers())) {
+                    if (!Modifier.isFinal(field.getModifiers())
+                            || !field.trySetAccessible()
+                            || !isImmutable(field.get(value))) {
                         return false;
                     }
                 }
@@ -200,29 +202,32 @@
     }
 
     @Test
-    void noFileGrowsPastTheBound() throws IOException {
-        List<String> over = new ArrayList<>();
-        Map<String, Integer> seen = new TreeMap<>();
+    void noFileExceedsTheLineLimit() throws IOException {
+        List<String> violations = new ArrayList<>();
+        Map<String, Integer> lineCounts = new TreeMap<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main"))) {
             for (Path file :
                     files.filter(each -> each.toString().endsWith(".java")).sorted().toList()) {
                 int lines = Files.readAllLines(file).size();
                 String name = file.getFileName().toString();
-                seen.put(name, lines);
-                if (lines > STILL_OVER.getOrDefault(name, LINES_MOST)) {
-                    over.add(file + " has " + lines + " lines");
+                lineCounts.put(name, lines);
+                if (lines > KNOWN_LONG_FILES.getOrDefault(name, MAX_LINES)) {
+                    violations.add(file + " has " + lines + " lines");
                 }
             }
         }
-        STILL_OVER.keySet().stream()
-                .filter(name -> seen.getOrDefault(name, 0) <= LINES_MOST)
+        KNOWN_LONG_FILES.keySet().stream()
+                .filter(name -> lineCounts.getOrDefault(name, 0) <= MAX_LINES)
                 .sorted()
-                .forEach(name -> over.add(name + " is within the bound: take it off the list"));
-        assertEquals(List.of(), over);
+                .forEach(
+                        name ->
+                                violations.add(
+                                        name + " is within the bound: take it off the list"));
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void noPackageIsAddedToThoseThatBreakStyleRules() throws IOException {
+    void noPackageIsAddedToThosePendingCheckstyle() throws IOException {
         List<String> pending =
                 Pattern.compile("junipercourse\\[/\\\\\\\\\\](\\w+)")
                         .matcher(Files.readString(Path.of("checkstyle-pending.xml")))
--- a/src/test/java/junipercourse/DispatcherProcess.java
+++ b/src/test/java/junipercourse/DispatcherProcess.java
@@ -25,25 +25,25 @@
     private final Path log;
 
     /** Starts it; {@code descriptors} is enforced by the system, as the platform does. */
-    public DispatcherProcess(Path folder, int descriptors) throws IOException {
-        this(folder, descriptors, folder.resolve("config.json"), "");
+    public DispatcherProcess(Path folder, int maxDescriptors) throws IOException {
+        this(folder, maxDescriptors, folder.resolve("config.json"), "");
     }
 
     /**
      * The same with a configuration from elsewhere, after a shell's command; the log is in the
      * folder.
      */
-    public DispatcherProcess(Path folder, int descriptors, Path config, String first)
+    public DispatcherProcess(Path folder, int maxDescriptors, Path config, String shellPrefix)
             throws IOException {
-        this(folder.resolve("log"), config, first + shellCommand(descriptors));
+        this(folder.resolve("log"), config, shellPrefix + shellCommand(maxDescriptors));
     }
 
     /**
      * A shell's command that runs the program, bound to so many descriptors, in the shell's place.
      */
-    static String shellCommand(int descriptors) {
+    static String shellCommand(int maxDescriptors) {
         return "ulimit -n "
-                + descriptors
+                + maxDescriptors
                 + " && exec '"
                 + System.getProperty("java.home")
                 + "/bin/java' -XX:-UsePerfData -Xmx48m -XX:+UseSerialGC -cp '"
@@ -77,20 +77,23 @@
     }
 
     /** The same after a shell's command. */
-    public static DispatcherProcess startDeployed(Path log, Path config, String first)
+    public static DispatcherProcess startDeployed(Path log, Path config, String shellPrefix)
             throws IOException {
-        String run =
+        String runLine =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("run = "))
                         .findFirst()
                         .orElseThrow();
         return new DispatcherProcess(
-                log, config, first + run.substring(run.indexOf('"') + 1, run.lastIndexOf('"')));
+                log,
+                config,
+                shellPrefix
+                        + runLine.substring(runLine.indexOf('"') + 1, runLine.lastIndexOf('"')));
     }
 
     /** What the system tells of it under {@code /proc}, such as {@code stat} or {@code maps}. */
-    public String readProcFile(String what) throws IOException {
-        return Files.readString(Path.of("/proc/" + process.pid() + "/" + what));
+    public String readProcFile(String name) throws IOException {
+        return Files.readString(Path.of("/proc/" + process.pid() + "/" + name));
     }
 
     public long pid() {
@@ -125,8 +128,8 @@
 
     /** Descriptors that it holds now, by the system's count. */
     public int countDescriptors() {
-        String[] all = new File("/proc/" + process.pid() + "/fd").list();
-        return all == null ? 0 : all.length;
+        String[] entries = new File("/proc/" + process.pid() + "/fd").list();
+        return entries == null ? 0 : entries.length;
     }
 
     public boolean isAlive() {
--- a/src/test/java/junipercourse/KnownRedTest.java
+++ b/src/test/java/junipercourse/KnownRedTest.java
@@ -25,7 +25,7 @@
     /**
      * Prints what it was called with, writes the reports that lie ready, and ends as it is told.
      */
-    private static final String MAVEN =
+    private static final String FAKE_MAVEN =
             """
             #!/bin/bash
             echo "mvn $*"
@@ -35,9 +35,9 @@
             exit %d
             """;
 
-    private static final String RED = "a.RedTest#red | a cause | issue 1\n";
+    private static final String KNOWN_RED_LINE = "a.RedTest#red | a cause | issue 1\n";
     private static final String PASSED = "<testcase name=\"%s\" classname=\"%s\" time=\"0.1\"/>";
-    private static final String OTHER =
+    private static final String NOT_PASSED =
             """
             <testcase name="%s" classname="%s" time="0.1">
               <%s message="&lt;b&gt;"><![CDATA[<testcase name="x" classname="y"><error/></testcase>]]></%3$s>
@@ -47,7 +47,7 @@
     @TempDir private Path folder;
 
     @BeforeEach
-    void copyTheScripts() throws IOException {
+    void copyScripts() throws IOException {
         Files.createDirectories(folder.resolve(".ci"));
         Files.createDirectories(folder.resolve("ready"));
         for (String script : new String[] {"run", "known-red"}) {
@@ -58,131 +58,177 @@
     }
 
     /** Writes a report for each class; what is given is such as {@code a.RedTest#red failed}. */
-    private void reports(String outcomes) throws IOException {
+    private void writeReports(String outcomes) throws IOException {
         Map<String, StringBuilder> classes = new TreeMap<>();
-        for (String each : outcomes.isEmpty() ? new String[0] : outcomes.split(", ")) {
-            String[] words = each.split("[# ]", -1);
+        for (String outcome : outcomes.isEmpty() ? new String[0] : outcomes.split(", ")) {
+            String[] words = outcome.split("[# ]", -1);
             classes.computeIfAbsent(words[0], c -> new StringBuilder())
                     .append(
                             switch (words[2]) {
                                 case "passed" -> PASSED.formatted(words[1], words[0]);
-                                case "failed" -> OTHER.formatted(words[1], words[0], "failure");
-                                case "broken" -> OTHER.formatted(words[1], words[0], "error");
-                                default -> OTHER.formatted(words[1], words[0], "skipped");
+                                case "failed" ->
+                                        NOT_PASSED.formatted(words[1], words[0], "failure");
+                                case "broken" -> NOT_PASSED.formatted(words[1], words[0], "error");
+                                default -> NOT_PASSED.formatted(words[1], words[0], "skipped");
                             })
                     .append('\n');
         }
-        for (Map.Entry<String, StringBuilder> each : classes.entrySet()) {
+        for (Map.Entry<String, StringBuilder> outcome : classes.entrySet()) {
             Files.writeString(
-                    folder.resolve("ready").resolve("TEST-" + each.getKey() + ".xml"),
-                    "<?xml version=\"1.0\"?>\n<testsuite>\n" + each.getValue() + "</testsuite>\n");
+                    folder.resolve("ready").resolve("TEST-" + outcome.getKey() + ".xml"),
+                    "<?xml version=\"1.0\"?>\n<testsuite>\n"
+                            + outcome.getValue()
+                            + "</testsuite>\n");
         }
     }
 
     /** Runs CI with a Maven that ends so; returns the exit code and all that was printed. */
-    private String run(int maven) throws IOException, InterruptedException {
+    private String runCi(int mavenExitCode) throws IOException, InterruptedException {
         Path bin = Files.createDirectories(folder.resolve("bin"));
-        Path program = Files.writeString(bin.resolve("mvn"), MAVEN.formatted(maven));
+        Path program = Files.writeString(bin.resolve("mvn"), FAKE_MAVEN.formatted(mavenExitCode));
         assertTrue(program.toFile().setExecutable(true));
         ProcessBuilder builder =
                 new ProcessBuilder(folder.resolve(".ci/run").toString())
                         .redirectErrorStream(true)
                         .redirectOutput(folder.resolve("printed").toFile());
-        builder.environment().merge("PATH", bin.toString(), (path, first) -> first + ":" + path);
-        int code = builder.start().waitFor();
-        return code + "\n" + Files.readString(folder.resolve("printed"));
+        builder.environment()
+                .merge("PATH", bin.toString(), (newFolder, oldPath) -> oldPath + ":" + newFolder);
+        int exitCode = builder.start().waitFor();
+        return exitCode + "\n" + Files.readString(folder.resolve("printed"));
     }
 
-    private static Stream<Arguments> listed() {
-        String four = "a.RedTest#b | c | 1\na.RedTest#c | c | 1\na.RedTest#d | c | 1\n";
-        String all =
+    private static Stream<Arguments> knownRedCases() {
+        String threeMore = "a.RedTest#b | c | 1\na.RedTest#c | c | 1\na.RedTest#d | c | 1\n";
+        String fourOutcomes =
                 "a.RedTest#red failed, a.RedTest#b failed, a.RedTest#c passed, a.RedTest#d passed";
         String red = "a.RedTest#red failed";
-        String form = "is not \"package.Class#method | cause | issue\"";
+        String formError = "is not \"package.Class#method | cause | issue\"";
         return Stream.of(
                 arguments(
-                        RED,
+                        KNOWN_RED_LINE,
                         red + ", a.OtherTest#a passed",
                         0,
                         0,
                         "CI: known red: a.RedTest#red: FAILED"),
                 arguments(
-                        RED,
+                        KNOWN_RED_LINE,
                         "a.RedTest#red broken",
                         0,
                         0,
                         "known red: a.RedTest#red: FAILED (red)"),
                 arguments(
-                        RED,
+                        KNOWN_RED_LINE,
                         "a.RedTest#red passed",
                         0,
                         0,
                         "known red: a.RedTest#red: passed (red)"),
                 arguments(
-                        RED,
+                        KNOWN_RED_LINE,
                         "a.RedTest#red(int)[1] passed, a.RedTest#red(int)[2] failed",
                         0,
                         0,
                         "known red: a.RedTest#red: FAILED (red(int)[2])"),
-                arguments(RED.trim(), red, 0, 0, "Tests run: 7"),
+                arguments(KNOWN_RED_LINE.trim(), red, 0, 0, "Tests run: 7"),
                 arguments(
-                        four,
-                        all.substring(red.length() + 2),
+                        threeMore,
+                        fourOutcomes.substring(red.length() + 2),
                         0,
                         0,
                         "known red: a.RedTest#d: passed"),
                 arguments("", "a.RedTest#red passed", 0, 0, "Tests run: 7"),
                 arguments("", red, 0, 1, "a.RedTest#red failed (red), and is not listed"),
-                arguments(RED + four, all, 0, 1, "KNOWN-RED.txt has 4 lines; 3 at most"),
-                arguments(RED, red + ", a.RedTest#redder failed", 0, 1, "a.RedTest#redder failed"),
-                arguments(RED, red + ", b.RedTest#red failed", 0, 1, "b.RedTest#red failed"),
-                arguments(RED, red + ", a.RedTest$In#red failed", 0, 1, "a.RedTest$In#red failed"),
-                arguments(RED, red + ", a.OtherTest#a broken", 0, 1, "a.OtherTest#a failed (a)"),
-                arguments(RED, red + ", a.RedTest# broken", 0, 1, "a.RedTest# failed ()"),
-                arguments(RED, "a.RedTest#blue passed", 0, 1, "a.RedTest#red is no test that ran"),
-                arguments(RED, "a.RedTest#red skipped", 0, 1, "a.RedTest#red is no test that ran"),
-                arguments(RED, "", 0, 1, "no reports of tests in target/surefire-reports"),
-                arguments(RED, red, 1, 1, "known red: a.RedTest#red: FAILED (red)"),
-                arguments(RED, "a.RedTest#red passed", 137, 137, "CI: failed"),
-                arguments(RED + RED, red, 0, 1, "lists a.RedTest#red again"),
-                arguments(RED + "\n", red, 0, 1, "line 2 " + form),
-                arguments("# why\n" + RED, red, 0, 1, "line 1 " + form),
-                arguments("a.RedTest | a cause | issue 1\n", red, 0, 1, form),
-                arguments("a.RedTest#red | a cause\n", red, 0, 1, form),
-                arguments("a.RedTest#red | a cause | \n", red, 0, 1, form),
-                arguments("a.RedTest#red |  | issue 1\n", red, 0, 1, form),
-                arguments("a.RedTest#* | a cause | issue 1\n", red, 0, 1, form));
+                arguments(
+                        KNOWN_RED_LINE + threeMore,
+                        fourOutcomes,
+                        0,
+                        1,
+                        "KNOWN-RED.txt has 4 lines; 3 at most"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        red + ", a.RedTest#redder failed",
+                        0,
+                        1,
+                        "a.RedTest#redder failed"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        red + ", b.RedTest#red failed",
+                        0,
+                        1,
+                        "b.RedTest#red failed"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        red + ", a.RedTest$In#red failed",
+                        0,
+                        1,
+                        "a.RedTest$In#red failed"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        red + ", a.OtherTest#a broken",
+                        0,
+                        1,
+                        "a.OtherTest#a failed (a)"),
+                arguments(
+                        KNOWN_RED_LINE, red + ", a.RedTest# broken", 0, 1, "a.RedTest# failed ()"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        "a.RedTest#blue passed",
+                        0,
+                        1,
+                        "a.RedTest#red is no test that ran"),
+                arguments(
+                        KNOWN_RED_LINE,
+                        "a.RedTest#red skipped",
+                        0,
+                        1,
+                        "a.RedTest#red is no test that ran"),
+                arguments(
+                        KNOWN_RED_LINE, "", 0, 1, "no reports of tests in target/surefire-reports"),
+                arguments(KNOWN_RED_LINE, red, 1, 1, "known red: a.RedTest#red: FAILED (red)"),
+                arguments(KNOWN_RED_LINE, "a.RedTest#red passed", 137, 137, "CI: failed"),
+                arguments(KNOWN_RED_LINE + KNOWN_RED_LINE, red, 0, 1, "lists a.RedTest#red again"),
+                arguments(KNOWN_RED_LINE + "\n", red, 0, 1, "line 2 " + formError),
+                arguments("# why\n" + KNOWN_RED_LINE, red, 0, 1, "line 1 " + formError),
+                arguments("a.RedTest | a cause | issue 1\n", red, 0, 1, formError),
+                arguments("a.RedTest#red | a cause\n", red, 0, 1, formError),
+                arguments("a.RedTest#red | a cause | \n", red, 0, 1, formError),
+                arguments("a.RedTest#red |  | issue 1\n", red, 0, 1, formError),
+                arguments("a.RedTest#* | a cause | issue 1\n", red, 0, 1, formError));
     }
 
     @ParameterizedTest
     @MethodSource("listed")
-    void justTheListedTestsMayFail(String known, String outcomes, int maven, int code, String told)
+    void onlyTheListedTestsMayFail(
+            String knownRed,
+            String outcomes,
+            int mavenExitCode,
+            int exitCode,
+            String expectedOutput)
             throws Exception {
-        Files.writeString(folder.resolve("KNOWN-RED.txt"), known);
-        reports(outcomes);
-        String run = run(maven);
-        assertEquals(Integer.toString(code), run.lines().findFirst().orElseThrow(), run);
-        assertTrue(run.contains(told), run);
+        Files.writeString(folder.resolve("KNOWN-RED.txt"), knownRed);
+        writeReports(outcomes);
+        String run = runCi(mavenExitCode);
+        assertEquals(Integer.toString(exitCode), run.lines().findFirst().orElseThrow(), run);
+        assertTrue(run.contains(expectedOutput), run);
     }
 
     /** Without the list it is the README's command and no more, with that command's verdict. */
     @Test
-    void withoutAListMavenJudges() throws Exception {
-        reports("a.RedTest#red failed");
-        assertEquals("1\nmvn -B verify\n[INFO] Tests run: 7\n", run(1));
-        assertEquals("0\nmvn -B verify\n[INFO] Tests run: 7\n", run(0));
-        Files.writeString(folder.resolve("KNOWN-RED.txt"), RED);
-        assertTrue(run(0).contains("\nmvn -B verify -Dmaven.test.failure.ignore=true\n"));
+    void withoutAListTheExitCodeIsMavens() throws Exception {
+        writeReports("a.RedTest#red failed");
+        assertEquals("1\nmvn -B verify\n[INFO] Tests run: 7\n", runCi(1));
+        assertEquals("0\nmvn -B verify\n[INFO] Tests run: 7\n", runCi(0));
+        Files.writeString(folder.resolve("KNOWN-RED.txt"), KNOWN_RED_LINE);
+        assertTrue(runCi(0).contains("\nmvn -B verify -Dmaven.test.failure.ignore=true\n"));
     }
 
     /**
      * The command is the README's, so a README with none, or two, says nothing that could be run.
      */
     @Test
-    void theReadmeHasOneTestCommand() throws Exception {
+    void failsUnlessTheReadmeHasExactlyOneTestCommand() throws Exception {
         for (String text : new String[] {"Run it.\n", "    mvn verify\n    mvn test\n"}) {
             Files.writeString(folder.resolve("README.md"), text);
-            String run = run(0);
+            String run = runCi(0);
             assertTrue(run.startsWith("1\n") && run.contains("test commands"), run);
             assertFalse(run.contains("Tests run"), run);
         }
@@ -190,16 +236,19 @@
 
     /** Neither the reports of an earlier run nor one that was cut off prove that a test ran. */
     @Test
-    void onlyWholeReportsOfThisRunCount() throws Exception {
-        Files.writeString(folder.resolve("KNOWN-RED.txt"), RED);
-        reports("a.RedTest#red failed");
-        assertTrue(run(0).startsWith("0\n"));
+    void onlyCompleteReportsOfThisRunCount() throws Exception {
+        Files.writeString(folder.resolve("KNOWN-RED.txt"), KNOWN_RED_LINE);
+        writeReports("a.RedTest#red failed");
+        assertTrue(runCi(0).startsWith("0\n"));
         Path report = folder.resolve("ready/TEST-a.RedTest.xml");
         Files.writeString(report, Files.readString(report).replace("</testsuite>\n", ""));
-        String cut = run(0);
-        assertTrue(cut.startsWith("1\n") && cut.contains("TEST-a.RedTest.xml is not whole"), cut);
+        String truncated = runCi(0);
+        assertTrue(
+                truncated.startsWith("1\n")
+                        && truncated.contains("TEST-a.RedTest.xml is not whole"),
+                truncated);
         Files.delete(report);
-        String stale = run(0);
+        String stale = runCi(0);
         assertTrue(stale.startsWith("1\n") && stale.contains("no reports of tests"), stale);
     }
 }
--- a/src/test/java/junipercourse/ListeningSocketHolder.java
+++ b/src/test/java/junipercourse/ListeningSocketHolder.java
@@ -51,7 +51,7 @@
 
     private final Process holder;
     private final Writer holderCommands;
-    private final List<String> told = new CopyOnWriteArrayList<>();
+    private final List<String> reportedLines = new CopyOnWriteArrayList<>();
     private final Map<Long, Integer> exitStatuses = new ConcurrentHashMap<>();
     private final Path folder;
     private final int port;
@@ -71,32 +71,34 @@
                         .redirectError(folder.resolve("holder.log").toFile())
                         .start();
         holderCommands = holder.outputWriter(StandardCharsets.UTF_8);
-        BufferedReader from = holder.inputReader(StandardCharsets.UTF_8);
+        BufferedReader holderOutput = holder.inputReader(StandardCharsets.UTF_8);
         SocketTestSupport.startDaemon(
                 () -> {
-                    for (String line = from.readLine(); line != null; line = from.readLine()) {
+                    for (String line = holderOutput.readLine();
+                            line != null;
+                            line = holderOutput.readLine()) {
                         String[] words = line.split(" ");
                         if (words[0].equals("ended")) {
                             exitStatuses.put(Long.parseLong(words[1]), Integer.parseInt(words[2]));
                         } else {
-                            told.add(line);
+                            reportedLines.add(line);
                         }
                     }
                 });
-        port = (int) told("port ", 0);
+        port = (int) awaitReportedNumber("port ", 0);
     }
 
-    private long told(String start, int number) {
-        Predicate<String> sought = line -> line.startsWith(start);
+    private long awaitReportedNumber(String prefix, int index) {
+        Predicate<String> matches = line -> line.startsWith(prefix);
         SocketTestSupport.await(
-                () -> told.stream().filter(sought).count() > number, AWAIT_TIMEOUT_MILLIS);
+                () -> reportedLines.stream().filter(matches).count() > index, AWAIT_TIMEOUT_MILLIS);
         return Long.parseLong(
-                told.stream()
-                        .filter(sought)
-                        .skip(number)
+                reportedLines.stream()
+                        .filter(matches)
+                        .skip(index)
                         .findFirst()
                         .orElseThrow()
-                        .substring(start.length()));
+                        .substring(prefix.length()));
     }
 
     /** Where clients connect. */
@@ -120,7 +122,8 @@
     }
 
     /** The same with other variables, and after a shell's commands. */
-    public InheritingProcess start(String first, Map<String, String> other) throws IOException {
+    public InheritingProcess start(String shellPrefix, Map<String, String> overrides)
+            throws IOException {
         Path log = folder.resolve("log" + startedCount);
         Map<String, String> variables =
                 new TreeMap<>(
@@ -135,14 +138,20 @@
                                 tempFolder().toString(),
                                 "RELAY_CONFIG",
                                 folder.resolve("config.json").toString()));
-        variables.putAll(other);
+        variables.putAll(overrides);
         StringBuilder line = new StringBuilder("exec >'" + log + "' 2>&1; ");
         variables.forEach(
-                (k, v) -> line.append("export ").append(k).append("='").append(v).append("'; "));
+                (name, value) ->
+                        line.append("export ")
+                                .append(name)
+                                .append("='")
+                                .append(value)
+                                .append("'; "));
         Files.createFile(log);
-        holderCommands.write(line + first + DispatcherProcess.shellCommand(MAX_DESCRIPTORS) + "\n");
+        holderCommands.write(
+                line + shellPrefix + DispatcherProcess.shellCommand(MAX_DESCRIPTORS) + "\n");
         holderCommands.flush();
-        return new InheritingProcess(log, told("runs ", startedCount++));
+        return new InheritingProcess(log, awaitReportedNumber("runs ", startedCount++));
     }
 
     @Override
@@ -202,14 +211,14 @@
         public HttpAnswer callAdmin(String call) throws IOException {
             SocketTestSupport.await(
                     () -> log().contains("second address is ") || !isAlive(), AWAIT_TIMEOUT_MILLIS);
-            int at = Integer.parseInt(log().split("second address is [^:]*:")[1].split("\\D")[0]);
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), at)) {
-                s.setSoTimeout(5000);
-                s.getOutputStream()
+            int port = Integer.parseInt(log().split("second address is [^:]*:")[1].split("\\D")[0]);
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                socket.setSoTimeout(5000);
+                socket.getOutputStream()
                         .write(
                                 (call + " HTTP/1.1\r\nHost: a\r\n\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
-                InputStream in = s.getInputStream();
+                InputStream in = socket.getInputStream();
                 String answer = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
                 return new HttpAnswer(
                         Integer.parseInt(answer.split(" ")[1]),
@@ -223,11 +232,11 @@
         }
 
         /** Waits until a call is answered as it is sought. */
-        public InheritingProcess awaitAnswer(String call, Predicate<HttpAnswer> sought) {
+        public InheritingProcess awaitAnswer(String call, Predicate<HttpAnswer> matches) {
             SocketTestSupport.await(
                     () -> {
                         try {
-                            return sought.test(callAdmin(call));
+                            return matches.test(callAdmin(call));
                         } catch (IOException e) {
                             throw new AssertionError(log(), e);
                         }
--- a/src/test/java/junipercourse/QueryStream.java
+++ b/src/test/java/junipercourse/QueryStream.java
@@ -73,91 +73,94 @@
 
     /** Asks once, on a connection of its own. */
     public static String queryOnce(InetSocketAddress front, String sql) throws IOException {
-        try (Client c = new Client(front)) {
-            return c.startSession().query(sql);
+        try (Client client = new Client(front)) {
+            return client.startSession().query(sql);
         }
     }
 
     public QueryStream start() {
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            Thread t = new Thread(() -> runClient(number), "client-" + i);
-            t.setDaemon(true);
-            threads.add(t);
-            t.start();
+            Thread thread = new Thread(() -> runClient(number), "client-" + i);
+            thread.setDaemon(true);
+            threads.add(thread);
+            thread.start();
         }
         return this;
     }
 
     /** Waits until so many more have been served. */
-    public void awaitServed(int queries) {
-        int from = served.get();
+    public void awaitServed(int additional) {
+        int servedBefore = served.get();
         SocketTestSupport.await(
-                () -> served.get() >= from + queries, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
+                () -> served.get() >= servedBefore + additional,
+                ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
     }
 
     private void runClient(int number) {
         Random random = new Random(number);
-        boolean keeps = number % 2 == 0;
-        Client c = null;
+        boolean keepsConnection = number % 2 == 0;
+        Client client = null;
         for (int i = 0; !stopping; i++) {
-            if (c != null && (isClosed(c) || !keeps && i % 2 == 0)) {
-                close(c);
-                c = null;
+            if (client != null && (isClosed(client) || !keepsConnection && i % 2 == 0)) {
+                close(client);
+                client = null;
             }
-            c = sendQuery(c, query(i % 3 == 0 ? "load" : "check"));
+            client = sendQuery(client, query(i % 3 == 0 ? "load" : "check"));
             SocketTestSupport.sleepMillis(random.nextInt(MAX_PAUSE_MILLIS));
         }
-        close(c);
+        close(client);
     }
 
     /** Whether the dispatcher has closed a connection that rested, and has said so. */
-    private static boolean isClosed(Client c) {
+    private static boolean isClosed(Client client) {
         try {
-            return c.socket.getInputStream().available() > 0;
+            return client.socket.getInputStream().available() > 0;
         } catch (IOException e) {
             return true;
         }
     }
 
     /** Asks on a connection, a new one if it is null; returns the connection to go on with. */
-    private Client sendQuery(Client client, String sql) {
-        Client c = client;
-        for (int tried = 0; ; tried++) {
-            long wrote = Long.MAX_VALUE;
+    private Client sendQuery(Client openClient, String sql) {
+        Client client = openClient;
+        for (int tries = 0; ; tries++) {
+            long writtenNanos = Long.MAX_VALUE;
             try {
-                c = c == null ? new Client(front).startSession() : c;
-                wrote = System.nanoTime();
-                String answer = c.query(sql);
+                client = client == null ? new Client(front).startSession() : client;
+                writtenNanos = System.nanoTime();
+                String answer = client.query(sql);
                 if (answer.equals(EXPECTED_ANSWER)) {
                     served.incrementAndGet();
-                    return c;
+                    return client;
                 }
                 if (answer.startsWith("E(53300 the dispatcher is being replaced")) {
-                    tried--; // never begun, and sent on to the process that comes after
+                    tries--; // never begun, and sent on to the process that comes after
                     redirected.incrementAndGet();
                 } else if (!answer.isEmpty() && !answer.endsWith("closed=true")) {
                     unexpectedAnswers.add(answer + " to " + sql);
-                    return c;
+                    return client;
                 }
             } catch (IOException e) {
-                wrote =
+                writtenNanos =
                         Math.min(
-                                wrote, System.nanoTime()); // as if it were closed without an answer
+                                writtenNanos,
+                                System.nanoTime()); // as if it were closed without an answer
             }
-            close(c);
-            c = null;
-            if (tried > 0 || tried == 0 && System.nanoTime() - wrote > CLOSE_RACE_WINDOW_NANOS) {
+            close(client);
+            client = null;
+            if (tries > 0
+                    || tries == 0 && System.nanoTime() - writtenNanos > CLOSE_RACE_WINDOW_NANOS) {
                 notAdmitted.add(sql);
                 return null;
             }
         }
     }
 
-    private static void close(Client c) {
+    private static void close(Client client) {
         try {
-            if (c != null) {
-                c.close();
+            if (client != null) {
+                client.close();
             }
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -168,9 +171,9 @@
     @Override
     public void close() {
         stopping = true;
-        for (Thread t : threads) {
+        for (Thread thread : threads) {
             try {
-                t.join();
+                thread.join();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
--- a/src/test/java/junipercourse/ScriptedBus.java
+++ b/src/test/java/junipercourse/ScriptedBus.java
@@ -53,9 +53,18 @@
 
     /** A frame with one ready or draining engine at an address of this machine. */
     public static String endpointFrame(
-            boolean whole, int number, int id, InetSocketAddress at, boolean draining) {
+            boolean fullList,
+            int eventNumber,
+            int engineId,
+            InetSocketAddress address,
+            boolean draining) {
         return "00000024%016x%02x%08x7f000001%04x%02x00000000000003e80000000000000000"
-                .formatted(number, whole ? 1 : 2, id, at.getPort(), draining ? 1 : 0);
+                .formatted(
+                        eventNumber,
+                        fullList ? 1 : 2,
+                        engineId,
+                        address.getPort(),
+                        draining ? 1 : 0);
     }
 
     public static double nowSeconds() {
@@ -68,41 +77,41 @@
      */
     public Socket acceptSubscription() throws IOException {
         while (true) {
-            Socket s = server.accept();
-            connections.add(s);
-            s.setTcpNoDelay(true);
-            s.setSoTimeout(20_000);
+            Socket connection = server.accept();
+            connections.add(connection);
+            connection.setTcpNoDelay(true);
+            connection.setSoTimeout(20_000);
             try {
-                requestedOffsets.add(new DataInputStream(s.getInputStream()).readLong());
-                return s;
+                requestedOffsets.add(new DataInputStream(connection.getInputStream()).readLong());
+                return connection;
             } catch (EOFException e) {
-                s.close();
+                connection.close();
             }
         }
     }
 
     /** Takes a connection that ends without asking anything. */
     public void awaitConnectionWithoutRequest() throws IOException {
-        try (Socket s = server.accept()) {
-            s.setSoTimeout(5000);
-            awaitDisconnect(s);
+        try (Socket connection = server.accept()) {
+            connection.setSoTimeout(5000);
+            awaitDisconnect(connection);
         }
     }
 
     /** Writes frames, such as {@code CHANGE.formatted(2)}, in one write. */
-    public void sendFrames(Socket s, String hex) throws IOException {
+    public void sendFrames(Socket connection, String hex) throws IOException {
         lastFrameAt = nowSeconds();
-        sendBytes(s, hex);
+        sendBytes(connection, hex);
     }
 
-    public static void sendBytes(Socket s, String hex) throws IOException {
-        s.getOutputStream().write(HexFormat.of().parseHex(hex));
+    public static void sendBytes(Socket connection, String hex) throws IOException {
+        connection.getOutputStream().write(HexFormat.of().parseHex(hex));
     }
 
     /** Waits until the other side has left a connection. */
-    public static void awaitDisconnect(Socket s) throws IOException {
+    public static void awaitDisconnect(Socket connection) throws IOException {
         try {
-            if (s.getInputStream().read() >= 0) {
+            if (connection.getInputStream().read() >= 0) {
                 throw new AssertionError("more was asked");
             }
         } catch (SocketException e) {
@@ -114,9 +123,9 @@
     public void stopAccepting() throws IOException {
         try {
             for (int i = 0; i < 10; i++) {
-                Socket s = new Socket();
-                queueFillers.add(s);
-                s.connect(address(), 300);
+                Socket filler = new Socket();
+                queueFillers.add(filler);
+                filler.connect(address(), 300);
             }
         } catch (SocketTimeoutException e) {
             return;
@@ -126,9 +135,9 @@
 
     /** Connections come up again; what came up by now is left. */
     public void resumeAccepting() throws IOException {
-        for (Socket s : queueFillers.subList(0, queueFillers.size() - 1)) {
+        for (Socket filler : queueFillers.subList(0, queueFillers.size() - 1)) {
             server.accept().close();
-            s.close();
+            filler.close();
         }
         queueFillers.get(queueFillers.size() - 1).close();
         queueFillers.clear();
@@ -147,18 +156,18 @@
     }
 
     /** A listener that notes each list as its kind and its engine. */
-    public static EndpointWatcher.Listener recordingListener(List<String> told) {
-        return (kind, members) -> told.add(kind + " " + members.get(0).engine().id().value());
+    public static EndpointWatcher.Listener recordingListener(List<String> updates) {
+        return (kind, members) -> updates.add(kind + " " + members.get(0).engine().id().value());
     }
 
     /** Plays a script on a thread of its own; what fails in it is noted. */
-    public void runScript(SocketTestSupport.IoTask script, List<Throwable> faults) {
+    public void runScript(SocketTestSupport.IoTask script, List<Throwable> failures) {
         SocketTestSupport.startDaemon(
                 () -> {
                     try {
                         script.run();
                     } catch (IOException | RuntimeException | Error e) {
-                        faults.add(e);
+                        failures.add(e);
                     }
                 });
     }
@@ -166,11 +175,11 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : connections) {
-            s.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
-        for (Socket s : queueFillers) {
-            s.close();
+        for (Socket socket : queueFillers) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -77,7 +77,7 @@
     private final EventLoop loop;
     private final Gateway gateway;
     private final PgServer pgServer;
-    private volatile LoopPause pauseLoop;
+    private volatile LoopPause pause;
 
     public SocketTestSupport() throws IOException {
         this(512);
@@ -89,8 +89,8 @@
     }
 
     /** The same by a configuration of the caller's. */
-    public SocketTestSupport(String text, int engineConnections) throws IOException {
-        Config config = Config.parse(text, Map.of());
+    public SocketTestSupport(String configJson, int engineConnections) throws IOException {
+        Config config = Config.parse(configJson, Map.of());
         loop =
                 new EventLoop(
                         () -> counters.increment(Counters.Count.INTERNAL_ERRORS),
@@ -102,8 +102,8 @@
                         config.settings(),
                         descriptorBudget.allocateShare("engines", engineConnections, 4),
                         counters);
-        StatusTables shows = new StatusTables();
-        counters.addTable(shows);
+        StatusTables statusTables = new StatusTables();
+        counters.addTable(statusTables);
         gateway =
                 new Gateway(loop, config.settings(), 7, 50, new PausingBackend(engines), counters);
         pgServer =
@@ -115,7 +115,7 @@
                         1 << 20,
                         7,
                         counters,
-                        shows);
+                        statusTables);
         pgServer.listen(config.listen());
         loop.execute(loop::startStallDetection);
     }
@@ -145,9 +145,9 @@
         }
     }
 
-    public static void sleepMillis(long ms) {
+    public static void sleepMillis(long millis) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(millis);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -155,36 +155,37 @@
 
     /** Starts an engine and puts it on the list. */
     public StubEngine startEngine(int id, Function<String, String> script) throws IOException {
-        StubEngine e = new StubEngine(script);
-        resources.add(e);
-        updateEndpointAndWait(id, e, EngineStage.READY);
-        return e;
+        StubEngine engine = new StubEngine(script);
+        resources.add(engine);
+        updateEndpointAndWait(id, engine, EngineStage.READY);
+        return engine;
     }
 
     /** Tells a change of the list and returns once it has been taken in. */
-    public void updateEndpointAndWait(int id, StubEngine e, EngineStage stage) {
-        updateEndpointAndWait(id, e.address(), stage);
+    public void updateEndpointAndWait(int id, StubEngine engine, EngineStage stage) {
+        updateEndpointAndWait(id, engine.address(), stage);
     }
 
     /** The same for whatever listens there. */
     public void updateEndpointAndWait(int id, InetSocketAddress address, EngineStage stage) {
         CountDownLatch done = new CountDownLatch(1);
-        EngineListing entry = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
+        EngineListing listing = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
         loop.execute(
                 () -> {
                     gateway.updateEndpoints(
-                            EndpointUpdateKind.DELTA, List.of(new EngineEndpoint(entry, address)));
+                            EndpointUpdateKind.DELTA,
+                            List.of(new EngineEndpoint(listing, address)));
                     loop.execute(done::countDown);
                 });
         await(() -> done.getCount() == 0);
     }
 
     /** Begins the end, as after SIGTERM; {@code idle} runs once all that was taken is answered. */
-    public void shutDownGracefully(Runnable idle) {
+    public void shutDownGracefully(Runnable onIdle) {
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    pgServer.end(() -> gateway.runWhenIdle(idle));
+                    pgServer.end(() -> gateway.runWhenIdle(onIdle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
@@ -194,14 +195,14 @@
      * Holds the dispatcher's thread, as a long turn of its own does; the task returned lets it go.
      */
     public Runnable blockLoop() {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     await(() -> release.getCount() == 0);
                 });
-        await(() -> held.getCount() == 0);
+        await(() -> blocked.getCount() == 0);
         return release::countDown;
     }
 
@@ -214,15 +215,15 @@
     }
 
     public Client connectClient() throws IOException {
-        Client c = new Client(pgServer.address());
-        resources.add(c);
-        return c;
+        Client client = new Client(pgServer.address());
+        resources.add(client);
+        return client;
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable part : resources) {
-            part.close();
+        for (Closeable resource : resources) {
+            resource.close();
         }
         loop.stop();
     }
@@ -247,12 +248,12 @@
             startDaemon(
                     () -> {
                         while (true) {
-                            Socket s = server.accept();
-                            connections.add(s);
+                            Socket connection = server.accept();
+                            connections.add(connection);
                             startDaemon(
                                     () -> {
                                         try {
-                                            serve(s);
+                                            serve(connection);
                                         } finally {
                                             closedConnections.incrementAndGet();
                                         }
@@ -265,8 +266,8 @@
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        public long countCalls(String start) {
-            return calls.stream().filter(c -> c.startsWith(start)).count();
+        public long countCalls(String prefix) {
+            return calls.stream().filter(call -> call.startsWith(prefix)).count();
         }
 
         /**
@@ -281,50 +282,54 @@
             server.close();
         }
 
-        private void serve(Socket s) throws IOException {
-            InputStream in = s.getInputStream();
-            for (String first = readLine(in); !first.isEmpty(); first = readLine(in)) {
+        private void serve(Socket connection) throws IOException {
+            InputStream in = connection.getInputStream();
+            for (String requestLine = readLine(in);
+                    !requestLine.isEmpty();
+                    requestLine = readLine(in)) {
                 try {
                     partitionHealed.await();
                 } catch (InterruptedException e) {
                     return;
                 }
-                int body = 0;
+                int bodyLength = 0;
                 String id = "";
-                for (String h = readLine(in); !h.isEmpty(); h = readLine(in)) {
-                    body =
-                            h.startsWith("Content-Length: ")
-                                    ? Integer.parseInt(h.substring(16))
-                                    : body;
-                    if (h.startsWith("X-Limit-Ms: ")) {
-                        limitsMillis.add(Integer.parseInt(h.substring(12)));
+                for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
+                    bodyLength =
+                            header.startsWith("Content-Length: ")
+                                    ? Integer.parseInt(header.substring(16))
+                                    : bodyLength;
+                    if (header.startsWith("X-Limit-Ms: ")) {
+                        limitsMillis.add(Integer.parseInt(header.substring(12)));
                     }
-                    id = h.startsWith("X-Txn: ") ? " " + h.substring(7) : id;
+                    id = header.startsWith("X-Txn: ") ? " " + header.substring(7) : id;
                 }
-                if (in.readNBytes(body).length < body) {
+                if (in.readNBytes(bodyLength).length < bodyLength) {
                     return; // not whole: no call
                 }
-                String call = first.replace(" HTTP/1.1", "") + id;
+                String call = requestLine.replace(" HTTP/1.1", "") + id;
                 calls.add(call);
                 String answer = script.apply(call);
                 if (answer.equals(CLOSE_CONNECTION)) {
-                    s.close();
+                    connection.close();
                     return;
                 }
                 if (!answer.equals(NO_RESPONSE)) {
-                    send(s, call, answer);
+                    send(connection, call, answer);
                 }
             }
         }
 
-        protected void send(Socket s, String call, String answer) throws IOException {
-            s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+        protected void send(Socket connection, String call, String answer) throws IOException {
+            connection.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         private static String readLine(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
-                line.append((char) c);
+            for (int character = in.read();
+                    character >= 0 && character != '\n';
+                    character = in.read()) {
+                line.append((char) character);
             }
             return line.toString().trim();
         }
@@ -333,8 +338,8 @@
         @Override
         public void close() throws IOException {
             server.close();
-            for (Socket s : connections) {
-                s.close();
+            for (Socket connection : connections) {
+                connection.close();
             }
         }
     }
@@ -354,11 +359,12 @@
         }
 
         public static byte[] startupMessage() {
-            byte[] words = "user\0app\0database\0analytics\0\0".getBytes(StandardCharsets.UTF_8);
-            return ByteBuffer.allocate(8 + words.length)
-                    .putInt(8 + words.length)
+            byte[] parameters =
+                    "user\0app\0database\0analytics\0\0".getBytes(StandardCharsets.UTF_8);
+            return ByteBuffer.allocate(8 + parameters.length)
+                    .putInt(8 + parameters.length)
                     .putInt(196608)
-                    .put(words)
+                    .put(parameters)
                     .array();
         }
 
@@ -394,21 +400,21 @@
          * What comes until the server is ready or closes, such as {@code T D(a b c) C(SELECT 1)}.
          */
         public String readAnswer() throws IOException {
-            StringBuilder out = new StringBuilder();
+            StringBuilder answer = new StringBuilder();
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - 4);
                 cancelKey = type == 'K' ? body : cancelKey;
                 if ("TDCEI".indexOf(type) >= 0) {
-                    out.append(out.isEmpty() ? "" : " ")
+                    answer.append(answer.isEmpty() ? "" : " ")
                             .append((char) type)
                             .append(format((char) type, body));
                 }
                 if (type == 'E' && new String(body, StandardCharsets.UTF_8).contains("FATAL")) {
-                    return out.append(" closed=").append(in.read() < 0).toString();
+                    return answer.append(" closed=").append(in.read() < 0).toString();
                 }
             }
             in.skipBytes(5);
-            return out.toString();
+            return answer.toString();
         }
 
         private static String format(char type, byte[] body) {
@@ -418,11 +424,11 @@
                 case 'E' ->
                         "(" + text.split("\0C")[1].replaceFirst("\0M", " ").split("\0")[0] + ")";
                 case 'D' -> {
-                    ByteBuffer b = ByteBuffer.wrap(body);
+                    ByteBuffer buffer = ByteBuffer.wrap(body);
                     List<String> columns = new ArrayList<>();
-                    for (int n = b.getShort(); n > 0; n--) {
-                        byte[] column = new byte[b.getInt()];
-                        b.get(column);
+                    for (int n = buffer.getShort(); n > 0; n--) {
+                        byte[] column = new byte[buffer.getInt()];
+                        buffer.get(column);
                         columns.add(new String(column, StandardCharsets.UTF_8));
                     }
                     yield "(" + String.join(" ", columns) + ")";
@@ -438,9 +444,9 @@
 
         /** Sends a CancelRequest with this session's key over a connection of its own. */
         public void cancel() throws IOException {
-            try (Socket s = new Socket(front.getAddress(), front.getPort())) {
-                s.getOutputStream().write(cancelRequest());
-                s.getInputStream().read();
+            try (Socket connection = new Socket(front.getAddress(), front.getPort())) {
+                connection.getOutputStream().write(cancelRequest());
+                connection.getInputStream().read();
             }
         }
 
@@ -460,7 +466,7 @@
     }
 
     public static void startDaemon(IoTask task) {
-        Thread t =
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
@@ -469,8 +475,8 @@
                                 return; // the socket was closed
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /**
@@ -478,37 +484,37 @@
      * before it looks for connections that came up.
      */
     public LoopPause pauseAfterDials(int attempts) {
-        pauseLoop = new LoopPause(attempts);
-        return pauseLoop;
+        pause = new LoopPause(attempts);
+        return pause;
     }
 
     /** Stops the loop's turn now: what comes meanwhile is found in one pass. */
     public LoopPause pauseLoop() {
-        LoopPause now = new LoopPause(1);
-        loop.execute(now::reachPause);
-        return now.awaitPaused();
+        LoopPause pause = new LoopPause(1);
+        loop.execute(pause::reachPause);
+        return pause.awaitPaused();
     }
 
     /** A place where the loop's turn is held until {@link #goOn}. */
     public static final class LoopPause {
-        private final CountDownLatch awaitPaused = new CountDownLatch(1);
+        private final CountDownLatch paused = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
         private int remainingAttempts;
 
-        private LoopPause(int attempts) {
-            remainingAttempts = attempts;
+        private LoopPause(int afterAttempts) {
+            remainingAttempts = afterAttempts;
         }
 
         private void reachPause() {
             if (--remainingAttempts == 0) {
-                awaitPaused.countDown();
+                paused.countDown();
                 await(() -> resumed.getCount() == 0, 4 * AWAIT_TIMEOUT_MILLIS);
             }
         }
 
         /** Waits until the turn is held. */
         public LoopPause awaitPaused() {
-            await(() -> awaitPaused.getCount() == 0);
+            await(() -> paused.getCount() == 0);
             return this;
         }
 
@@ -532,11 +538,12 @@
 
         @Override
         public Attempt startAttempt(
-                EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
-            Attempt attempt = engines.startAttempt(engine, query, giveUpAt, ending);
-            LoopPause here = pauseLoop;
-            if (here != null) {
-                loop.execute(here::reachPause); // the dial is begun by a task that stands before
+                EngineId engine, Query query, double giveUpAt, AttemptListener listener) {
+            Attempt attempt = engines.startAttempt(engine, query, giveUpAt, listener);
+            LoopPause currentPause = pause;
+            if (currentPause != null) {
+                loop.execute(
+                        currentPause::reachPause); // the dial is begun by a task that stands before
                 // this one
             }
             return attempt;
@@ -549,23 +556,23 @@
      */
     public void updateEndpoints(
             EndpointUpdateKind kind,
-            double startedAt,
+            double startedAtUnixSeconds,
             EngineStage stage,
             Map<Integer, StubEngine> engines) {
         List<EngineEndpoint> members =
                 engines.entrySet().stream()
                         .map(
-                                e ->
+                                idAndEngine ->
                                         new EngineEndpoint(
                                                 new EngineListing(
-                                                        new EngineId(e.getKey()),
+                                                        new EngineId(idAndEngine.getKey()),
                                                         0,
                                                         0,
                                                         0,
                                                         stage,
                                                         1,
-                                                        startedAt),
-                                                e.getValue().address()))
+                                                        startedAtUnixSeconds),
+                                                idAndEngine.getValue().address()))
                         .toList();
         loop.execute(() -> gateway.updateEndpoints(kind, members));
     }
--- a/src/test/java/junipercourse/StubEngines.java
+++ b/src/test/java/junipercourse/StubEngines.java
@@ -20,8 +20,8 @@
             """;
     private final List<StubEngine> engines = new ArrayList<>();
 
-    public StubEngines(int number, Function<String, String> script) throws IOException {
-        for (int i = 0; i < number; i++) {
+    public StubEngines(int count, Function<String, String> script) throws IOException {
+        for (int i = 0; i < count; i++) {
             engines.add(new StubEngine(script));
         }
     }
@@ -33,14 +33,16 @@
 
     /** Attempts that the engines have read whole, of queries whose id begins so. */
     public long countAttempts(String idPrefix) {
-        return engines.stream().mapToLong(e -> e.countCalls("POST /fetch " + idPrefix)).sum();
+        return engines.stream()
+                .mapToLong(engine -> engine.countCalls("POST /fetch " + idPrefix))
+                .sum();
     }
 
     /** The calls that the engines have read of the queries whose ids the texts hold. */
     public List<String> callsFor(List<String> queries) {
         return engines.stream()
-                .flatMap(e -> e.calls.stream())
-                .filter(c -> queries.stream().anyMatch(t -> t.contains(queryId(c))))
+                .flatMap(engine -> engine.calls.stream())
+                .filter(call -> queries.stream().anyMatch(query -> query.contains(queryId(call))))
                 .toList();
     }
 
@@ -54,8 +56,8 @@
     /** A dispatcher's configuration with these engines and room for many queries. */
     public String dispatcherConfig() {
         List<String> members = new ArrayList<>();
-        for (StubEngine e : engines) {
-            members.add(ENDPOINT.formatted(members.size() + 1, e.address().getPort()));
+        for (StubEngine engine : engines) {
+            members.add(ENDPOINT.formatted(members.size() + 1, engine.address().getPort()));
         }
         return SocketTestSupport.CONFIG
                 .replace(
@@ -66,8 +68,8 @@
 
     @Override
     public void close() throws IOException {
-        for (StubEngine e : engines) {
-            e.close();
+        for (StubEngine engine : engines) {
+            engine.close();
         }
     }
 }
--- a/src/test/java/junipercourse/net/AcceptBacklogTest.java
+++ b/src/test/java/junipercourse/net/AcceptBacklogTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AcceptBacklogTest {
-    private static final String TABLE =
+    private static final String PROC_NET_TCP =
             """
               sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
                0: 0100007F:1B59 00000000:0000 0A 00000000:0000002B 00:00000000 00000000     0        0 1 1
@@ -32,25 +32,26 @@
         "127.0.0.1, 7002, -1",
         "127.0.0.3, 7001, -1"
     })
-    void readsTheQueueOfAListeningSocketOnly(String host, int port, int waiting) throws Exception {
-        BufferedReader table = new BufferedReader(new StringReader(TABLE));
+    void findsTheAcceptQueueOfListeningSocketsOnly(String host, int port, int waiting)
+            throws Exception {
+        BufferedReader table = new BufferedReader(new StringReader(PROC_NET_TCP));
         assertEquals(waiting, AcceptBacklog.findWaiting(table, new InetSocketAddress(host, port)));
     }
 
     @Test
     @EnabledOnOs(OS.LINUX)
-    void countsConnectionsThatNobodyHasAccepted() throws Exception {
+    void countsConnectionsNotYetAccepted() throws Exception {
         if (!Files.isReadable(Path.of("/proc/net/tcp"))) {
             return;
         }
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
-            assertEquals(0, AcceptBacklog.countWaiting(at));
-            try (Socket one = new Socket(at.getAddress(), at.getPort());
-                    Socket two = new Socket(at.getAddress(), at.getPort())) {
-                assertEquals(2, AcceptBacklog.countWaiting(at), one + " " + two);
+            InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
+            assertEquals(0, AcceptBacklog.countWaiting(address));
+            try (Socket first = new Socket(address.getAddress(), address.getPort());
+                    Socket second = new Socket(address.getAddress(), address.getPort())) {
+                assertEquals(2, AcceptBacklog.countWaiting(address), first + " " + second);
                 server.accept().close();
-                assertEquals(1, AcceptBacklog.countWaiting(at));
+                assertEquals(1, AcceptBacklog.countWaiting(address));
             }
         }
     }
--- a/src/test/java/junipercourse/net/DescriptorBudgetTest.java
+++ b/src/test/java/junipercourse/net/DescriptorBudgetTest.java
@@ -13,50 +13,50 @@
 
 class DescriptorBudgetTest {
     @Test
-    void promisesNoMoreThanTheLimit() {
-        DescriptorBudget all = new DescriptorBudget(100, 20);
-        all.allocateShare("a", 40, 8);
-        assertEquals(32, all.unallocated());
-        assertThrows(IllegalArgumentException.class, () -> all.allocateShare("b", 32, 1));
-        all.allocateShare("b", 32, 0);
+    void rejectsSharesBeyondTheLimit() {
+        DescriptorBudget budget = new DescriptorBudget(100, 20);
+        budget.allocateShare("a", 40, 8);
+        assertEquals(32, budget.unallocated());
+        assertThrows(IllegalArgumentException.class, () -> budget.allocateShare("b", 32, 1));
+        budget.allocateShare("b", 32, 0);
         assertThrows(IllegalArgumentException.class, () -> new DescriptorBudget(20, 20));
     }
 
     @Test
-    void givesBackOnlyWhatWasTaken() {
-        DescriptorBudget.Share s = new DescriptorBudget(100, 20).allocateShare("a", 1, 0);
-        assertThrows(IllegalStateException.class, s::markClosing);
-        assertTrue(s.tryAcquire());
-        assertFalse(s.tryAcquire());
-        assertEquals(1, s.refusedCount());
-        s.markClosing();
-        assertFalse(s.tryAcquire(), "it is not gone yet");
-        s.markClosed();
-        assertTrue(s.tryAcquire());
-        assertThrows(IllegalStateException.class, s::markClosed);
+    void rejectsClosingMoreThanWasAcquired() {
+        DescriptorBudget.Share share = new DescriptorBudget(100, 20).allocateShare("a", 1, 0);
+        assertThrows(IllegalStateException.class, share::markClosing);
+        assertTrue(share.tryAcquire());
+        assertFalse(share.tryAcquire());
+        assertEquals(1, share.refusedCount());
+        share.markClosing();
+        assertFalse(share.tryAcquire(), "it is not gone yet");
+        share.markClosed();
+        assertTrue(share.tryAcquire());
+        assertThrows(IllegalStateException.class, share::markClosed);
     }
 
     /** Open and closing ones together never pass the bound and its slack. */
     @Property(seed = "14", tries = 500)
-    void neverMoreThanPromised(@ForAll @LongRange(max = 1 << 30) long seed) {
+    void openAndClosingNeverExceedMaxOpenPlusSlack(@ForAll @LongRange(max = 1 << 30) long seed) {
         Random random = new Random(seed);
-        DescriptorBudget.Share s = new DescriptorBudget(100, 20).allocateShare("a", 10, 3);
+        DescriptorBudget.Share share = new DescriptorBudget(100, 20).allocateShare("a", 10, 3);
         for (int i = 0; i < 300; i++) {
             switch (random.nextInt(4)) {
-                case 0, 1 -> s.tryAcquire();
+                case 0, 1 -> share.tryAcquire();
                 case 2 -> {
-                    if (s.openCount() > 0) {
-                        s.markClosing();
+                    if (share.openCount() > 0) {
+                        share.markClosing();
                     }
                 }
                 default -> {
-                    if (s.closingCount() > 0) {
-                        s.markClosed();
+                    if (share.closingCount() > 0) {
+                        share.markClosed();
                     }
                 }
             }
-            assertTrue(s.openCount() + s.closingCount() <= 13, "seed " + seed);
-            assertTrue(s.peak() <= 13);
+            assertTrue(share.openCount() + share.closingCount() <= 13, "seed " + seed);
+            assertTrue(share.peak() <= 13);
         }
     }
 }
--- a/src/test/java/junipercourse/net/EventLoopTest.java
+++ b/src/test/java/junipercourse/net/EventLoopTest.java
@@ -21,45 +21,45 @@
 
 class EventLoopTest {
     @Test
-    void deadlinesComeInOrderNeverEarlyAndNotWhenTakenBack() throws Exception {
-        AtomicInteger faults = new AtomicInteger();
-        EventLoop loop = new EventLoop(faults::incrementAndGet, e -> {});
-        List<String> got = new CopyOnWriteArrayList<>();
+    void deadlinesRunInOrderNeverEarlyAndNotWhenCancelled() throws Exception {
+        AtomicInteger failedTasks = new AtomicInteger();
+        EventLoop loop = new EventLoop(failedTasks::incrementAndGet, e -> {});
+        List<String> ran = new CopyOnWriteArrayList<>();
         double start = loop.now();
         loop.execute(
                 () -> {
                     loop.scheduleAt(
-                            start + 0.060, () -> got.add("c " + (loop.now() >= start + 0.060)));
+                            start + 0.060, () -> ran.add("c " + (loop.now() >= start + 0.060)));
                     loop.scheduleAt(
-                            start + 0.040, () -> got.add("b " + (loop.now() >= start + 0.040)));
-                    loop.cancel(loop.scheduleAt(start + 0.050, () -> got.add("taken back")));
+                            start + 0.040, () -> ran.add("b " + (loop.now() >= start + 0.040)));
+                    loop.cancel(loop.scheduleAt(start + 0.050, () -> ran.add("taken back")));
                     loop.scheduleAt(
                             start + 0.020,
                             () -> {
-                                got.add("a");
+                                ran.add("a");
                                 throw new IllegalStateException("costs this task and no other");
                             });
                 });
-        SocketTestSupport.await(() -> got.size() == 3);
+        SocketTestSupport.await(() -> ran.size() == 3);
         loop.stop();
-        assertEquals(List.of("a", "b true", "c true"), got);
-        assertEquals(1, faults.get());
+        assertEquals(List.of("a", "b true", "c true"), ran);
+        assertEquals(1, failedTasks.get());
     }
 
     /** XNIO cuts delays to whole milliseconds; the rest of one must not be spent in a busy loop. */
     @Test
-    void aDeadlineWakesTheLoopAboutOnce() throws Exception {
+    void eachDeadlineWakesTheLoopAtMostTwiceOnAverage() throws Exception {
         EventLoop loop = new EventLoop(() -> {}, e -> {});
-        AtomicInteger left = new AtomicInteger(50);
+        AtomicInteger remaining = new AtomicInteger(50);
         Runnable[] next = new Runnable[1];
         next[0] =
                 () -> {
-                    if (left.decrementAndGet() > 0) {
+                    if (remaining.decrementAndGet() > 0) {
                         loop.scheduleAfter(0.0027, next[0]);
                     }
                 };
         loop.execute(next[0]);
-        SocketTestSupport.await(() -> left.get() == 0);
+        SocketTestSupport.await(() -> remaining.get() == 0);
         loop.stop();
         assertTrue(
                 loop.wakeUpCount() <= 100,
@@ -70,22 +70,35 @@
      * Small writes that the system holds back would go down with a close: on both sides none are.
      */
     @Test
-    void noConnectionHoldsSmallWritesBack() throws Exception {
+    void everyConnectionHasNoDelaySet() throws Exception {
         EventLoop loop = new EventLoop(() -> {}, e -> {});
         Map<String, Boolean> noDelay = new ConcurrentHashMap<>();
         loop.execute(
                 () -> {
                     try {
-                        InetSocketAddress any =
+                        InetSocketAddress anyPort =
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-                        InetSocketAddress at =
-                                loop.listen(any, 5, c -> noDelay.put("accepted", isSet(c)))
+                        InetSocketAddress listenAddress =
+                                loop.listen(
+                                                anyPort,
+                                                5,
+                                                c -> noDelay.put("accepted", isNoDelaySet(c)))
                                         .getLocalAddress(InetSocketAddress.class);
-                        loop.dial(at, 2, c -> noDelay.put("dialled", isSet(c)), f -> {});
-                        ServerSocketChannel held = ServerSocketChannel.open().bind(any);
+                        loop.dial(
+                                listenAddress,
+                                2,
+                                c -> noDelay.put("dialled", isNoDelaySet(c)),
+                                f -> {});
+                        ServerSocketChannel existing = ServerSocketChannel.open().bind(anyPort);
                         loop.listen(
-                                held, 5, c -> noDelay.put("accepted from a held socket", isSet(c)));
-                        loop.dial((InetSocketAddress) held.getLocalAddress(), 2, c -> {}, f -> {});
+                                existing,
+                                5,
+                                c -> noDelay.put("accepted from a held socket", isNoDelaySet(c)));
+                        loop.dial(
+                                (InetSocketAddress) existing.getLocalAddress(),
+                                2,
+                                c -> {},
+                                f -> {});
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
@@ -95,7 +108,7 @@
         assertEquals(Set.of(true), Set.copyOf(noDelay.values()), noDelay.toString());
     }
 
-    private static boolean isSet(StreamConnection connection) {
+    private static boolean isNoDelaySet(StreamConnection connection) {
         try {
             return connection.getOption(Options.TCP_NODELAY);
         } catch (IOException e) {
--- a/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
+++ b/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
@@ -14,27 +14,27 @@
 /** Two processes that share one limit; what one claims, the other may learn late. */
 class SharedDescriptorBudgetTest {
     private static final int LIMIT = 100;
-    private static final int OWN = 10;
+    private static final int RESERVED = 10;
 
     /** One process: what it told last, and the claim that its loop has not taken on yet. */
-    private static final class Side {
-        final DescriptorBudget descriptors = new DescriptorBudget(LIMIT, OWN);
-        final DescriptorBudget.Share share = descriptors.allocateShare("all", 80, 5);
-        int told = OWN;
-        int held = OWN;
+    private static final class SharingProcess {
+        final DescriptorBudget budget = new DescriptorBudget(LIMIT, RESERVED);
+        final DescriptorBudget.Share share = budget.allocateShare("all", 80, 5);
+        int publishedClaim = RESERVED;
+        int appliedClaim = RESERVED;
     }
 
     /** What the system has accepted is counted, also past the bound, and can be given back. */
     @Example
-    void whatIsAcceptedPastTheBoundIsCounted() {
-        Side s = new Side();
-        s.descriptors.applyClaim(OWN, true);
-        assertFalse(s.share.tryAcquire(), "nothing is left to open");
-        s.share.acquireUnconditionally();
-        assertEquals(OWN + 1, s.descriptors.used());
-        s.share.markClosing();
-        s.share.markClosed();
-        assertEquals(OWN, s.descriptors.used());
+    void connectionsAcceptedBeyondTheBudgetAreCounted() {
+        SharingProcess process = new SharingProcess();
+        process.budget.applyClaim(RESERVED, true);
+        assertFalse(process.share.tryAcquire(), "nothing is left to open");
+        process.share.acquireUnconditionally();
+        assertEquals(RESERVED + 1, process.budget.used());
+        process.share.markClosing();
+        process.share.markClosed();
+        assertEquals(RESERVED, process.budget.used());
     }
 
     /**
@@ -42,37 +42,44 @@
      * may, or the close of one. Whatever the order, both together never hold more than the limit.
      */
     @Property(seed = "20261202", tries = 2000)
-    void bothTogetherStayBelowTheLimit(
-            @ForAll @IntRange(min = 0, max = 70) int before,
+    void twoProcessesTogetherStayWithinTheLimit(
+            @ForAll @IntRange(min = 0, max = 70) int openBefore,
             @ForAll @Size(min = 5, max = 80) List<@IntRange(min = 0, max = 7) Integer> steps) {
-        Side[] sides = {new Side(), new Side()};
-        sides[0].held = sides[0].told = LIMIT; // it was alone
-        for (int i = 0; i < before; i++) {
-            sides[0].share.tryAcquire();
+        SharingProcess[] processes = {new SharingProcess(), new SharingProcess()};
+        processes[0].appliedClaim = processes[0].publishedClaim = LIMIT; // it was alone
+        for (int i = 0; i < openBefore; i++) {
+            processes[0].share.tryAcquire();
         }
-        sides[1].descriptors.applyClaim(sides[1].told, true);
+        processes[1].budget.applyClaim(processes[1].publishedClaim, true);
         for (int step : steps) {
-            Side s = sides[step % 2];
+            SharingProcess process = processes[step % 2];
             switch (step / 2) {
-                case 0 -> s.told = DescriptorBudget.claim(s.held, sides[1 - step % 2].told, LIMIT);
+                case 0 ->
+                        process.publishedClaim =
+                                DescriptorBudget.claim(
+                                        process.appliedClaim,
+                                        processes[1 - step % 2].publishedClaim,
+                                        LIMIT);
                 case 1 -> {
-                    s.descriptors.applyClaim(s.told, true);
-                    s.held = s.descriptors.allowed();
+                    process.budget.applyClaim(process.publishedClaim, true);
+                    process.appliedClaim = process.budget.allowed();
                 }
                 case 2 -> {
-                    while (s.share.tryAcquire()) {
+                    while (process.share.tryAcquire()) {
                         continue;
                     }
                 }
                 default -> {
-                    if (s.share.openCount() > 0) {
-                        s.share.markClosing();
-                        s.share.markClosed();
+                    if (process.share.openCount() > 0) {
+                        process.share.markClosing();
+                        process.share.markClosed();
                     }
                 }
             }
-            int sum = sides[0].descriptors.used() + sides[1].descriptors.used();
-            assertTrue(sum <= LIMIT, () -> sum + " after " + steps + " with " + before + " before");
+            int sum = processes[0].budget.used() + processes[1].budget.used();
+            assertTrue(
+                    sum <= LIMIT,
+                    () -> sum + " after " + steps + " with " + openBefore + " before");
         }
     }
 }
