--- a/src/test/java/junipercourse/ArchitecturePageTest.java
+++ b/src/test/java/junipercourse/ArchitecturePageTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds that docs/ARCHITECTURE.md names only types and packages that exist. */
+/** Checks that docs/ARCHITECTURE.md names only types and packages that exist. */
 class ArchitecturePageTest {
     private static final Path PAGE = Path.of("docs/ARCHITECTURE.md");
     private static final Path SOURCES = Path.of("src/main/java");
--- a/src/test/java/junipercourse/ArchitectureTest.java
+++ b/src/test/java/junipercourse/ArchitectureTest.java
@@ -26,14 +26,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The plan of the packages, held in the build: a change of the plan is a change of this test. */
+/** Enforces the package structure in the build: a change of the structure changes this test. */
 @AnalyzeClasses(packages = "junipercourse", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final int MAX_LINES = 250;
 
     /**
-     * Files that are over the bound still, and their lines. They may shrink, and go from here,
-     * alone.
+     * Files that still exceed the limit, with their maximum of lines. Entries may only shrink or be
+     * removed.
      */
     private static final Map<String, Integer> KNOWN_LONG_FILES =
             Map.ofEntries(
@@ -48,7 +48,9 @@
                     Map.entry("SettingsReader.java", 284),
                     Map.entry("SimHost.java", 273));
 
-    /** Packages that may be in checkstyle-pending.xml. Packages go from here, none is added. */
+    /**
+     * Packages that may be in checkstyle-pending.xml. Packages are removed from here, never added.
+     */
     private static final List<String> PENDING_PACKAGES =
             List.of(
                     "admin",
@@ -64,7 +66,7 @@
                     "product",
                     "sim");
 
-    /** Types of the JDK whose values never change. */
+    /** Immutable types of the JDK. */
     private static final List<Class<?>> IMMUTABLE_TYPES =
             List.of(
                     String.class,
@@ -138,9 +140,9 @@
             slices().matching("junipercourse.(**)").should().beFreeOfCycles();
 
     /**
-     * Guards against one dispatcher's settings in another one of the same JVM: no class keeps
-     * anything that can change, down to the fields and elements of what it holds. Nothing is let
-     * off by a list of names.
+     * Settings of one dispatcher must not reach another in the same JVM: no class keeps mutable
+     * static state, down to the fields and elements of the objects it holds. There is no list of
+     * exceptions.
      */
     @ArchTest
     static void noClassHasMutableStaticState(JavaClasses classes)
@@ -162,8 +164,8 @@
     }
 
     /**
-     * A value without parts that change: by the JDK's word, by its elements, or by its fields if
-     * ours.
+     * Whether a value is immutable: by its JDK type, by its elements, or by its fields if it is a
+     * type of this project.
      */
     private static boolean isImmutable(Object value) throws ReflectiveOperationException {
         if (value == null || IMMUTABLE_TYPES.stream().anyMatch(type -> type.isInstance(value))) {
@@ -222,7 +224,7 @@
                 .forEach(
                         name ->
                                 violations.add(
-                                        name + " is within the bound: take it off the list"));
+                                        name + " is within the limit: remove it from the list"));
         assertEquals(List.of(), violations);
     }
 
--- a/src/test/java/junipercourse/DispatcherProcess.java
+++ b/src/test/java/junipercourse/DispatcherProcess.java
@@ -13,8 +13,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The whole program as a process of its own, started with a configuration and a bound on its
- * descriptors.
+ * The whole program as a separate process, started with a configuration and a limit of descriptors.
  */
 public final class DispatcherProcess implements Closeable {
     private static final Pattern TEST_ONLY =
@@ -24,23 +23,21 @@
     private final Process process;
     private final Path log;
 
-    /** Starts it; {@code descriptors} is enforced by the system, as the platform does. */
+    /** Starts the program; the system enforces {@code maxDescriptors}, as on the platform. */
     public DispatcherProcess(Path folder, int maxDescriptors) throws IOException {
         this(folder, maxDescriptors, folder.resolve("config.json"), "");
     }
 
     /**
-     * The same with a configuration from elsewhere, after a shell's command; the log is in the
-     * folder.
+     * Starts the program with a configuration from elsewhere, after a shell command; its log is in
+     * the folder.
      */
     public DispatcherProcess(Path folder, int maxDescriptors, Path config, String shellPrefix)
             throws IOException {
         this(folder.resolve("log"), config, shellPrefix + shellCommand(maxDescriptors));
     }
 
-    /**
-     * A shell's command that runs the program, bound to so many descriptors, in the shell's place.
-     */
+    /** A shell command that limits the descriptors and replaces the shell by the program. */
     static String shellCommand(int maxDescriptors) {
         return "ulimit -n "
                 + maxDescriptors
@@ -51,9 +48,7 @@
                 + "' junipercourse.cli.Main serve";
     }
 
-    /**
-     * The program's own, without the tests' and their tools: each jar on it may take a descriptor.
-     */
+    /** The class path without tests and their libraries: each jar on it may take a descriptor. */
     private static String classPath() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(entry -> !TEST_ONLY.matcher(entry).find())
@@ -69,14 +64,14 @@
     }
 
     /**
-     * The packaged program by the deploy file's command line, with the class archive beside the
-     * jar.
+     * Starts the packaged program by the deploy file's command line, with the class archive beside
+     * the jar.
      */
     public static DispatcherProcess startDeployed(Path log, Path config) throws IOException {
         return startDeployed(log, config, "");
     }
 
-    /** The same after a shell's command. */
+    /** Starts the packaged program after a shell command. */
     public static DispatcherProcess startDeployed(Path log, Path config, String shellPrefix)
             throws IOException {
         String runLine =
@@ -91,7 +86,7 @@
                         + runLine.substring(runLine.indexOf('"') + 1, runLine.lastIndexOf('"')));
     }
 
-    /** What the system tells of it under {@code /proc}, such as {@code stat} or {@code maps}. */
+    /** Reads a file of the process under {@code /proc}, such as {@code stat} or {@code maps}. */
     public String readProcFile(String name) throws IOException {
         return Files.readString(Path.of("/proc/" + process.pid() + "/" + name));
     }
@@ -100,7 +95,7 @@
         return process.pid();
     }
 
-    /** Waits until clients can connect, and returns where. */
+    /** Waits until clients can connect, and returns the address. */
     public InetSocketAddress address() {
         SocketTestSupport.await(
                 () -> log().contains("listens on") || !isAlive(),
@@ -112,7 +107,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** What it has logged. */
+    /** The log of the process so far. */
     public String log() {
         try {
             return Files.readString(log);
@@ -126,7 +121,7 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Descriptors that it holds now, by the system's count. */
+    /** Counts the descriptors that the process has open, as the system reports them. */
     public int countDescriptors() {
         String[] entries = new File("/proc/" + process.pid() + "/fd").list();
         return entries == null ? 0 : entries.length;
@@ -136,7 +131,7 @@
         return process.isAlive();
     }
 
-    /** True if it has ended within so many seconds. */
+    /** Whether the process exits within the given seconds. */
     public boolean exitsWithin(int seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS);
     }
--- a/src/test/java/junipercourse/KnownRedTest.java
+++ b/src/test/java/junipercourse/KnownRedTest.java
@@ -19,12 +19,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What passes CI and what fails it: its scripts beside made-up reports and a Maven of the test's.
+ * Runs the CI scripts on generated test reports and a fake Maven, and checks what passes and what
+ * fails.
  */
 class KnownRedTest {
-    /**
-     * Prints what it was called with, writes the reports that lie ready, and ends as it is told.
-     */
+    /** Prints its arguments, copies the prepared reports, and exits with a given code. */
     private static final String FAKE_MAVEN =
             """
             #!/bin/bash
@@ -57,7 +56,7 @@
                 folder.resolve("README.md"), "Run:\n\n    mvn -B verify\n\nor `mvn -q`.\n");
     }
 
-    /** Writes a report for each class; what is given is such as {@code a.RedTest#red failed}. */
+    /** Writes a report for each class; an outcome reads {@code a.RedTest#red failed}. */
     private void writeReports(String outcomes) throws IOException {
         Map<String, StringBuilder> classes = new TreeMap<>();
         for (String outcome : outcomes.isEmpty() ? new String[0] : outcomes.split(", ")) {
@@ -82,7 +81,9 @@
         }
     }
 
-    /** Runs CI with a Maven that ends so; returns the exit code and all that was printed. */
+    /**
+     * Runs CI with a Maven that exits with the given code; returns the exit code and the output.
+     */
     private String runCi(int mavenExitCode) throws IOException, InterruptedException {
         Path bin = Files.createDirectories(folder.resolve("bin"));
         Path program = Files.writeString(bin.resolve("mvn"), FAKE_MAVEN.formatted(mavenExitCode));
@@ -211,7 +212,7 @@
         assertTrue(run.contains(expectedOutput), run);
     }
 
-    /** Without the list it is the README's command and no more, with that command's verdict. */
+    /** Without the list CI runs just the README's command and exits with its code. */
     @Test
     void withoutAListTheExitCodeIsMavens() throws Exception {
         writeReports("a.RedTest#red failed");
@@ -221,9 +222,7 @@
         assertTrue(runCi(0).contains("\nmvn -B verify -Dmaven.test.failure.ignore=true\n"));
     }
 
-    /**
-     * The command is the README's, so a README with none, or two, says nothing that could be run.
-     */
+    /** CI runs the README's command, so a README with none or two commands fails without a run. */
     @Test
     void failsUnlessTheReadmeHasExactlyOneTestCommand() throws Exception {
         for (String text : new String[] {"Run it.\n", "    mvn verify\n    mvn test\n"}) {
@@ -234,7 +233,7 @@
         }
     }
 
-    /** Neither the reports of an earlier run nor one that was cut off prove that a test ran. */
+    /** Neither reports of an earlier run nor a truncated report prove that a test ran. */
     @Test
     void onlyCompleteReportsOfThisRunCount() throws Exception {
         Files.writeString(folder.resolve("KNOWN-RED.txt"), KNOWN_RED_LINE);
--- a/src/test/java/junipercourse/ListeningSocketHolder.java
+++ b/src/test/java/junipercourse/ListeningSocketHolder.java
@@ -19,10 +19,10 @@
 import java.util.function.Predicate;
 
 /**
- * Holds the clients' listening socket as the platform does (DAYS, replacing the process) and starts
- * programs that have it as descriptor 0. A JVM can hand no socket down, so a few lines of perl,
- * which is part of any Debian, hold it. They end with this JVM and kill what still runs of theirs
- * then.
+ * Holds the clients' listening socket as the platform does, and starts dispatchers that inherit it
+ * as descriptor 0. A JVM cannot pass a socket to a child process, so a short Perl script holds it;
+ * Perl is part of any Debian. The script ends with this JVM and then kills the processes that still
+ * run.
  */
 public final class ListeningSocketHolder implements Closeable {
     private static final String HOLDER_SCRIPT =
@@ -46,7 +46,7 @@
     private static final int BACKLOG = 512;
     private static final int MAX_DESCRIPTORS = 1024;
 
-    /** A process may take 5.2 s to end by itself, and longer to start on a busy machine. */
+    /** A process may take 5.2 s to exit, and longer to start on a busy machine. */
     public static final long AWAIT_TIMEOUT_MILLIS = 20_000;
 
     private final Process holder;
@@ -57,12 +57,14 @@
     private final int port;
     private int startedCount;
 
-    /** Listens; logs, the configuration and {@code $TMPDIR} of what it starts are in the folder. */
+    /**
+     * Listens; the folder holds the logs, the configuration and {@code $TMPDIR} of the processes.
+     */
     public ListeningSocketHolder(Path folder) throws IOException {
         this(folder, BACKLOG);
     }
 
-    /** The same with a backlog; without one it is bound only. */
+    /** Listens with a backlog; with 0 the socket is only bound. */
     public ListeningSocketHolder(Path folder, int backlog) throws IOException {
         this.folder = folder;
         Files.createDirectories(tempFolder());
@@ -101,27 +103,27 @@
                         .substring(prefix.length()));
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     public InetSocketAddress address() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** What the programs share as their {@code $TMPDIR}. */
+    /** The folder that the processes share as their {@code $TMPDIR}. */
     public Path tempFolder() {
         return folder.resolve("tmp");
     }
 
-    /** Writes the configuration of what is started from now on. */
+    /** Writes the configuration of processes started from now on. */
     public void writeConfig(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
-    /** Starts one more dispatcher at this socket, with a second address of its own. */
+    /** Starts another dispatcher on this socket, with an admin address of its own. */
     public InheritingProcess start() throws IOException {
         return start("", Map.of());
     }
 
-    /** The same with other variables, and after a shell's commands. */
+    /** Starts a dispatcher with other environment variables, after the given shell commands. */
     public InheritingProcess start(String shellPrefix, Map<String, String> overrides)
             throws IOException {
         Path log = folder.resolve("log" + startedCount);
@@ -164,10 +166,10 @@
         }
     }
 
-    /** An answer at the second address. */
+    /** An answer of the admin server. */
     public record HttpAnswer(int status, String body) {}
 
-    /** One process that has the socket as its descriptor 0. */
+    /** A process that has the socket as its descriptor 0. */
     public final class InheritingProcess {
         private final Path log;
         private final long pid;
@@ -177,7 +179,7 @@
             this.pid = pid;
         }
 
-        /** What it has logged. */
+        /** The log of the process so far. */
         public String log() {
             try {
                 return Files.readString(log);
@@ -186,7 +188,7 @@
             }
         }
 
-        /** Sends it a signal, unless it has ended. */
+        /** Sends a signal to the process, unless it has exited. */
         public void signal(String name) throws IOException, InterruptedException {
             if (isAlive()) {
                 new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
@@ -198,8 +200,8 @@
         }
 
         /**
-         * Waits for its end and returns its exit code; that of one killed by a signal is 128 and
-         * more.
+         * Waits until the process exits and returns its exit code; that of a process killed by a
+         * signal is 128 or more.
          */
         public int awaitExitCode() {
             SocketTestSupport.await(() -> !isAlive(), AWAIT_TIMEOUT_MILLIS);
@@ -207,7 +209,7 @@
             return status > 255 ? status >> 8 : 128 + status;
         }
 
-        /** Calls its second address, such as {@code GET /ops/stats}. */
+        /** Calls the admin server, such as {@code GET /ops/stats}. */
         public HttpAnswer callAdmin(String call) throws IOException {
             SocketTestSupport.await(
                     () -> log().contains("second address is ") || !isAlive(), AWAIT_TIMEOUT_MILLIS);
@@ -226,12 +228,12 @@
             }
         }
 
-        /** Waits until it says yes. */
+        /** Waits until the readiness check succeeds. */
         public InheritingProcess awaitReady() {
             return awaitAnswer("GET /ops/readiness", answer -> answer.status() == 200);
         }
 
-        /** Waits until a call is answered as it is sought. */
+        /** Waits until the answer to a call matches. */
         public InheritingProcess awaitAnswer(String call, Predicate<HttpAnswer> matches) {
             SocketTestSupport.await(
                     () -> {
--- a/src/test/java/junipercourse/QueryStream.java
+++ b/src/test/java/junipercourse/QueryStream.java
@@ -14,27 +14,30 @@
 import junipercourse.SocketTestSupport.Client;
 
 /**
- * A steady stream of queries, and what must hold of each: one answer, and never two attempts at
- * once or one after it has ended. Half of the clients keep their connections, half open one for
- * each second query.
+ * A steady stream of queries, with checks on each: it gets one answer, and no attempt runs beside
+ * another attempt of the same query or after one has ended. Half of the clients keep their
+ * connections, the others open one for every second query.
  */
 public final class QueryStream implements Closeable {
     public static final String EXPECTED_ANSWER = "T D(a b c) C(SELECT 1)";
     private static final int CLIENTS = 8;
     private static final int MAX_PAUSE_MILLIS = 150;
 
-    /** A query that crosses a close so late after it was written may be sent again, once. */
+    /** A query whose connection is closed within this time of the write may be sent again, once. */
     private static final long CLOSE_RACE_WINDOW_NANOS = 50_000_000;
 
     private static final AtomicInteger NEXT_NUMBER = new AtomicInteger();
 
-    /** Of each query's id: true while an engine has it, false once it has ended. */
+    /** Query ids: true while an engine runs the query, false once it has ended. */
     private final Map<String, Boolean> runningById = new ConcurrentHashMap<>();
 
     public final List<String> duplicateAttempts = new CopyOnWriteArrayList<>();
     public final List<String> unexpectedAnswers = new CopyOnWriteArrayList<>();
 
-    /** Queries that ended at the door: not let in, closed on, or left unread. */
+    /**
+     * Queries that were not admitted: the connection was refused or closed, or they were left
+     * unread.
+     */
     public final List<String> notAdmitted = new CopyOnWriteArrayList<>();
 
     public final AtomicInteger served = new AtomicInteger();
@@ -47,7 +50,7 @@
         this.front = front;
     }
 
-    /** An engine's script around another one, which sees that it is asked for each query once. */
+    /** Wraps a script for engines and records a second attempt of a query. */
     public Function<String, String> detectDuplicates(Function<String, String> script) {
         return call -> {
             String id = StubEngines.queryId(call);
@@ -56,7 +59,7 @@
             }
             String answer = script.apply(call);
             if (call.startsWith("DELETE")) {
-                runningById.remove(id); // called off: it may be tried again
+                runningById.remove(id); // cancelled: it may be retried
             } else if (answer.startsWith("HTTP/1.1 200")) {
                 runningById.put(id, false);
             }
@@ -64,14 +67,14 @@
         };
     }
 
-    /** A fresh query of a class, with keys and a table of its own. */
+    /** A query of a class with an id, keys and a table of its own. */
     public static String query(String queryClass) {
         int number = NEXT_NUMBER.incrementAndGet();
         return "/* kind=%s,req=%016x,timeout=7000,owner=acme,opkey=k%d,subject=%016x */ SELECT n FROM t%d"
                 .formatted(queryClass, number, number, number, number);
     }
 
-    /** Asks once, on a connection of its own. */
+    /** Sends one query on a connection of its own. */
     public static String queryOnce(InetSocketAddress front, String sql) throws IOException {
         try (Client client = new Client(front)) {
             return client.startSession().query(sql);
@@ -89,7 +92,7 @@
         return this;
     }
 
-    /** Waits until so many more have been served. */
+    /** Waits until this many more queries have been served. */
     public void awaitServed(int additional) {
         int servedBefore = served.get();
         SocketTestSupport.await(
@@ -112,7 +115,7 @@
         close(client);
     }
 
-    /** Whether the dispatcher has closed a connection that rested, and has said so. */
+    /** Whether the dispatcher has closed an idle connection, which it announces with a message. */
     private static boolean isClosed(Client client) {
         try {
             return client.socket.getInputStream().available() > 0;
@@ -121,7 +124,9 @@
         }
     }
 
-    /** Asks on a connection, a new one if it is null; returns the connection to go on with. */
+    /**
+     * Sends a query on a connection, a new one if it is null; returns the connection to use next.
+     */
     private Client sendQuery(Client openClient, String sql) {
         Client client = openClient;
         for (int tries = 0; ; tries++) {
@@ -135,7 +140,7 @@
                     return client;
                 }
                 if (answer.startsWith("E(53300 the dispatcher is being replaced")) {
-                    tries--; // never begun, and sent on to the process that comes after
+                    tries--; // not started, redirected to the next process
                     redirected.incrementAndGet();
                 } else if (!answer.isEmpty() && !answer.endsWith("closed=true")) {
                     unexpectedAnswers.add(answer + " to " + sql);
@@ -143,9 +148,7 @@
                 }
             } catch (IOException e) {
                 writtenNanos =
-                        Math.min(
-                                writtenNanos,
-                                System.nanoTime()); // as if it were closed without an answer
+                        Math.min(writtenNanos, System.nanoTime()); // as if closed without an answer
             }
             close(client);
             client = null;
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Ends the clients, each after the answer that it waits for. */
+    /** Stops the clients, each after the answer that it waits for. */
     @Override
     public void close() {
         stopping = true;
--- a/src/test/java/junipercourse/ScriptedBus.java
+++ b/src/test/java/junipercourse/ScriptedBus.java
@@ -18,11 +18,11 @@
 import junipercourse.discovery.EndpointWatcher;
 import junipercourse.net.EventLoop;
 
-/** An event bus that a test plays by hand, one connection after the other. */
+/** An event bus that a test controls step by step, one connection after the other. */
 public final class ScriptedBus implements Closeable {
     public static final String EMPTY_FRAME = "00000009%016x00";
 
-    /** A change of one engine, whose id is the number of the event. */
+    /** A watch event for one engine, whose id is the number of the event. */
     public static final String DELTA_FRAME =
             "00000024%1$016x02%1$08x0a0100091b59010000000200000fa00000000000001388";
 
@@ -32,7 +32,7 @@
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final List<Socket> queueFillers = new CopyOnWriteArrayList<>();
 
-    /** The numbers that connections asked from. */
+    /** The event numbers from which connections requested events. */
     public final List<Long> requestedOffsets = new CopyOnWriteArrayList<>();
 
     public volatile double lastFrameAt;
@@ -41,7 +41,7 @@
         this(0);
     }
 
-    /** One that comes back at the port of an earlier one. */
+    /** Creates a bus that reopens the port of an earlier one. */
     public ScriptedBus(int port) throws IOException {
         server = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
         server.setSoTimeout(20_000);
@@ -51,7 +51,7 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** A frame with one ready or draining engine at an address of this machine. */
+    /** A frame with one ready or draining engine at a local address. */
     public static String endpointFrame(
             boolean fullList,
             int eventNumber,
@@ -72,8 +72,9 @@
     }
 
     /**
-     * Takes the next connection that asks, and what it asks from: one may come up just as it is
-     * given up.
+     * Accepts the next connection that sends a request, and records its event number; skips one
+     * that is closed by the client before that, since it may be established just as the client
+     * cancels it.
      */
     public Socket acceptSubscription() throws IOException {
         while (true) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Takes a connection that ends without asking anything. */
+    /** Accepts a connection that is closed without a request. */
     public void awaitConnectionWithoutRequest() throws IOException {
         try (Socket connection = server.accept()) {
             connection.setSoTimeout(5000);
@@ -98,7 +99,7 @@
         }
     }
 
-    /** Writes frames, such as {@code CHANGE.formatted(2)}, in one write. */
+    /** Writes frames, such as {@code DELTA_FRAME.formatted(2)}, in one write. */
     public void sendFrames(Socket connection, String hex) throws IOException {
         lastFrameAt = nowSeconds();
         sendBytes(connection, hex);
@@ -108,18 +109,18 @@
         connection.getOutputStream().write(HexFormat.of().parseHex(hex));
     }
 
-    /** Waits until the other side has left a connection. */
+    /** Waits until the peer has closed a connection. */
     public static void awaitDisconnect(Socket connection) throws IOException {
         try {
             if (connection.getInputStream().read() >= 0) {
-                throw new AssertionError("more was asked");
+                throw new AssertionError("the client sent more bytes");
             }
         } catch (SocketException e) {
-            return; // it was reset, for what it had not read
+            return; // reset, as it had unread bytes
         }
     }
 
-    /** From now on no connection comes up: the system's queue is full. */
+    /** Makes connects fail from now on: the accept queue of the system is full. */
     public void stopAccepting() throws IOException {
         try {
             for (int i = 0; i < 10; i++) {
@@ -130,10 +131,10 @@
         } catch (SocketTimeoutException e) {
             return;
         }
-        throw new AssertionError("the queue takes all");
+        throw new AssertionError("the accept queue did not fill up");
     }
 
-    /** Connections come up again; what came up by now is left. */
+    /** Lets connects succeed again; closes the connections that waited. */
     public void resumeAccepting() throws IOException {
         for (Socket filler : queueFillers.subList(0, queueFillers.size() - 1)) {
             server.accept().close();
@@ -143,7 +144,7 @@
         queueFillers.clear();
     }
 
-    /** A client of this bus that tells a list, such as {@code [FULL 1, DELTA 2]}. */
+    /** Creates a client of this bus with an empty endpoint list; its updates go to the listener. */
     public EndpointWatcher createWatcher(EventLoop loop, EndpointWatcher.Listener listener) {
         return new EndpointWatcher(
                 loop,
@@ -155,12 +156,12 @@
                 new Counters());
     }
 
-    /** A listener that notes each list as its kind and its engine. */
+    /** A listener that records each update as its kind and its engine, such as {@code FULL 1}. */
     public static EndpointWatcher.Listener recordingListener(List<String> updates) {
         return (kind, members) -> updates.add(kind + " " + members.get(0).engine().id().value());
     }
 
-    /** Plays a script on a thread of its own; what fails in it is noted. */
+    /** Runs a script on a thread of its own; its exceptions are recorded. */
     public void runScript(SocketTestSupport.IoTask script, List<Throwable> failures) {
         SocketTestSupport.startDaemon(
                 () -> {
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -64,10 +64,12 @@
             "HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
     public static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
-    /** Scripts' words for an engine that breaks the connection, and for one that says nothing. */
+    /** Result of a script: the engine closes the connection without an answer. */
     public static final String CLOSE_CONNECTION = "break";
 
+    /** Result of a script: the engine does not answer. */
     public static final String NO_RESPONSE = "silence";
+
     public static final int MAX_CLIENTS = 100;
     private static final long AWAIT_TIMEOUT_MILLIS = 5000;
 
@@ -83,12 +85,12 @@
         this(512);
     }
 
-    /** A dispatcher that may hold so many connections to engines. */
+    /** Starts a dispatcher with a limit of connections to engines. */
     public SocketTestSupport(int engineConnections) throws IOException {
         this(CONFIG, engineConnections);
     }
 
-    /** The same by a configuration of the caller's. */
+    /** Starts a dispatcher with another configuration. */
     public SocketTestSupport(String configJson, int engineConnections) throws IOException {
         Config config = Config.parse(configJson, Map.of());
         loop =
@@ -124,7 +126,7 @@
         return Config.parse(CONFIG, Map.of()).settings();
     }
 
-    /** A query of a class with fresh fields around a statement. */
+    /** A query of a class whose id and keys derive from a number. */
     public static String query(String queryClass, int number, long timeoutMillis) {
         return "/* kind=%s,req=%016x,timeout=%d,owner=acme,opkey=k%d,subject=00000000000000aa */ SELECT 1"
                 .formatted(queryClass, number, timeoutMillis, number);
@@ -134,12 +136,14 @@
         await(condition, AWAIT_TIMEOUT_MILLIS);
     }
 
-    /** The same with a patience in ms, such as a process needs on a busy machine. */
+    /**
+     * Waits for a condition with a timeout of its own, such as a process needs on a busy machine.
+     */
     public static void await(BooleanSupplier condition, long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("not within " + timeoutMillis + " ms");
+                throw new AssertionError("condition not met within " + timeoutMillis + " ms");
             }
             sleepMillis(2);
         }
@@ -153,7 +157,7 @@
         }
     }
 
-    /** Starts an engine and puts it on the list. */
+    /** Starts an engine and adds it to the endpoint list. */
     public StubEngine startEngine(int id, Function<String, String> script) throws IOException {
         StubEngine engine = new StubEngine(script);
         resources.add(engine);
@@ -161,12 +165,12 @@
         return engine;
     }
 
-    /** Tells a change of the list and returns once it has been taken in. */
+    /** Updates one engine of the endpoint list and waits until the update has been applied. */
     public void updateEndpointAndWait(int id, StubEngine engine, EngineStage stage) {
         updateEndpointAndWait(id, engine.address(), stage);
     }
 
-    /** The same for whatever listens there. */
+    /** Updates the endpoint list with any address, whatever listens there. */
     public void updateEndpointAndWait(int id, InetSocketAddress address, EngineStage stage) {
         CountDownLatch done = new CountDownLatch(1);
         EngineListing listing = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
@@ -180,7 +184,10 @@
         await(() -> done.getCount() == 0);
     }
 
-    /** Begins the end, as after SIGTERM; {@code idle} runs once all that was taken is answered. */
+    /**
+     * Begins a graceful shutdown, as after SIGTERM; {@code onIdle} runs once all accepted queries
+     * have been answered.
+     */
     public void shutDownGracefully(Runnable onIdle) {
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
@@ -191,9 +198,7 @@
         await(() -> begun.getCount() == 0);
     }
 
-    /**
-     * Holds the dispatcher's thread, as a long turn of its own does; the task returned lets it go.
-     */
+    /** Blocks the event loop, as a long task does, until the returned task is run. */
     public Runnable blockLoop() {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -207,8 +212,7 @@
     }
 
     /**
-     * Runs a task on the dispatcher's thread, right behind what is held there, before sockets are
-     * read.
+     * Runs a task on the event loop right after the tasks queued there, before sockets are read.
      */
     public void executeOnLoop(Consumer<PgServer> task) {
         loop.execute(() -> task.accept(pgServer));
@@ -228,11 +232,13 @@
         loop.stop();
     }
 
-    /** An engine that answers each call, such as {@code POST /fetch ID}, as its script says. */
+    /**
+     * An engine that answers each call, such as {@code POST /fetch ID}, with its script's result.
+     */
     public static class StubEngine implements Closeable {
         public final List<String> calls = new CopyOnWriteArrayList<>();
 
-        /** How long the dispatcher would wait, in ms, by each POST. */
+        /** How long the dispatcher would wait, in milliseconds, as each POST states. */
         public final List<Integer> limitsMillis = new CopyOnWriteArrayList<>();
 
         private final ServerSocket server =
@@ -244,7 +250,7 @@
 
         public StubEngine(Function<String, String> script) throws IOException {
             this.script = script;
-            server.setReceiveBufferSize(4096); // so that what is not read lies with the sender
+            server.setReceiveBufferSize(4096); // so that unread bytes stay with the sender
             startDaemon(
                     () -> {
                         while (true) {
@@ -270,14 +276,12 @@
             return calls.stream().filter(call -> call.startsWith(prefix)).count();
         }
 
-        /**
-         * Cuts the network to this engine until the latch opens: calls lie in buffers on the way.
-         */
+        /** Cuts the network to this engine until the latch opens: calls wait in socket buffers. */
         public void partitionUntil(CountDownLatch healed) {
             partitionHealed = healed;
         }
 
-        /** Refuses new connections and goes on serving the open ones. */
+        /** Refuses new connections and keeps serving the open ones. */
         public void stopAccepting() throws IOException {
             server.close();
         }
@@ -305,7 +309,7 @@
                     id = header.startsWith("X-Txn: ") ? " " + header.substring(7) : id;
                 }
                 if (in.readNBytes(bodyLength).length < bodyLength) {
-                    return; // not whole: no call
+                    return; // incomplete: not a call
                 }
                 String call = requestLine.replace(" HTTP/1.1", "") + id;
                 calls.add(call);
@@ -334,7 +338,7 @@
             return line.toString().trim();
         }
 
-        /** Ends as a process does: its connections break and new ones are refused. */
+        /** Stops as a killed process does: its connections break and new ones are refused. */
         @Override
         public void close() throws IOException {
             server.close();
@@ -344,7 +348,7 @@
         }
     }
 
-    /** A client of the PostgreSQL front. */
+    /** A client of the PostgreSQL server. */
     public static final class Client implements Closeable {
         public final Socket socket;
         private final InetSocketAddress front;
@@ -397,7 +401,8 @@
         }
 
         /**
-         * What comes until the server is ready or closes, such as {@code T D(a b c) C(SELECT 1)}.
+         * Reads messages until the server is ready or closes, and formats them, such as {@code T
+         * D(a b c) C(SELECT 1)}.
          */
         public String readAnswer() throws IOException {
             StringBuilder answer = new StringBuilder();
@@ -437,7 +442,7 @@
             };
         }
 
-        /** The session's number and its secret, by which it is cancelled. */
+        /** The process id and secret key of the session, which a cancel request carries. */
         public ByteBuffer cancelKey() {
             return ByteBuffer.wrap(cancelKey);
         }
@@ -460,7 +465,7 @@
         }
     }
 
-    /** Work that may end with its socket. */
+    /** A task that may end with an exception of its socket. */
     public interface IoTask {
         void run() throws IOException;
     }
@@ -480,22 +485,22 @@
     }
 
     /**
-     * Stops the loop's turn right after the dials of so many attempts from now on have begun, and
-     * before it looks for connections that came up.
+     * Pauses the event loop right after the connects of the given number of attempts from now on
+     * have begun, and before it looks for connections that were established.
      */
     public LoopPause pauseAfterDials(int attempts) {
         pause = new LoopPause(attempts);
         return pause;
     }
 
-    /** Stops the loop's turn now: what comes meanwhile is found in one pass. */
+    /** Pauses the event loop now: events that arrive meanwhile are found in one pass. */
     public LoopPause pauseLoop() {
         LoopPause pause = new LoopPause(1);
         loop.execute(pause::reachPause);
         return pause.awaitPaused();
     }
 
-    /** A place where the loop's turn is held until {@link #goOn}. */
+    /** A point at which the event loop pauses until {@link #resume}. */
     public static final class LoopPause {
         private final CountDownLatch paused = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
@@ -512,7 +517,7 @@
             }
         }
 
-        /** Waits until the turn is held. */
+        /** Waits until the event loop has paused. */
         public LoopPause awaitPaused() {
             await(() -> paused.getCount() == 0);
             return this;
@@ -523,7 +528,7 @@
         }
     }
 
-    /** The engines, with a place to stop at. */
+    /** The engines, with a point at which the event loop can be paused. */
     private final class PausingBackend implements Backend {
         private final Backend engines;
 
@@ -542,18 +547,13 @@
             Attempt attempt = engines.startAttempt(engine, query, giveUpAt, listener);
             LoopPause currentPause = pause;
             if (currentPause != null) {
-                loop.execute(
-                        currentPause::reachPause); // the dial is begun by a task that stands before
-                // this one
+                loop.execute(currentPause::reachPause); // after the task that begins the connect
             }
             return attempt;
         }
     }
 
-    /**
-     * Tells a change of the list, in which engines were started at that Unix second, and returns at
-     * once.
-     */
+    /** Updates engines of the endpoint list, all with the given start time, and returns at once. */
     public void updateEndpoints(
             EndpointUpdateKind kind,
             double startedAtUnixSeconds,
--- a/src/test/java/junipercourse/StubEngines.java
+++ b/src/test/java/junipercourse/StubEngines.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import junipercourse.SocketTestSupport.StubEngine;
 
-/** Scripted engines, {@code s-00000001} and on, and a configuration that knows them. */
+/** Scripted engines with ids from {@code s-00000001} on, and a configuration that lists them. */
 public final class StubEngines implements Closeable {
     private static final String ENDPOINT =
             """
@@ -26,19 +26,21 @@
         }
     }
 
-    /** The engine of that number, from 1 on. */
+    /** Returns an engine by its number, from 1 on. */
     public StubEngine get(int id) {
         return engines.get(id - 1);
     }
 
-    /** Attempts that the engines have read whole, of queries whose id begins so. */
+    /**
+     * Counts the attempts that the engines have read completely, of queries whose id has a prefix.
+     */
     public long countAttempts(String idPrefix) {
         return engines.stream()
                 .mapToLong(engine -> engine.countCalls("POST /fetch " + idPrefix))
                 .sum();
     }
 
-    /** The calls that the engines have read of the queries whose ids the texts hold. */
+    /** The calls that the engines have read for queries whose text contains their id. */
     public List<String> callsFor(List<String> queries) {
         return engines.stream()
                 .flatMap(engine -> engine.calls.stream())
@@ -46,14 +48,14 @@
                 .toList();
     }
 
-    /** The id of the query that a call is about. */
+    /** Returns the id of the query that a call is about. */
     public static String queryId(String call) {
         return call.startsWith("POST")
                 ? call.substring(call.lastIndexOf(' ') + 1)
                 : call.split("/")[2];
     }
 
-    /** A dispatcher's configuration with these engines and room for many queries. */
+    /** A dispatcher configuration with these engines and a quota for many queries. */
     public String dispatcherConfig() {
         List<String> members = new ArrayList<>();
         for (StubEngine engine : engines) {
--- a/src/test/java/junipercourse/net/DescriptorBudgetTest.java
+++ b/src/test/java/junipercourse/net/DescriptorBudgetTest.java
@@ -30,13 +30,13 @@
         assertFalse(share.tryAcquire());
         assertEquals(1, share.refusedCount());
         share.markClosing();
-        assertFalse(share.tryAcquire(), "it is not gone yet");
+        assertFalse(share.tryAcquire(), "the closing descriptor is not released yet");
         share.markClosed();
         assertTrue(share.tryAcquire());
         assertThrows(IllegalStateException.class, share::markClosed);
     }
 
-    /** Open and closing ones together never pass the bound and its slack. */
+    /** Open and closing descriptors together never exceed the limit of the share and its slack. */
     @Property(seed = "14", tries = 500)
     void openAndClosingNeverExceedMaxOpenPlusSlack(@ForAll @LongRange(max = 1 << 30) long seed) {
         Random random = new Random(seed);
--- a/src/test/java/junipercourse/net/EventLoopTest.java
+++ b/src/test/java/junipercourse/net/EventLoopTest.java
@@ -32,12 +32,12 @@
                             start + 0.060, () -> ran.add("c " + (loop.now() >= start + 0.060)));
                     loop.scheduleAt(
                             start + 0.040, () -> ran.add("b " + (loop.now() >= start + 0.040)));
-                    loop.cancel(loop.scheduleAt(start + 0.050, () -> ran.add("taken back")));
+                    loop.cancel(loop.scheduleAt(start + 0.050, () -> ran.add("cancelled")));
                     loop.scheduleAt(
                             start + 0.020,
                             () -> {
                                 ran.add("a");
-                                throw new IllegalStateException("costs this task and no other");
+                                throw new IllegalStateException("ends this task and no other");
                             });
                 });
         SocketTestSupport.await(() -> ran.size() == 3);
@@ -46,7 +46,7 @@
         assertEquals(1, failedTasks.get());
     }
 
-    /** XNIO cuts delays to whole milliseconds; the rest of one must not be spent in a busy loop. */
+    /** XNIO truncates delays to whole milliseconds; the rest must not be spent in a busy loop. */
     @Test
     void eachDeadlineWakesTheLoopAtMostTwiceOnAverage() throws Exception {
         EventLoop loop = new EventLoop(() -> {}, e -> {});
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Small writes that the system holds back would go down with a close: on both sides none are.
+     * Small writes that the system delays would be lost with a close: TCP_NODELAY is set on both
+     * sides.
      */
     @Test
     void everyConnectionHasNoDelaySet() throws Exception {
@@ -87,13 +88,16 @@
                         loop.dial(
                                 listenAddress,
                                 2,
-                                c -> noDelay.put("dialled", isNoDelaySet(c)),
+                                c -> noDelay.put("connected", isNoDelaySet(c)),
                                 f -> {});
                         ServerSocketChannel existing = ServerSocketChannel.open().bind(anyPort);
                         loop.listen(
                                 existing,
                                 5,
-                                c -> noDelay.put("accepted from a held socket", isNoDelaySet(c)));
+                                c ->
+                                        noDelay.put(
+                                                "accepted from an existing socket",
+                                                isNoDelaySet(c)));
                         loop.dial(
                                 (InetSocketAddress) existing.getLocalAddress(),
                                 2,
--- a/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
+++ b/src/test/java/junipercourse/net/SharedDescriptorBudgetTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Two processes that share one limit; what one claims, the other may learn late. */
+/** Two processes that share one limit; either may learn of the claim of the other late. */
 class SharedDescriptorBudgetTest {
     private static final int LIMIT = 100;
     private static final int RESERVED = 10;
 
-    /** One process: what it told last, and the claim that its loop has not taken on yet. */
+    /** One process: the claim it published last, and the claim that its budget has applied. */
     private static final class SharingProcess {
         final DescriptorBudget budget = new DescriptorBudget(LIMIT, RESERVED);
         final DescriptorBudget.Share share = budget.allocateShare("all", 80, 5);
@@ -24,12 +24,15 @@
         int appliedClaim = RESERVED;
     }
 
-    /** What the system has accepted is counted, also past the bound, and can be given back. */
+    /**
+     * Connections that the system has accepted are counted, also beyond the limit, and can be
+     * released.
+     */
     @Example
     void connectionsAcceptedBeyondTheBudgetAreCounted() {
         SharingProcess process = new SharingProcess();
         process.budget.applyClaim(RESERVED, true);
-        assertFalse(process.share.tryAcquire(), "nothing is left to open");
+        assertFalse(process.share.tryAcquire(), "no descriptor is available");
         process.share.acquireUnconditionally();
         assertEquals(RESERVED + 1, process.budget.used());
         process.share.markClosing();
@@ -38,15 +41,15 @@
     }
 
     /**
-     * A step is one process's claim, its loop's taking that on, an attempt to open as many as it
-     * may, or the close of one. Whatever the order, both together never hold more than the limit.
+     * A step is a claim of one process, its applying the claim, its opening as many as it may, or
+     * the close of one. In any order, both together never use more than the limit.
      */
     @Property(seed = "20261202", tries = 2000)
     void twoProcessesTogetherStayWithinTheLimit(
             @ForAll @IntRange(min = 0, max = 70) int openBefore,
             @ForAll @Size(min = 5, max = 80) List<@IntRange(min = 0, max = 7) Integer> steps) {
         SharingProcess[] processes = {new SharingProcess(), new SharingProcess()};
-        processes[0].appliedClaim = processes[0].publishedClaim = LIMIT; // it was alone
+        processes[0].appliedClaim = processes[0].publishedClaim = LIMIT; // no sibling before
         for (int i = 0; i < openBefore; i++) {
             processes[0].share.tryAcquire();
         }
