--- a/src/main/java/junipercourse/net/EventLoop.java
+++ b/src/main/java/junipercourse/net/EventLoop.java
@@ -76,8 +76,8 @@
     }
 
     /** Converts a Unix time in seconds, received from another process, to loop time. */
-    public double fromUnix(double unix) {
-        return stallRecovery.fromUnix(unix);
+    public double toLoopTime(double unixSeconds) {
+        return stallRecovery.toLoopTime(unixSeconds);
     }
 
     ByteBuffer readBuffer() {
@@ -91,8 +91,8 @@
     // ---- stalls and the read watermark ----
 
     /** Seconds in which this process could read its sockets; measures the silence of peers. */
-    public double attendedSeconds() {
-        return stallRecovery.attendedSeconds();
+    public double responsiveSeconds() {
+        return stallRecovery.responsiveSeconds();
     }
 
     /** The interval in which bytes read now arrived, on a socket read until empty before. */
--- a/src/main/java/junipercourse/net/StallRecovery.java
+++ b/src/main/java/junipercourse/net/StallRecovery.java
@@ -74,13 +74,13 @@
     }
 
     /** Seconds in which this process could read its sockets. */
-    double attendedSeconds() {
+    double responsiveSeconds() {
         return stallDetector.responsiveSeconds();
     }
 
     /** Converts a Unix time in seconds, received from another process, to loop time. */
-    double fromUnix(double unix) {
-        return stallDetector.toLoopTime(unix);
+    double toLoopTime(double unixSeconds) {
+        return stallDetector.toLoopTime(unixSeconds);
     }
 
     /** Statistics of past stalls and clock steps. */
