--- a/src/main/java/junipercourse/net/AcceptBacklog.java
+++ b/src/main/java/junipercourse/net/AcceptBacklog.java
@@ -14,9 +14,9 @@
  * {@code /proc/net/tcp} and {@code tcp6}: for a listening socket the receive queue counts them
  * (proc(5)).
  *
- * <p>Read only after a stall or a backlog: the XNIO acceptor, once it has a limit, hands over
- * waiting connections in several passes (43 and, 30 ms later, 107 of 150 were observed), and offers
- * no way to find out whether more follow.
+ * <p>Read only after a stall or a backlog, and to check an inherited socket: the XNIO acceptor,
+ * once it has a limit, hands over waiting connections in several passes (43 and, 30 ms later, 107
+ * of 150 were observed), and offers no way to find out whether more follow.
  */
 final class AcceptBacklog {
     private static final List<Path> TABLES =
@@ -51,7 +51,7 @@
     static int findWaiting(BufferedReader table, InetSocketAddress listening) throws IOException {
         byte[] addressBytes = listening.getAddress().getAddress();
         StringBuilder hexAddress =
-                new StringBuilder(); // each four bytes are one little-endian number
+                new StringBuilder(); // the last four bytes as one little-endian number
         for (int i = addressBytes.length - 1; i >= addressBytes.length - 4; i--) {
             hexAddress.append(String.format("%02X", addressBytes[i]));
         }
--- a/src/test/java/junipercourse/KnownRedTest.java
+++ b/src/test/java/junipercourse/KnownRedTest.java
@@ -102,12 +102,12 @@
         String threeMore = "a.RedTest#b | c | 1\na.RedTest#c | c | 1\na.RedTest#d | c | 1\n";
         String fourOutcomes =
                 "a.RedTest#red failed, a.RedTest#b failed, a.RedTest#c passed, a.RedTest#d passed";
-        String red = "a.RedTest#red failed";
+        String redFailed = "a.RedTest#red failed";
         String formError = "is not \"package.Class#method | cause | issue\"";
         return Stream.of(
                 arguments(
                         KNOWN_RED_LINE,
-                        red + ", a.OtherTest#a passed",
+                        redFailed + ", a.OtherTest#a passed",
                         0,
                         0,
                         "CI: known red: a.RedTest#red: FAILED"),
@@ -129,15 +129,15 @@
                         0,
                         0,
                         "known red: a.RedTest#red: FAILED (red(int)[2])"),
-                arguments(KNOWN_RED_LINE.trim(), red, 0, 0, "Tests run: 7"),
+                arguments(KNOWN_RED_LINE.trim(), redFailed, 0, 0, "Tests run: 7"),
                 arguments(
                         threeMore,
-                        fourOutcomes.substring(red.length() + 2),
+                        fourOutcomes.substring(redFailed.length() + 2),
                         0,
                         0,
                         "known red: a.RedTest#d: passed"),
                 arguments("", "a.RedTest#red passed", 0, 0, "Tests run: 7"),
-                arguments("", red, 0, 1, "a.RedTest#red failed (red), and is not listed"),
+                arguments("", redFailed, 0, 1, "a.RedTest#red failed (red), and is not listed"),
                 arguments(
                         KNOWN_RED_LINE + threeMore,
                         fourOutcomes,
@@ -146,30 +146,34 @@
                         "KNOWN-RED.txt has 4 lines; 3 at most"),
                 arguments(
                         KNOWN_RED_LINE,
-                        red + ", a.RedTest#redder failed",
+                        redFailed + ", a.RedTest#redder failed",
                         0,
                         1,
                         "a.RedTest#redder failed"),
                 arguments(
                         KNOWN_RED_LINE,
-                        red + ", b.RedTest#red failed",
+                        redFailed + ", b.RedTest#red failed",
                         0,
                         1,
                         "b.RedTest#red failed"),
                 arguments(
                         KNOWN_RED_LINE,
-                        red + ", a.RedTest$In#red failed",
+                        redFailed + ", a.RedTest$In#red failed",
                         0,
                         1,
                         "a.RedTest$In#red failed"),
                 arguments(
                         KNOWN_RED_LINE,
-                        red + ", a.OtherTest#a broken",
+                        redFailed + ", a.OtherTest#a broken",
                         0,
                         1,
                         "a.OtherTest#a failed (a)"),
                 arguments(
-                        KNOWN_RED_LINE, red + ", a.RedTest# broken", 0, 1, "a.RedTest# failed ()"),
+                        KNOWN_RED_LINE,
+                        redFailed + ", a.RedTest# broken",
+                        0,
+                        1,
+                        "a.RedTest# failed ()"),
                 arguments(
                         KNOWN_RED_LINE,
                         "a.RedTest#blue passed",
@@ -184,20 +188,26 @@
                         "a.RedTest#red is no test that ran"),
                 arguments(
                         KNOWN_RED_LINE, "", 0, 1, "no reports of tests in target/surefire-reports"),
-                arguments(KNOWN_RED_LINE, red, 1, 1, "known red: a.RedTest#red: FAILED (red)"),
+                arguments(
+                        KNOWN_RED_LINE, redFailed, 1, 1, "known red: a.RedTest#red: FAILED (red)"),
                 arguments(KNOWN_RED_LINE, "a.RedTest#red passed", 137, 137, "CI: failed"),
-                arguments(KNOWN_RED_LINE + KNOWN_RED_LINE, red, 0, 1, "lists a.RedTest#red again"),
-                arguments(KNOWN_RED_LINE + "\n", red, 0, 1, "line 2 " + formError),
-                arguments("# why\n" + KNOWN_RED_LINE, red, 0, 1, "line 1 " + formError),
-                arguments("a.RedTest | a cause | issue 1\n", red, 0, 1, formError),
-                arguments("a.RedTest#red | a cause\n", red, 0, 1, formError),
-                arguments("a.RedTest#red | a cause | \n", red, 0, 1, formError),
-                arguments("a.RedTest#red |  | issue 1\n", red, 0, 1, formError),
-                arguments("a.RedTest#* | a cause | issue 1\n", red, 0, 1, formError));
+                arguments(
+                        KNOWN_RED_LINE + KNOWN_RED_LINE,
+                        redFailed,
+                        0,
+                        1,
+                        "lists a.RedTest#red again"),
+                arguments(KNOWN_RED_LINE + "\n", redFailed, 0, 1, "line 2 " + formError),
+                arguments("# why\n" + KNOWN_RED_LINE, redFailed, 0, 1, "line 1 " + formError),
+                arguments("a.RedTest | a cause | issue 1\n", redFailed, 0, 1, formError),
+                arguments("a.RedTest#red | a cause\n", redFailed, 0, 1, formError),
+                arguments("a.RedTest#red | a cause | \n", redFailed, 0, 1, formError),
+                arguments("a.RedTest#red |  | issue 1\n", redFailed, 0, 1, formError),
+                arguments("a.RedTest#* | a cause | issue 1\n", redFailed, 0, 1, formError));
     }
 
     @ParameterizedTest
-    @MethodSource("listed")
+    @MethodSource("knownRedCases")
     void onlyTheListedTestsMayFail(
             String knownRed,
             String outcomes,
@@ -207,9 +217,9 @@
             throws Exception {
         Files.writeString(folder.resolve("KNOWN-RED.txt"), knownRed);
         writeReports(outcomes);
-        String run = runCi(mavenExitCode);
-        assertEquals(Integer.toString(exitCode), run.lines().findFirst().orElseThrow(), run);
-        assertTrue(run.contains(expectedOutput), run);
+        String output = runCi(mavenExitCode);
+        assertEquals(Integer.toString(exitCode), output.lines().findFirst().orElseThrow(), output);
+        assertTrue(output.contains(expectedOutput), output);
     }
 
     /** Without the list CI runs just the README's command and exits with its code. */
@@ -225,11 +235,11 @@
     /** CI runs the README's command, so a README with none or two commands fails without a run. */
     @Test
     void failsUnlessTheReadmeHasExactlyOneTestCommand() throws Exception {
-        for (String text : new String[] {"Run it.\n", "    mvn verify\n    mvn test\n"}) {
-            Files.writeString(folder.resolve("README.md"), text);
-            String run = runCi(0);
-            assertTrue(run.startsWith("1\n") && run.contains("test commands"), run);
-            assertFalse(run.contains("Tests run"), run);
+        for (String readme : new String[] {"Run it.\n", "    mvn verify\n    mvn test\n"}) {
+            Files.writeString(folder.resolve("README.md"), readme);
+            String output = runCi(0);
+            assertTrue(output.startsWith("1\n") && output.contains("test commands"), output);
+            assertFalse(output.contains("Tests run"), output);
         }
     }
 
