--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -97,7 +97,7 @@
                         return;
                     }
                     if (front.sharesSocket()) { // those who come are the other processes'
-                        front.leaveToOthers(this::untilIdle);
+                        front.stopAccepting(this::untilIdle);
                         handOver();
                     } else {
                         loop.scheduleAfter(STILL_COMING_S, this::untilIdle);
@@ -127,13 +127,13 @@
     }
 
     private void untilIdle() {
-        front.end(
+        front.beginShutdown(
                 () ->
                         gateway.runWhenIdle(
                                 () ->
                                         loop.execute(
                                                 () -> { // behind sessions' work on what they hold
-                                                    front.endSessions();
+                                                    front.closeSessions();
                                                     lastBytes(0);
                                                 })));
     }
@@ -143,7 +143,8 @@
      * end.
      */
     private void lastBytes(double waited) {
-        if (front.empty() || waited >= (front.unsent() ? LAST_BYTES_S : LINGER_S)) {
+        if (front.hasNoConnections()
+                || waited >= (front.hasUnsentBytes() ? LAST_BYTES_S : LINGER_S)) {
             done.countDown();
         } else {
             loop.scheduleAfter(LOOK_S, () -> lastBytes(waited + LOOK_S));
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -128,7 +128,7 @@
         if (another != beside) {
             beside = another;
             Logger.info(another ? "another process runs beside this one" : "this process is alone");
-            front.beside(another);
+            front.setSiblingRunning(another);
             gateway.limitOpenQueries(another ? mostBeside : mostAlone);
         }
         descriptors.applyClaim(claim, another);
--- a/src/main/java/junipercourse/cli/ServeWithProduct.java
+++ b/src/main/java/junipercourse/cli/ServeWithProduct.java
@@ -27,7 +27,7 @@
         try {
             product = ProductReader.read(file);
         } catch (InvalidProductFileException e) {
-            e.faults().forEach(System.err::println);
+            e.errors().forEach(System.err::println);
             return WRONG;
         }
         Config config = Config.read(environment);
--- a/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
+++ b/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
@@ -14,10 +14,10 @@
     private int to;
 
     /** Bytes that are no message. */
-    static final class GarbledException extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        GarbledException(String message) {
+        MalformedMessageException(String message) {
             super(message);
         }
     }
@@ -46,22 +46,22 @@
     }
 
     /** The next start-up packet, or null if more bytes are needed. */
-    Message startup() throws GarbledException {
+    Message startup() throws MalformedMessageException {
         return cut(0, MAX_STARTUP, 8);
     }
 
     /** The next message, or null if more bytes are needed. */
-    Message message() throws GarbledException {
+    Message message() throws MalformedMessageException {
         return cut(1, MAX_MESSAGE, 4);
     }
 
-    private Message cut(int typeBytes, int most, int least) throws GarbledException {
+    private Message cut(int typeBytes, int most, int least) throws MalformedMessageException {
         if (held() < typeBytes + 4) {
             return null;
         }
         long length = ByteBuffer.wrap(buffer).getInt(from + typeBytes) & 0xffffffffL;
         if (length < least || length > most) {
-            throw new GarbledException("a message of " + length + " bytes");
+            throw new MalformedMessageException("a message of " + length + " bytes");
         }
         int whole = typeBytes + (int) length;
         if (held() < whole) {
--- a/src/main/java/junipercourse/pg/PgProtocolHandler.java
+++ b/src/main/java/junipercourse/pg/PgProtocolHandler.java
@@ -38,7 +38,8 @@
     // ---- what comes in ----
 
     /** Takes one packet or message; false if more bytes are needed. */
-    boolean step(FrontendMessageDecoder in) throws FrontendMessageDecoder.GarbledException {
+    boolean step(FrontendMessageDecoder in)
+            throws FrontendMessageDecoder.MalformedMessageException {
         if (!started) {
             FrontendMessageDecoder.Message m = in.startup();
             if (m != null) {
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -37,7 +37,7 @@
     private final StatusTables shows;
     private AcceptingChannel<StreamConnection> server;
     private boolean sharesSocket;
-    private boolean beside;
+    private boolean setSiblingRunning;
     private Runnable whenEmpty;
     private boolean ending;
     private final long mostInput;
@@ -89,17 +89,17 @@
      * Another process runs beside this one: clients hold at most a third of all descriptors with
      * both, and connections that rest here keep queries out there.
      */
-    public void beside(boolean another) {
-        beside = another;
+    public void setSiblingRunning(boolean another) {
+        setSiblingRunning = another;
     }
 
     /** Whether a client whose session has ended has not been sent all that it was to get. */
-    public boolean unsent() {
+    public boolean hasUnsentBytes() {
         return places.unsent();
     }
 
     /** Whether all connections of clients are closed. */
-    public boolean empty() {
+    public boolean hasNoConnections() {
         return places.empty();
     }
 
@@ -115,7 +115,7 @@
      *
      * @param empty runs once no client is left, which takes as long as their queries do
      */
-    public void leaveToOthers(Runnable empty) {
+    public void stopAccepting(Runnable empty) {
         server.suspendAccepts();
         whenEmpty = empty;
     }
@@ -142,7 +142,9 @@
                     now,
                     whenEmpty != null
                             ? CROSSING_S
-                            : beside ? IDLE_BESIDE_S : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
+                            : setSiblingRunning
+                                    ? IDLE_BESIDE_S
+                                    : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
         }
     }
 
@@ -164,7 +166,7 @@
      * From now on queries are refused. The task runs once all that have connected are sessions of
      * ours.
      */
-    public void end(Runnable handedOver) {
+    public void beginShutdown(Runnable handedOver) {
         ending = true;
         if (sharesSocket) { // see InheritedSocket: that one is not closed
             handedOver.run();
@@ -177,7 +179,7 @@
      * Ends all sessions in order; a query that lies unread on one is refused before, after {@link
      * #end}.
      */
-    public void endSessions() {
+    public void closeSessions() {
         for (Session s : places.sessions()) {
             s.poll();
             s.fatal("57P03", SHUTTING_DOWN);
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -163,7 +163,7 @@
                     conversation.waiting()
                             || overrun > 0
                             || in.held() < FrontendMessageDecoder.MAX_MESSAGE + 5);
-        } catch (FrontendMessageDecoder.GarbledException e) {
+        } catch (FrontendMessageDecoder.MalformedMessageException e) {
             front.counters().increment(Count.CLIENTS_GARBLED);
             fatal("08P01", e.getMessage());
         }
--- a/src/main/java/junipercourse/pg/StartupPacket.java
+++ b/src/main/java/junipercourse/pg/StartupPacket.java
@@ -30,7 +30,7 @@
     record Key(int process, int secret) {}
 
     /** Reads what follows the packet's length, four bytes or more. */
-    static StartupPacket read(byte[] body) throws FrontendMessageDecoder.GarbledException {
+    static StartupPacket read(byte[] body) throws FrontendMessageDecoder.MalformedMessageException {
         ByteBuffer packet = ByteBuffer.wrap(body);
         int code = packet.getInt();
         if (code == SSL || code == GSS) {
@@ -41,7 +41,7 @@
         } else if (code >>> 16 == PROTOCOL_MAJOR) {
             return start(code & 0xffff, packet);
         }
-        throw new FrontendMessageDecoder.GarbledException(
+        throw new FrontendMessageDecoder.MalformedMessageException(
                 "protocol version "
                         + (code >>> 16)
                         + "."
@@ -50,7 +50,7 @@
     }
 
     private static StartupPacket start(int minor, ByteBuffer packet)
-            throws FrontendMessageDecoder.GarbledException {
+            throws FrontendMessageDecoder.MalformedMessageException {
         String[] words =
                 new String(
                                 packet.array(),
@@ -67,7 +67,8 @@
             }
         }
         if (!user) {
-            throw new FrontendMessageDecoder.GarbledException("the start-up packet names no user");
+            throw new FrontendMessageDecoder.MalformedMessageException(
+                    "the start-up packet names no user");
         }
         return new StartupPacket(Kind.START, minor, unknown, null);
     }
--- a/src/main/java/junipercourse/product/InvalidProductFileException.java
+++ b/src/main/java/junipercourse/product/InvalidProductFileException.java
@@ -8,15 +8,15 @@
  */
 public final class InvalidProductFileException extends Exception {
     private static final long serialVersionUID = 1;
-    private final transient List<String> faults;
+    private final transient List<String> errors;
 
     InvalidProductFileException(List<String> faults) {
         super(String.join("\n", faults));
-        this.faults = List.copyOf(faults);
+        this.errors = List.copyOf(faults);
     }
 
     /** One line each, in the file's order. */
-    public List<String> faults() {
-        return faults;
+    public List<String> errors() {
+        return errors;
     }
 }
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -184,7 +184,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    pgServer.end(() -> gateway.runWhenIdle(idle));
+                    pgServer.beginShutdown(() -> gateway.runWhenIdle(idle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -61,7 +61,7 @@
     @Test
     void whoWaitsAtTheSocketThatIsClosedIsAnswered() throws Exception {
         Runnable release = bench.blockLoop();
-        bench.executeOnLoop(front -> front.end(() -> {}));
+        bench.executeOnLoop(front -> front.beginShutdown(() -> {}));
         List<Client> waiting = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Client late = bench.connectClient();
@@ -85,8 +85,8 @@
         Runnable release = bench.blockLoop();
         bench.executeOnLoop(
                 front -> {
-                    front.end(() -> {});
-                    front.endSessions();
+                    front.beginShutdown(() -> {});
+                    front.closeSessions();
                 });
         asks.write(Client.queryMessage(query("check", 1, 5000)));
         release.run();
--- a/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
+++ b/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
@@ -20,7 +20,8 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 9, 10, 20})
-    void cutsMessagesFromAnyPieces(int piece) throws FrontendMessageDecoder.GarbledException {
+    void cutsMessagesFromAnyPieces(int piece)
+            throws FrontendMessageDecoder.MalformedMessageException {
         FrontendMessageDecoder in = new FrontendMessageDecoder();
         List<FrontendMessageDecoder.Message> got = new ArrayList<>();
         for (int at = 0; at < BYTES.length; at += piece) {
@@ -43,11 +44,12 @@
     void refusesLengthsOutOfRange(int length) {
         FrontendMessageDecoder in = new FrontendMessageDecoder();
         in.add(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
-        assertThrows(FrontendMessageDecoder.GarbledException.class, in::message);
+        assertThrows(FrontendMessageDecoder.MalformedMessageException.class, in::message);
     }
 
     @Test
-    void holdsALargeMessageUntilItIsWhole() throws FrontendMessageDecoder.GarbledException {
+    void holdsALargeMessageUntilItIsWhole()
+            throws FrontendMessageDecoder.MalformedMessageException {
         FrontendMessageDecoder in = new FrontendMessageDecoder();
         int length = 50_000;
         in.add(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
--- a/src/test/java/junipercourse/product/ProductReaderTest.java
+++ b/src/test/java/junipercourse/product/ProductReaderTest.java
@@ -30,7 +30,7 @@
     }
 
     private static List<String> faults(String text) {
-        return assertThrows(InvalidProductFileException.class, () -> read(text)).faults();
+        return assertThrows(InvalidProductFileException.class, () -> read(text)).errors();
     }
 
     @Test
