--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -48,7 +48,7 @@
      */
     private static final double FORGET_S = 600;
 
-    private record State(
+    private record Snapshot(
             boolean ready, String why, String figures, Set<EngineId> engines, long at) {}
 
     private final EventLoop loop;
@@ -57,7 +57,8 @@
     private final MaintenanceMarkers files;
     private final AdminServer server;
     private final ScheduledThreadPoolExecutor looks;
-    private volatile State state = new State(false, "starting", "{}", Set.of(), System.nanoTime());
+    private volatile Snapshot state =
+            new Snapshot(false, "starting", "{}", Set.of(), System.nanoTime());
     private volatile boolean ending;
     private boolean listening;
     private boolean publishing;
@@ -75,7 +76,7 @@
         this.gateway = gateway;
         this.classes = config.settings().queryClasses();
         this.files = new MaintenanceMarkers(folder);
-        this.server = new AdminServer(config.admin(), this, connections(config));
+        this.server = new AdminServer(config.adminAddress(), this, connections(config));
         look();
         looks =
                 new ScheduledThreadPoolExecutor(
@@ -118,7 +119,7 @@
                                                 ? "catching up after a stall"
                                                 : "serving";
         state =
-                new State(
+                new Snapshot(
                         why.equals("serving"),
                         why,
                         figures(),
@@ -185,58 +186,58 @@
         }
     }
 
-    private Verdict change(String id, boolean takeOut) {
-        Optional<EngineId> engine = MaintenanceMarkers.engine(id);
+    private MaintenanceResult change(String id, boolean takeOut) {
+        Optional<EngineId> engine = MaintenanceMarkers.parseEngineId(id);
         if (engine.isEmpty()
                 || !state.engines().contains(engine.get()) && !out.contains(engine.get())) {
-            return Verdict.UNKNOWN;
+            return MaintenanceResult.UNKNOWN_ENGINE;
         }
         return change(engine.get(), takeOut);
     }
 
-    private Verdict change(EngineId id, boolean takeOut) {
+    private MaintenanceResult change(EngineId id, boolean takeOut) {
         try {
             if (takeOut) {
-                files.out(id);
+                files.add(id);
             } else {
-                files.in(id);
+                files.remove(id);
             }
         } catch (IOException e) {
             Logger.error("engine {} cannot be taken {}: {}", id.value(), takeOut ? "out" : "in", e);
-            return Verdict.FAILED;
+            return MaintenanceResult.FAILED;
         }
         look();
-        return Verdict.DONE;
+        return MaintenanceResult.DONE;
     }
 
     // ---- the second address's own thread ----
 
     @Override
-    public boolean ready() {
-        State s = state;
+    public boolean isReady() {
+        Snapshot s = state;
         return s.ready() && !ending && System.nanoTime() - s.at() < OLD_S * 1e9;
     }
 
     @Override
-    public String readyWhy() {
-        State s = state;
+    public String describeReadiness() {
+        Snapshot s = state;
         return ending
                 ? "ending"
                 : System.nanoTime() - s.at() < OLD_S * 1e9 ? s.why() : "standing still";
     }
 
     @Override
-    public String stats() {
+    public String getStatisticsJson() {
         return state.figures();
     }
 
     @Override
-    public Verdict down(String id) {
+    public MaintenanceResult startMaintenance(String id) {
         return change(id, true);
     }
 
     @Override
-    public Verdict up(String id) {
+    public MaintenanceResult endMaintenance(String id) {
         return change(id, false);
     }
 
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -118,7 +118,7 @@
                         7,
                         counters,
                         statusTables);
-        pgServer.listen(config.listen());
+        pgServer.listen(config.listenAddress());
         loop.execute(loop::startStallDetection);
     }
 
@@ -192,7 +192,7 @@
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    pgServer.end(() -> gateway.runWhenIdle(onIdle));
+                    pgServer.beginShutdown(() -> gateway.runWhenIdle(onIdle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
