--- a/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
+++ b/src/main/java/junipercourse/decision/admission/AdmissionQueue.java
@@ -10,91 +10,101 @@
 
 /** Holds requests until an engine has capacity for them, and starts them by priority. */
 public final class AdmissionQueue {
-    private static final int MAX_MISSES = 12; // ready requests without an engine that end a pass
+    private static final int MAX_UNPLACED_REQUESTS = 12; // ready requests per pass
 
     private final DispatchState state;
     private final SendConstraints constraints;
-    private final LoadTracking load;
-    private final EngineSelection selection;
-    private final RequestCompletion completion;
-    private final RequestPriority priorities;
+    private final LoadTracking loadTracking;
+    private final EngineSelection engineSelection;
+    private final RequestCompletion requestCompletion;
+    private final RequestPriority requestPriority;
 
     AdmissionQueue(
             DispatchState state,
             SendConstraints constraints,
-            LoadTracking load,
-            EngineSelection selection,
-            RequestCompletion completion,
-            RequestPriority priorities) {
+            LoadTracking loadTracking,
+            EngineSelection engineSelection,
+            RequestCompletion requestCompletion,
+            RequestPriority requestPriority) {
         this.state = state;
         this.constraints = constraints;
-        this.load = load;
-        this.selection = selection;
-        this.completion = completion;
-        this.priorities = priorities;
+        this.loadTracking = loadTracking;
+        this.engineSelection = engineSelection;
+        this.requestCompletion = requestCompletion;
+        this.requestPriority = requestPriority;
     }
 
-    /** Makes a request wait for an engine. */
+    /** Adds a request to the queue and schedules its next evaluation. */
     public void enqueue(double now, PendingRequest request) {
-        request.setPriority(priorities.priority(now, request));
-        selection.sampler().sample(request);
-        load.prober().probeCandidates(now, request);
+        request.setPriority(requestPriority.computePriority(now, request));
+        engineSelection.sampler().sample(request);
+        loadTracking.prober().probeCandidates(now, request);
         state.requests().enqueue(request);
-        double evaluationAt =
+        double nextEvaluationAt =
                 Math.min(request.answerDueAt(), now + DecisionDefaults.RETRY_INTERVAL_SECONDS);
-        state.requests().evaluations().schedule(evaluationAt, request);
+        state.requests().evaluations().schedule(nextEvaluationAt, request);
     }
 
-    /** Updates priority and candidates of a waiting request, for the next pass. */
+    /**
+     * Recomputes the priority and the candidates of a waiting request, and requests an admission
+     * pass.
+     */
     void refresh(double now, PendingRequest request) {
-        request.setPriority(priorities.priority(now, request));
-        selection.sampler().sample(request);
+        request.setPriority(requestPriority.computePriority(now, request));
+        engineSelection.sampler().sample(request);
         state.requests().scheduleAdmission();
     }
 
-    /** Starts the waiting requests for which there is capacity, and sheds those over the bound. */
+    /**
+     * Starts the waiting requests for which an engine has capacity, and sheds those beyond the
+     * queue limit.
+     */
     public void admit(double now) {
-        load.capacity().recompute(now, state.engines(), constraints.slowStart());
+        loadTracking.capacity().recompute(now, state.engines(), constraints.slowStart());
         if (state.requests().waiting().isEmpty()) {
             return;
         }
         state.requests().sortWaiting();
-        Pass pass = new Pass(now);
+        AdmissionPass pass = new AdmissionPass(now);
         state.requests().removeIfStarted(pass::tryStart);
-        PendingRequest shed = state.requests().nextToShed();
-        while (shed != null) {
-            completion.complete(shed);
-            shed = state.requests().nextToShed();
+        PendingRequest requestToShed = state.requests().nextToShed();
+        while (requestToShed != null) {
+            requestCompletion.completeWithoutResult(requestToShed);
+            requestToShed = state.requests().nextToShed();
         }
     }
 
-    /** One pass over the waiting requests, which ends after so many that found no engine. */
-    private final class Pass {
+    /**
+     * One pass over the waiting requests. It stops starting requests after {@link
+     * #MAX_UNPLACED_REQUESTS} of them found no engine.
+     */
+    private final class AdmissionPass {
         private final double now;
-        private int misses;
+        private int unplacedRequests;
 
-        private Pass(double now) {
+        private AdmissionPass(double now) {
             this.now = now;
         }
 
         /**
-         * Starts a request if an engine has capacity for it. A request that waits for its key says
-         * nothing about the engines' capacity and must not end the pass for those behind it.
+         * Starts a request if an engine has capacity for it. A request that waits for an earlier
+         * one with the same key, or for load reports, is not counted as unplaced: it says nothing
+         * about the engines' capacity and must not end the pass for the requests behind it.
          */
         private boolean tryStart(PendingRequest request) {
-            boolean ready =
+            boolean isReady =
                     constraints.orderingAllows(now, request)
-                            && !load.prober().isAwaitingReports(now, request);
-            if (!ready || misses >= MAX_MISSES) {
-                misses += ready ? 1 : 0;
+                            && !loadTracking.prober().isAwaitingReports(now, request);
+            if (!isReady || unplacedRequests >= MAX_UNPLACED_REQUESTS) {
+                unplacedRequests += isReady ? 1 : 0;
                 return false;
             }
-            EngineState engine = selection.selector().select(now, request);
+            EngineState engine = engineSelection.selector().select(now, request);
             if (engine == null) {
-                misses++;
+                unplacedRequests++;
                 return false;
             }
-            selection.launcher().launch(now, request, engine);
+            engineSelection.launcher().launch(now, request, engine);
             return true;
         }
     }
--- a/src/main/java/junipercourse/decision/health/OutlierDetector.java
+++ b/src/main/java/junipercourse/decision/health/OutlierDetector.java
@@ -12,50 +12,54 @@
 import junipercourse.decision.state.QueryFaults;
 
 /**
- * Decides which engines are ejected: those that hang, fail or cannot be reached. An ejected engine
- * gets a single attempt as a probation after a pause that doubles each time.
+ * Ejects engines that hang, return errors or cannot be reached. After a backoff that doubles each
+ * time, an ejected engine is sent a single attempt as a probation.
  */
 public final class OutlierDetector {
-    private static final double SILENCE_LATENCIES = 4; // expected latencies without activity
+    private static final double SILENCE_LATENCY_FACTOR = 4; // times the expected latency
     private static final double MIN_SILENCE_SECONDS = 1.5;
-    private static final int MIN_SILENT_ATTEMPTS = 2; // one may wait for a lock
-    private static final int MAX_CONSECUTIVE_ERRORS = 2; // a single one is chance
+    private static final int MIN_SILENT_ATTEMPTS = 2; // a single one may wait for a lock
+    private static final int MAX_CONSECUTIVE_ERRORS = 2; // a single error may be random
     private static final int MAX_CONSECUTIVE_RESETS = 3;
-    private static final double ALIVE_SECONDS = 0.5; // an engine that answered so recently is alive
-    private static final double MAX_EJECTED_SHARE = 0.34; // if more seem bad, all are slow
+    // An engine that answered within this time is alive.
+    private static final double RECENT_ANSWER_SECONDS = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.34; // if more seem faulty, the fleet is slow
 
     private final DispatchState state;
-    private final EngineSpeedEstimator speed;
+    private final EngineSpeedEstimator speedEstimator;
     private int ejectedCount;
 
     /** Creates a detector. */
-    public OutlierDetector(DispatchState state, EngineSpeedEstimator speed) {
+    public OutlierDetector(DispatchState state, EngineSpeedEstimator speedEstimator) {
         this.state = state;
-        this.speed = speed;
+        this.speedEstimator = speedEstimator;
     }
 
-    /** Ejects the engine of an attempt if several attempts have waited long without activity. */
+    /**
+     * Ejects the engine of an attempt if several of its attempts have had no activity for a long
+     * time.
+     */
     public void checkSilence(double now, Attempt attempt) {
         EngineState engine = attempt.engine();
         EngineHealth health = engine.health();
-        double fleetSlowdown = Math.exp(Math.max(0, speed.medianLogSlowdown()));
-        double patience =
+        double fleetSlowdown = Math.exp(Math.max(0, speedEstimator.medianLogSlowdown()));
+        double silenceTimeoutSeconds =
                 Math.max(
                         MIN_SILENCE_SECONDS,
-                        attempt.expectedLatency() * SILENCE_LATENCIES * fleetSlowdown);
-        if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= patience) {
+                        attempt.expectedLatency() * SILENCE_LATENCY_FACTOR * fleetSlowdown);
+        if (now - Math.max(attempt.sentAt(), health.lastActivityAt()) <= silenceTimeoutSeconds) {
             return;
         }
-        int silentAttempts = health.addSilentAttempt(attempt);
-        if (silentAttempts >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
+        int silentAttemptCount = health.addSilentAttempt(attempt);
+        if (silentAttemptCount >= MIN_SILENT_ATTEMPTS && !health.isEjected()) {
             health.setSilentSince(now);
             eject(now, engine, EjectionReason.SILENT);
         }
     }
 
     /**
-     * Returns true if an attempt was sent before its engine began to hang. One that was sent since
-     * is a probation and left to run.
+     * Returns true if the engine of an attempt is ejected and the attempt was sent before the
+     * engine began to hang. An attempt that was sent later is a probation and continues to run.
      */
     public static boolean isHanging(Attempt attempt) {
         EngineHealth health = attempt.engine().health();
@@ -63,28 +67,28 @@
     }
 
     /**
-     * Returns true if an engine seems to be dead after a broken or refused connection. Single
-     * connections break at engines that answer others all the while.
+     * Records a broken or refused connection, and returns true if the engine seems to be dead.
+     * Single connections also break at engines that still answer other attempts.
      */
     public boolean recordReset(double now, EngineState engine) {
-        int resets = engine.health().addReset();
-        return now - engine.health().lastAnswerAt() > ALIVE_SECONDS
-                || resets >= MAX_CONSECUTIVE_RESETS;
+        int resetCount = engine.health().addReset();
+        return now - engine.health().lastAnswerAt() > RECENT_ANSWER_SECONDS
+                || resetCount >= MAX_CONSECUTIVE_RESETS;
     }
 
     /**
-     * Ejects an engine until a probation succeeds. At most a share of all engines is ejected,
-     * whatever the reason.
+     * Schedules the next probation of an engine, and ejects it until a probation succeeds. At most
+     * a share of all engines is ejected at the same time, whatever the reason.
      */
     public void eject(double now, EngineState engine, EjectionReason reason) {
         EngineHealth health = engine.health();
-        double backoff =
+        double backoffSeconds =
                 health.isEjected()
                         ? Math.min(
                                 DecisionDefaults.MAX_BACKOFF_SECONDS,
                                 health.ejectionBackoffSeconds() * 2)
                         : DecisionDefaults.INITIAL_BACKOFF_SECONDS;
-        health.scheduleProbation(now, backoff);
+        health.scheduleProbation(now, backoffSeconds);
         double maxEjected = Math.max(1, state.engines().readyCount() * MAX_EJECTED_SHARE);
         if (!health.isEjected() && ejectedCount + 1 <= maxEjected) {
             state.actions().log("ejected engine " + engine.id().value() + ": " + reason.label());
@@ -93,7 +97,7 @@
         }
     }
 
-    /** Ends the ejection of an engine, if it is ejected. */
+    /** Reinstates an engine if it is ejected. */
     public void reinstate(EngineState engine, ReinstatementReason reason) {
         if (engine.health().isEjected()) {
             engine.health().reinstate();
@@ -103,8 +107,8 @@
     }
 
     /**
-     * Counts an error against its engine, until the same query fails at another one as well: then
-     * the query is at fault, and the engine is cleared of it.
+     * Counts an error of a request against the engine. If the request then fails at a second engine
+     * too, it is marked as a poison query, and the error of the first engine is no longer counted.
      */
     public void recordError(double now, PendingRequest request, EngineState engine) {
         QueryFaults faults = request.faults();
@@ -112,19 +116,19 @@
         if (faults.isPoisonQuery()) {
             return;
         }
-        EngineState blamed = faults.blamedEngine();
-        if (blamed != null && blamed != engine) {
+        EngineState blamedEngine = faults.blamedEngine();
+        if (blamedEngine != null && blamedEngine != engine) {
             faults.markPoisonQuery();
-            clear(blamed);
+            clearBlamedEngine(blamedEngine);
         } else {
             faults.blame(engine);
             if (engine.health().addError() >= MAX_CONSECUTIVE_ERRORS) {
-                eject(now, engine, EjectionReason.FAILING); // errors are fast: it would look idle
+                eject(now, engine, EjectionReason.FAILING); // fast errors make it look idle
             }
         }
     }
 
-    private void clear(EngineState engine) {
+    private void clearBlamedEngine(EngineState engine) {
         EngineHealth health = engine.health();
         if (health.consecutiveErrors() > 0
                 && health.removeError() < MAX_CONSECUTIVE_ERRORS
