--- a/src/test/java/junipercourse/StubEngines.java
+++ b/src/test/java/junipercourse/StubEngines.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import junipercourse.SocketTestSupport.StubEngine;
 
-/** Scripted engines, {@code s-00000001} and on, and a configuration that knows them. */
+/** Scripted engines with ids from {@code s-00000001} on, and a configuration that lists them. */
 public final class StubEngines implements Closeable {
     private static final String ENDPOINT =
             """
@@ -20,42 +20,46 @@
             """;
     private final List<StubEngine> engines = new ArrayList<>();
 
-    public StubEngines(int number, Function<String, String> script) throws IOException {
-        for (int i = 0; i < number; i++) {
+    public StubEngines(int count, Function<String, String> script) throws IOException {
+        for (int i = 0; i < count; i++) {
             engines.add(new StubEngine(script));
         }
     }
 
-    /** The engine of that number, from 1 on. */
+    /** Returns an engine by its number, from 1 on. */
     public StubEngine get(int id) {
         return engines.get(id - 1);
     }
 
-    /** Attempts that the engines have read whole, of queries whose id begins so. */
+    /**
+     * Counts the attempts that the engines have read completely, of queries whose id has a prefix.
+     */
     public long countAttempts(String idPrefix) {
-        return engines.stream().mapToLong(e -> e.countCalls("POST /fetch " + idPrefix)).sum();
+        return engines.stream()
+                .mapToLong(engine -> engine.countCalls("POST /fetch " + idPrefix))
+                .sum();
     }
 
-    /** The calls that the engines have read of the queries whose ids the texts hold. */
+    /** The calls that the engines have read for queries whose text contains their id. */
     public List<String> callsFor(List<String> queries) {
         return engines.stream()
-                .flatMap(e -> e.calls.stream())
-                .filter(c -> queries.stream().anyMatch(t -> t.contains(queryId(c))))
+                .flatMap(engine -> engine.calls.stream())
+                .filter(call -> queries.stream().anyMatch(query -> query.contains(queryId(call))))
                 .toList();
     }
 
-    /** The id of the query that a call is about. */
+    /** Returns the id of the query that a call is about. */
     public static String queryId(String call) {
         return call.startsWith("POST")
                 ? call.substring(call.lastIndexOf(' ') + 1)
                 : call.split("/")[2];
     }
 
-    /** A dispatcher's configuration with these engines and room for many queries. */
+    /** A dispatcher configuration with these engines and a quota for many queries. */
     public String dispatcherConfig() {
         List<String> members = new ArrayList<>();
-        for (StubEngine e : engines) {
-            members.add(ENDPOINT.formatted(members.size() + 1, e.address().getPort()));
+        for (StubEngine engine : engines) {
+            members.add(ENDPOINT.formatted(members.size() + 1, engine.address().getPort()));
         }
         return SocketTestSupport.CONFIG
                 .replace(
@@ -66,8 +70,8 @@
 
     @Override
     public void close() throws IOException {
-        for (StubEngine e : engines) {
-            e.close();
+        for (StubEngine engine : engines) {
+            engine.close();
         }
     }
 }
