--- a/src/main/java/junipercourse/decision/constraints/SendConstraints.java
+++ b/src/main/java/junipercourse/decision/constraints/SendConstraints.java
@@ -11,32 +11,32 @@
 import junipercourse.decision.state.PendingRequest;
 
 /**
- * Checks the guarantees that each attempt must keep. The numbers in the doc comments are those of
- * the rules on the platform's wire page.
+ * Checks the guarantees that each attempt must keep. The rule numbers in the comments are those of
+ * the platform's protocol specification.
  */
 public final class SendConstraints {
     private final DispatchState state;
     private final SlowStartController slowStart;
     private final RetryBudget retryBudget;
 
-    /** Creates the constraints of one module. */
+    /** Creates the constraints of one decision module. */
     public SendConstraints(DispatchState state, Estimators estimators) {
         this.state = state;
         this.slowStart = new SlowStartController(state, estimators);
         this.retryBudget = new RetryBudget(state.settings().guarantees());
     }
 
-    /** Returns the slow start of engines (rule 4). */
+    /** Returns the slow-start controller (rule 4). */
     public SlowStartController slowStart() {
         return slowStart;
     }
 
-    /** Returns the budget of retries (rule 7). */
+    /** Returns the retry budget (rule 7). */
     public RetryBudget retryBudget() {
         return retryBudget;
     }
 
-    /** Returns true if the next attempt of a request may go to an engine now. */
+    /** Returns true if the next attempt of a request may be sent to an engine now. */
     public boolean maySend(double now, PendingRequest request, EngineState engine) {
         return deadlineAllows(now, request)
                 && idempotencyAllows(now, request, engine)
@@ -48,72 +48,78 @@
     }
 
     /**
-     * Checks again, right before the first byte of an attempt, what may have changed since it was
-     * sent: its connection may have taken long to establish.
+     * Checks the constraints again right before the first byte of an attempt is written. They may
+     * have changed since the attempt was launched, because its connection may have taken long to
+     * establish.
      */
     public boolean mayWriteFirstByte(double now, Attempt attempt) {
         return !attempt.isCancelled()
                 && !attempt.engineRestarted()
                 && deadlineAllows(now, attempt.request())
                 && attempt.engine().isReady()
-                && repeatIsHarmless(now, attempt.request(), attempt.engine())
+                && isRetrySafe(now, attempt.request(), attempt.engine())
                 && orderingAllows(now, attempt.request());
     }
 
-    /** Rule 1: nothing is sent for a request that is answered or out of time. */
+    /** Rule 1: nothing is sent for a request that is closed or whose answer is due. */
     private static boolean deadlineAllows(double now, PendingRequest request) {
         return !request.isClosed() && now < request.answerDueAt();
     }
 
-    /** Rule 2: no second effect, and one attempt at a time unless hedging is allowed. */
+    /**
+     * Rule 2: a repeated request has no second effect, and one attempt runs at a time unless
+     * hedging is allowed.
+     */
     public boolean idempotencyAllows(double now, PendingRequest request, EngineState engine) {
-        boolean hedgingAllowed =
+        boolean isHedgingAllowed =
                 state.settings().limits().hedgingAllowed()
                         && request.queryClass().idempotency() == Idempotency.IDEMPOTENT;
-        boolean concurrencyAllowed =
+        boolean isConcurrencyAllowed =
                 request.activeAttempt() == null
-                        && (!request.hasOutstandingAttempts() || hedgingAllowed);
-        return !attemptsExhausted(request)
-                && concurrencyAllowed
-                && repeatIsHarmless(now, request, engine);
+                        && (!request.hasOutstandingAttempts() || isHedgingAllowed);
+        return !areAttemptsExhausted(request)
+                && isConcurrencyAllowed
+                && isRetrySafe(now, request, engine);
     }
 
-    /** Returns true if the platform allows no further attempt of a request. */
-    public boolean attemptsExhausted(PendingRequest request) {
+    /** Returns true if a request has used all attempts that the platform allows. */
+    public boolean areAttemptsExhausted(PendingRequest request) {
         PlatformLimits limits = state.settings().limits();
         return limits.maxAttempts() > 0 && request.sentAttemptCount() >= limits.maxAttempts();
     }
 
-    private static boolean repeatIsHarmless(
-            double now, PendingRequest request, EngineState engine) {
-        Attempt first = request.firstExecutedAttempt();
-        if (first == null) {
+    private static boolean isRetrySafe(double now, PendingRequest request, EngineState engine) {
+        Attempt firstAttempt = request.firstExecutedAttempt();
+        if (firstAttempt == null) {
             return true;
         }
         QueryClass queryClass = request.queryClass();
         return switch (queryClass.idempotency()) {
             case IDEMPOTENT -> true;
             case IDEMPOTENT_WITH_KEY ->
-                    sharesDeduplication(first, engine)
+                    sharesDeduplication(firstAttempt, engine)
                             && now
-                                    < first.sentAt()
+                                    < firstAttempt.sentAt()
                                             + queryClass.deduplicationWindowSeconds()
                                             - DecisionDefaults.ANSWER_LEAD_SECONDS;
             case NOT_IDEMPOTENT -> false;
         };
     }
 
-    /** Returns true if an engine recognizes the key of an attempt that was sent before. */
-    public static boolean sharesDeduplication(Attempt first, EngineState engine) {
+    /**
+     * Returns true if an engine is within the deduplication scope of an earlier attempt, and
+     * therefore recognizes its idempotency key.
+     */
+    public static boolean sharesDeduplication(Attempt firstAttempt, EngineState engine) {
         return engine.isListed()
-                && switch (first.request().queryClass().deduplicationScope()) {
+                && switch (firstAttempt.request().queryClass().deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> first.listingAtStart().zone() == engine.listing().zone();
-                    case CELL -> first.listingAtStart().cell() == engine.listing().cell();
+                    case ZONE -> firstAttempt.listingAtStart().zone() == engine.listing().zone();
+                    case CELL -> firstAttempt.listingAtStart().cell() == engine.listing().cell();
                 };
     }
 
-    /** Rule 4: an engine that is warming up is not overloaded. */
+    /** Rule 4: an engine that is warming up must not be overloaded. */
     public boolean slowStartAllows(double now, PendingRequest request, EngineState engine) {
         return slowStart.allows(now, request, engine);
     }
@@ -123,22 +129,22 @@
         return state.requests().keyedQueues().isNextForKey(now, request);
     }
 
-    /** Rule 6: the class allows the engine's zone and kind. */
+    /** Rule 6: the query class must allow the zone and the kind of the engine. */
     public static boolean placementAllows(PendingRequest request, EngineState engine) {
         if (!engine.isListed()) {
             return false;
         }
         QueryClass queryClass = request.queryClass();
-        boolean zoneAllowed =
+        boolean isZoneAllowed =
                 queryClass.allowedZones().isEmpty()
                         || queryClass.allowedZones().contains(engine.listing().zone());
-        boolean kindAllowed =
+        boolean isKindAllowed =
                 queryClass.allowedKinds().isEmpty()
                         || queryClass.allowedKinds().contains(engine.listing().kind());
-        return zoneAllowed && kindAllowed;
+        return isZoneAllowed && isKindAllowed;
     }
 
-    /** Rule 7: retries keep within their budget. */
+    /** Rule 7: retries must stay within the retry budget. */
     public boolean retryBudgetAllows(double now, PendingRequest request) {
         return retryBudget.allows(now, request);
     }
