--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -193,7 +193,7 @@
             handleFailure();
         }
 
-        /** Handles a response; parameters as in {@link HttpCall.Listener#onResponse}. */
+        /** Handles a response; parameters as in {@link HttpCall.Subscription#onResponse}. */
         abstract void handleResponse(HttpResponse response, boolean isUnambiguous);
 
         /** Handles a call that ended without a readable response. */
--- a/src/main/java/junipercourse/engine/HttpCall.java
+++ b/src/main/java/junipercourse/engine/HttpCall.java
@@ -131,7 +131,7 @@
         return isPending;
     }
 
-    /** From now on only {@link Listener#onDeliveryEnded} of the listener is called. */
+    /** From now on only {@link Subscription#onDeliveryEnded} of the listener is called. */
     void ignore() {
         isPending = false;
         if (connectCanceller != null) {
--- a/src/test/java/junipercourse/decision/ModuleAtSize.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSize.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
-import junipercourse.scale.Results;
+import junipercourse.scale.ResultWriter;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -29,8 +29,8 @@
 
     private final long seed = Long.getLong("seed", 34_000);
     private final int seeds = Integer.getInteger("seeds", 3);
-    private final Results results =
-            new Results(
+    private final ResultWriter results =
+            new ResultWriter(
                     Path.of(System.getProperty("scale.out", "target/module.jsonl")),
                     "module",
                     describeMachine(),
@@ -349,7 +349,7 @@
                             .map(age -> Double.isNaN(age) ? maxAgeSeconds : age)
                             .sorted()
                             .toArray();
-            results.invalid(
+            results.addInvalid(
                     scenario,
                     dispatchers,
                     metric,
@@ -398,7 +398,7 @@
         if (invalidReason.isEmpty()) {
             results.add(scenario, dispatchers, metric, unit, median, worst, count);
         } else {
-            results.invalid(
+            results.addInvalid(
                     scenario, dispatchers, metric, unit, median, worst, count, invalidReason);
         }
         System.out.printf(
--- a/src/test/java/junipercourse/fleet/membership/VirtualScaleRun.java
+++ b/src/test/java/junipercourse/fleet/membership/VirtualScaleRun.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.Set;
 import java.util.stream.LongStream;
-import junipercourse.scale.Results;
+import junipercourse.scale.ResultWriter;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -32,14 +32,15 @@
         for (String size : System.getProperty("scale.sizes", "45,90").split(",")) {
             for (long seed : seeds) {
                 System.out.println(size + " members, seed " + seed);
-                Results results = new Results(out, "world", "virtual clock", variant, seed);
+                ResultWriter results =
+                        new ResultWriter(out, "world", "virtual clock", variant, seed);
                 new VirtualScale(settings, Integer.parseInt(size), seed, sink(results)).play(plays);
             }
         }
         assertTrue(Files.size(out) > 0, () -> "seeds " + LongStream.of(seeds).boxed().toList());
     }
 
-    private static VirtualScale.Sink sink(Results results) {
+    private static VirtualScale.Sink sink(ResultWriter results) {
         return new VirtualScale.Sink() {
             @Override
             public void add(
@@ -56,7 +57,7 @@
             @Override
             public void settled(String play, int size, double seconds) {
                 if (Double.isNaN(seconds)) {
-                    results.invalid(
+                    results.addInvalid(
                             play,
                             size,
                             "settled",
--- a/src/test/java/junipercourse/scale/PacedLoad.java
+++ b/src/test/java/junipercourse/scale/ConstantRateLoad.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /** Clients that keep their connections and ask so many queries a second, each at its time. */
-final class PacedLoad {
+final class ConstantRateLoad {
     private static final int CLIENTS = 16;
     private static final int DIGITS = 3;
     private static final AtomicInteger NUMBER = new AtomicInteger();
@@ -27,7 +27,7 @@
      *
      * @param groups of tables that are read in turn; 0: each query reads a group of its own
      */
-    PacedLoad(InetSocketAddress front, double rate, double seconds, int groups)
+    ConstantRateLoad(InetSocketAddress front, double rate, double seconds, int groups)
             throws InterruptedException {
         int all = (int) Math.max(1, rate * seconds);
         long begun = System.nanoTime();
--- a/src/test/java/junipercourse/scale/ListPart.java
+++ b/src/test/java/junipercourse/scale/EndpointListBenchmark.java
@@ -7,15 +7,15 @@
 import junipercourse.ScriptedBus;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
-import junipercourse.scale.ProcessFigures.Cpu;
-import junipercourse.scale.ServingBench.Running;
-import junipercourse.scale.ServingBench.Site;
+import junipercourse.scale.ProcessMetrics.CpuTime;
+import junipercourse.scale.ServingHarness.DispatcherSpec;
+import junipercourse.scale.ServingHarness.RunningDispatcher;
 
 /**
  * What news of the engine list cost: changes of one engine, one by one and in a burst, and whole
  * lists.
  */
-final class ListPart {
+final class EndpointListBenchmark {
     private static final int RECORD = 27;
     private static final int HEAD = 9;
     private static final int WHOLE = 1;
@@ -26,11 +26,11 @@
     private static final int GROUPS = 64;
     private static final long EMPTY_MS =
             500; // between empty frames: the bus counts as silent without
-    private final ServingBench bench;
+    private final ServingHarness bench;
     private final int engines;
     private long number = 1; // of the last event that is told
 
-    ListPart(ServingBench bench, int engines) {
+    EndpointListBenchmark(ServingHarness bench, int engines) {
         this.bench = bench;
         this.engines = engines;
     }
@@ -42,7 +42,8 @@
     void measure(int events, int perSecond, int wholes, double rate, double seconds)
             throws Exception {
         try (ScriptedBus bus = new ScriptedBus();
-                Running r = bench.start(Site.of(engines).bus(bus.address())).ready();
+                RunningDispatcher r =
+                        bench.start(DispatcherSpec.of(engines).bus(bus.address())).ready();
                 Client c = new Client(r.front()).startSession()) {
             Socket watch = bus.acceptSubscription();
             SocketTestSupport.startDaemon(
@@ -57,7 +58,7 @@
             paced(watch, events / 2, perSecond); // warms up
             told(c);
             double began = r.age();
-            Cpu before = r.figures.cpu();
+            CpuTime before = r.figures.cpu();
             SocketTestSupport.sleepMillis((long) (seconds * 1000));
             double idle = r.figures.cpu().since(before).loop() / (r.age() - began);
 
@@ -81,7 +82,7 @@
 
     /** In all, with what the compiler took, and of the loop alone, less what it takes at rest. */
     private void cost(
-            Running r,
+            RunningDispatcher r,
             Client c,
             double idle,
             String figure,
@@ -89,10 +90,10 @@
             SocketTestSupport.IoTask task)
             throws IOException {
         double began = r.age();
-        Cpu before = r.figures.cpu();
+        CpuTime before = r.figures.cpu();
         task.run();
         told(c);
-        Cpu spent = r.figures.cpu().since(before);
+        CpuTime spent = r.figures.cpu().since(before);
         bench.add("list", engines, figure, "us", "", spent.all() * US / count);
         bench.add(
                 "list",
@@ -107,11 +108,12 @@
      * The same queries without and with events beside them, since each event also costs the next
      * queries.
      */
-    private void underLoad(Running r, Socket watch, double rate, double seconds) throws Exception {
-        new PacedLoad(r.front(), rate, seconds / 2, GROUPS); // warms up
-        Cpu before = r.figures.cpu();
-        PacedLoad alone = new PacedLoad(r.front(), rate, seconds, GROUPS);
-        Cpu without = r.figures.cpu().since(before);
+    private void underLoad(RunningDispatcher r, Socket watch, double rate, double seconds)
+            throws Exception {
+        new ConstantRateLoad(r.front(), rate, seconds / 2, GROUPS); // warms up
+        CpuTime before = r.figures.cpu();
+        ConstantRateLoad alone = new ConstantRateLoad(r.front(), rate, seconds, GROUPS);
+        CpuTime without = r.figures.cpu().since(before);
         int events = (int) Math.max(1, seconds * rate / 2);
         Thread news =
                 new Thread(
@@ -124,9 +126,9 @@
                         });
         before = r.figures.cpu();
         news.start();
-        PacedLoad beside = new PacedLoad(r.front(), rate, seconds, GROUPS);
+        ConstantRateLoad beside = new ConstantRateLoad(r.front(), rate, seconds, GROUPS);
         news.join();
-        Cpu with = r.figures.cpu().since(before);
+        CpuTime with = r.figures.cpu().since(before);
         String why = alone.why(rate) + beside.why(rate);
         bench.add(
                 "list",
@@ -209,7 +211,7 @@
     /** Waits until all events have been taken in: the list that was known is the first. */
     private void told(Client c) throws IOException {
         long end = System.nanoTime() + 20_000_000_000L;
-        while (Running.count(c, "roster events") < number) {
+        while (RunningDispatcher.count(c, "roster events") < number) {
             if (System.nanoTime() > end) {
                 throw new IOException("events were not taken in");
             }
--- a/src/test/java/junipercourse/scale/Listeners.java
+++ b/src/test/java/junipercourse/scale/EndpointWatchers.java
@@ -15,11 +15,11 @@
 /**
  * The hollow members' bus clients, the real ones, all on one loop; what they heard, and how late.
  */
-final class Listeners implements Closeable {
+final class EndpointWatchers implements Closeable {
     private static final int EVENTS_MOST = 10_000;
     private static final int DIGITS = 3;
 
-    private final EventBus bus = new EventBus();
+    private final FakeEventBus bus = new FakeEventBus();
     private final EventLoop loop = new EventLoop(() -> {}, Throwable::printStackTrace);
     private final EndpointWatcher[] clients;
     private final AtomicIntegerArray last;
@@ -30,7 +30,7 @@
 
     private volatile int posted;
 
-    Listeners(int size) throws IOException {
+    EndpointWatchers(int size) throws IOException {
         clients = new EndpointWatcher[size];
         last = new AtomicIntegerArray(size);
         loop.execute(loop::startStallDetection);
--- a/src/test/java/junipercourse/scale/Exchanges.java
+++ b/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
@@ -14,7 +14,7 @@
  * one: the difference is what a connection for each attempt costs at least. A lead, not the
  * dispatcher's own figure.
  */
-final class Exchanges {
+final class EngineExchangeBenchmark {
     private static final int BATCHES = 5;
     private static final double NS_IN_US = 1e3;
     private static final byte[] POST =
@@ -27,16 +27,16 @@
     private final ByteBuffer out = ByteBuffer.allocateDirect(POST.length).put(POST);
 
     /** One loop's step. */
-    private interface Call {
+    private interface EngineCall {
         void run(InetSocketAddress at) throws IOException;
     }
 
-    Exchanges(EngineFarm farm) {
+    EngineExchangeBenchmark(EngineFarm farm) {
         this.farm = farm;
     }
 
     /** Writes the figures; returns the processor time of a bare connection, in microseconds. */
-    double measure(ServingBench bench, int size, int calls) throws IOException {
+    double measure(ServingHarness bench, int size, int calls) throws IOException {
         double[] bare = new double[BATCHES];
         double[] fresh = new double[BATCHES];
         double[] kept = new double[BATCHES];
@@ -63,7 +63,7 @@
         return sorted[BATCHES / 2];
     }
 
-    private double time(int calls, Call call) throws IOException {
+    private double time(int calls, EngineCall call) throws IOException {
         long before = threads.getCurrentThreadCpuTime();
         for (int i = 0; i < calls; i++) {
             call.run(farm.address(i));
--- a/src/test/java/junipercourse/scale/EngineFarm.java
+++ b/src/test/java/junipercourse/scale/EngineFarm.java
@@ -38,14 +38,14 @@
     final AtomicInteger posts = new AtomicInteger();
     private final Selector selector = Selector.open();
     private final List<ServerSocketChannel> servers = new ArrayList<>();
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
+    private final ArrayDeque<DelayedResponse> held = new ArrayDeque<>();
     private volatile boolean holds;
 
     /**
      * A call whose answer is due at a time; all wait equally long, so that the first come is due
      * first.
      */
-    private record Held(long due, SocketChannel channel) {}
+    private record DelayedResponse(long due, SocketChannel channel) {}
 
     EngineFarm() throws IOException {
         for (int i = 1; i <= ADDRESSES; i++) {
@@ -120,7 +120,7 @@
         if (text.startsWith("DELETE")) {
             write(c, GONE);
         } else if (holds) {
-            held.add(new Held(System.nanoTime() + NEWS_NS, c));
+            held.add(new DelayedResponse(System.nanoTime() + NEWS_NS, c));
         } else {
             write(c, ROW);
         }
--- a/src/test/java/junipercourse/scale/EventBus.java
+++ b/src/test/java/junipercourse/scale/FakeEventBus.java
@@ -24,7 +24,7 @@
  * after the one that it asks from, then each new one, and an empty frame a second. One that does
  * not take what it is told is left, and comes again.
  */
-final class EventBus implements Closeable {
+final class FakeEventBus implements Closeable {
     private static final int BACKLOG = 4096;
     private static final double BEAT_S = 1;
 
@@ -40,12 +40,12 @@
     /**
      * What is known of one connection: the bytes of its question, and whether it was heard whole.
      */
-    private static final class Listener {
+    private static final class Subscription {
         private final ByteBuffer question = ByteBuffer.allocate(Long.BYTES);
         private boolean asked;
     }
 
-    EventBus() throws IOException {
+    FakeEventBus() throws IOException {
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.configureBlocking(false);
         server.register(selector, SelectionKey.OP_ACCEPT);
@@ -107,7 +107,7 @@
                             HexFormat.of()
                                     .parseHex(ScriptedBus.EMPTY_FRAME.formatted(events.size())));
                 }
-                listeners = (int) selector.keys().stream().filter(EventBus::asked).count();
+                listeners = (int) selector.keys().stream().filter(FakeEventBus::asked).count();
             }
         } catch (IOException | ClosedSelectorException e) {
             if (!closed) {
@@ -117,19 +117,19 @@
     }
 
     private static boolean asked(SelectionKey key) {
-        return key.isValid() && key.attachment() instanceof Listener listener && listener.asked;
+        return key.isValid() && key.attachment() instanceof Subscription listener && listener.asked;
     }
 
     private void accept() throws IOException {
         for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
             c.configureBlocking(false);
             c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            c.register(selector, SelectionKey.OP_READ, new Listener());
+            c.register(selector, SelectionKey.OP_READ, new Subscription());
         }
     }
 
     private void read(SelectionKey key) throws IOException {
-        Listener listener = (Listener) key.attachment();
+        Subscription listener = (Subscription) key.attachment();
         SocketChannel channel = (SocketChannel) key.channel();
         try {
             if (channel.read(listener.question) <= 0) {
--- a/src/test/java/junipercourse/scale/Plays.java
+++ b/src/test/java/junipercourse/scale/FleetScenarios.java
@@ -19,7 +19,7 @@
  * The plays of one fleet, one after another. Each is measured from its first act until all that
  * hear each other agree, and at least for a stated time, so that rates are of more than a moment.
  */
-final class Plays {
+final class FleetScenarios {
     static final List<String> ALL =
             List.of(
                     "start", "calm", "kill", "restart", "tenth", "zone", "regions", "loss5",
@@ -37,26 +37,26 @@
     private static final double RESTARTED_APART = 0.04;
 
     private final ScaleFleet fleet;
-    private final Meter meter;
-    private final Guard guard;
+    private final ScenarioRecorder meter;
+    private final RunLimits guard;
     private final Random random;
     private final double leastS;
     private final double calmS;
     private final double apartS;
-    private final Map<String, Play> plays = new LinkedHashMap<>();
-    private final double heapBefore = Meter.heapMb();
+    private final Map<String, Scenario> plays = new LinkedHashMap<>();
+    private final double heapBefore = ScenarioRecorder.heapMb();
 
-    private interface Play {
+    private interface Scenario {
         void run() throws IOException;
     }
 
     /** A time that was waited for; {@code fault} tells what was not so in the end, or is null. */
-    private record Wait(double seconds, String fault) {}
+    private record WaitResult(double seconds, String fault) {}
 
-    Plays(
+    FleetScenarios(
             ScaleFleet fleet,
-            Meter meter,
-            Guard guard,
+            ScenarioRecorder meter,
+            RunLimits guard,
             long seed,
             double leastS,
             double calmS,
@@ -99,7 +99,7 @@
         return all.subList(0, (int) Math.max(1, Math.round(share * fleet.size)));
     }
 
-    private void measured(String name, Play act) throws IOException {
+    private void measured(String name, Scenario act) throws IOException {
         meter.begin();
         double from = Network.now();
         act.run();
@@ -108,10 +108,10 @@
 
     /** Waits for agreement, rounds the time up and writes all figures. */
     private void finish(String name, double from) throws IOException {
-        Wait all = until(from, POLL_MS, fleet::disagreement);
-        Wait real = until(from, REAL_POLL_MS, fleet::realDisagreement);
+        WaitResult all = until(from, POLL_MS, fleet::disagreement);
+        WaitResult real = until(from, REAL_POLL_MS, fleet::realDisagreement);
         hold(from + leastS - Network.now());
-        Meter.Figures figures = meter.end(name);
+        ScenarioRecorder.MetricWriter figures = meter.end(name);
         figures.one("unsettled", "plays", all.fault == null ? 0 : 1);
         settled(figures, "settled", all);
         if (fleet.realCount > 0) {
@@ -120,7 +120,7 @@
         }
     }
 
-    private void settled(Meter.Figures figures, String figure, Wait wait) {
+    private void settled(ScenarioRecorder.MetricWriter figures, String figure, WaitResult wait) {
         if (wait.fault == null) {
             figures.one(figure, "s", wait.seconds);
         } else {
@@ -135,7 +135,7 @@
                 figure, wait.seconds, wait.fault == null ? "" : ": not so: " + wait.fault);
     }
 
-    private Wait until(double from, int pollMs, Callable<String> fault) {
+    private WaitResult until(double from, int pollMs, Callable<String> fault) {
         String[] newest = {""};
         try {
             await().pollDelay(Duration.ZERO)
@@ -148,10 +148,10 @@
                                 return newest[0] == null;
                             });
         } catch (ConditionTimeoutException e) {
-            return new Wait(
+            return new WaitResult(
                     Network.now() - from, newest[0] == null ? "so only just now" : newest[0]);
         }
-        return new Wait(Network.now() - from, null);
+        return new WaitResult(Network.now() - from, null);
     }
 
     /** Lets the play go on for so long. */
@@ -166,12 +166,12 @@
     private void calm() throws IOException {
         meter.begin();
         hold(calmS);
-        Meter.Figures figures = meter.end("calm");
+        ScenarioRecorder.MetricWriter figures = meter.end("calm");
         String fault = fleet.disagreement();
         String realFault = fleet.realDisagreement();
         figures.one("unsettled", "plays", fault == null ? 0 : 1);
         figures.one("real_unsettled", "plays", realFault == null ? 0 : 1);
-        figures.one("heap", "MB", (Meter.heapMb() - heapBefore) / fleet.hollow.size());
+        figures.one("heap", "MB", (ScenarioRecorder.heapMb() - heapBefore) / fleet.hollow.size());
         until(Network.now(), POLL_MS, fleet::disagreement); // the collection was a stall for all
     }
 
@@ -186,7 +186,7 @@
         meter.begin();
         double from = Network.now();
         fleet.network.cut(fleet.halves());
-        Wait apart = until(from, POLL_MS, fleet::disagreement);
+        WaitResult apart = until(from, POLL_MS, fleet::disagreement);
         List<Integer> restarted = some(RESTARTED_APART);
         double pause = Math.max(0, from + apartS * 0.75 - Network.now()) / restarted.size();
         for (int member : restarted) {
@@ -194,7 +194,7 @@
             fleet.restart(member);
         }
         hold(from + apartS - Network.now());
-        Meter.Figures figures = meter.end("regions_apart");
+        ScenarioRecorder.MetricWriter figures = meter.end("regions_apart");
         figures.one("unsettled", "plays", apart.fault == null ? 0 : 1);
         settled(figures, "settled", apart);
         measured("regions_healed", fleet.network::heal);
@@ -209,7 +209,7 @@
     }
 
     private void events() throws IOException {
-        Wait listening =
+        WaitResult listening =
                 until(
                         Network.now(),
                         POLL_MS,
@@ -224,7 +224,7 @@
             hold(from + i / (double) EVENTS - Network.now());
             fleet.listeners.post();
         }
-        Wait all =
+        WaitResult all =
                 until(
                         Network.now(),
                         POLL_MS,
@@ -233,7 +233,7 @@
                                         ? null
                                         : "not all have all");
         hold(from + leastS - Network.now());
-        Meter.Figures figures = meter.end("events");
+        ScenarioRecorder.MetricWriter figures = meter.end("events");
         settled(figures, "settled", listening.fault == null ? all : listening);
         figures.one("event_lag_median", "s", fleet.listeners.lagAt(50));
         figures.one("event_lag_worst", "s", fleet.listeners.lagAt(100));
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -35,7 +35,7 @@
     final HollowThread home;
     final TransportCounters tally = new TransportCounters();
     private final Network network;
-    private final Verdicts verdicts;
+    private final UnreachableListener verdicts;
     private MembershipProtocol view;
     private HollowTransport link;
     private volatile MembershipSnapshot snapshot;
@@ -43,7 +43,11 @@
     private volatile double startedAt = Double.POSITIVE_INFINITY;
 
     HollowMember(
-            int number, FleetConfig part, HollowThread home, Network network, Verdicts verdicts) {
+            int number,
+            FleetConfig part,
+            HollowThread home,
+            Network network,
+            UnreachableListener verdicts) {
         this.number = number;
         this.part = part;
         this.home = home;
@@ -205,7 +209,7 @@
     }
 
     /** Is told of each verdict of a member that another is unreachable. */
-    interface Verdicts {
+    interface UnreachableListener {
         void said(int by, MemberView seen);
     }
 }
--- a/src/test/java/junipercourse/scale/HollowThread.java
+++ b/src/test/java/junipercourse/scale/HollowThread.java
@@ -29,7 +29,7 @@
     final Thread thread;
     private final List<HollowMember> members = new ArrayList<>();
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Later> later = new PriorityQueue<>();
+    private final PriorityQueue<DelayedTask> later = new PriorityQueue<>();
     private final StallDetector attention =
             new StallDetector(PARK_MOST_S, STALL_S, Double.MAX_VALUE, Network.now(), Network.now());
     private volatile boolean closed;
@@ -39,9 +39,10 @@
     private double catchUpUntil = Double.NEGATIVE_INFINITY;
     private long sequence;
 
-    private record Later(double at, long number, Runnable task) implements Comparable<Later> {
+    private record DelayedTask(double at, long number, Runnable task)
+            implements Comparable<DelayedTask> {
         @Override
-        public int compareTo(Later other) {
+        public int compareTo(DelayedTask other) {
             int order = Double.compare(at, other.at);
             return order == 0 ? Long.compare(number, other.number) : order;
         }
@@ -62,7 +63,7 @@
 
     /** Runs a task on the thread after so many seconds; called there. */
     void later(double seconds, Runnable task) {
-        later.add(new Later(Network.now() + seconds, sequence++, task));
+        later.add(new DelayedTask(Network.now() + seconds, sequence++, task));
     }
 
     /** A member lives here from now on; called on the thread. */
--- a/src/test/java/junipercourse/scale/Machine.java
+++ b/src/test/java/junipercourse/scale/HostMetrics.java
@@ -11,17 +11,17 @@
 import java.util.stream.IntStream;
 
 /** What the system tells of this machine. */
-final class Machine {
+final class HostMetrics {
     private static final double PAGES_MB = 256;
     private static final int IDLE = 4; // fields of the line of all processors
     private static final int WAITING = 5;
 
-    private Machine() {}
+    private HostMetrics() {}
 
     /** Processor time of the whole machine so far, in ticks. */
-    record Processors(long busy, long all) {
+    record CpuTicks(long busy, long all) {
         /** The share that was busy since then. */
-        double busySince(Processors then) {
+        double busySince(CpuTicks then) {
             return all == then.all ? 0 : (busy - then.busy) / (double) (all - then.all);
         }
     }
@@ -32,13 +32,13 @@
         return os.getAvailableProcessors() + " cores, " + (os.getTotalMemorySize() >> 30) + " GiB";
     }
 
-    static Processors processors() throws IOException {
+    static CpuTicks processors() throws IOException {
         String[] fields = Files.readAllLines(Path.of("/proc/stat")).get(0).trim().split(" +");
         long all = 0;
         for (int i = 1; i <= 8; i++) {
             all += Long.parseLong(fields[i]);
         }
-        return new Processors(
+        return new CpuTicks(
                 all - Long.parseLong(fields[IDLE]) - Long.parseLong(fields[WAITING]), all);
     }
 
--- a/src/test/java/junipercourse/scale/IdleClients.java
+++ b/src/test/java/junipercourse/scale/IdleClients.java
@@ -27,7 +27,7 @@
     private int answered;
 
     /** One client's answers so far. */
-    private static final class State {
+    private static final class ClientState {
         private final ByteBuffer in = ByteBuffer.allocate(MOST_ANSWER);
         private int readies;
     }
@@ -45,7 +45,8 @@
         while ((begun < count || opening > 0) && System.nanoTime() < end) {
             while (begun < count && opening < OPENING_MOST) {
                 SocketChannel c = SocketChannel.open();
-                c.configureBlocking(false).register(selector, SelectionKey.OP_CONNECT, new State());
+                c.configureBlocking(false)
+                        .register(selector, SelectionKey.OP_CONNECT, new ClientState());
                 begun++;
                 opening++;
                 if (c.connect(front)) {
@@ -79,7 +80,7 @@
 
     private void ready(SelectionKey key) {
         SocketChannel c = (SocketChannel) key.channel();
-        State s = (State) key.attachment();
+        ClientState s = (ClientState) key.attachment();
         try {
             if (key.isConnectable() && c.finishConnect()) {
                 key.interestOps(SelectionKey.OP_READ);
@@ -99,7 +100,7 @@
     }
 
     /** Takes in whole messages; true if one of them ends the session. */
-    private boolean told(State s) {
+    private boolean told(ClientState s) {
         s.in.flip();
         boolean ends = false;
         while (s.in.remaining() > Integer.BYTES
@@ -117,7 +118,7 @@
         return ends;
     }
 
-    private void over(SocketChannel c, State s) {
+    private void over(SocketChannel c, ClientState s) {
         if (s.readies >= READY_TWICE) {
             open--;
         } else {
--- a/src/test/java/junipercourse/scale/ProcessFigures.java
+++ b/src/test/java/junipercourse/scale/ProcessMetrics.java
@@ -12,13 +12,13 @@
 import java.util.regex.Pattern;
 
 /** What the system and the JVM tell of another process: processor time by thread, memory. */
-final class ProcessFigures {
+final class ProcessMetrics {
     private static final double NS = 1e-9;
     private static final double TICKS_S = 100; // in which the system splits off the kernel's part
     private static final double PAGE = 4096;
     private static final Pattern TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
-    private enum Group {
+    private enum ThreadKind {
         LOOP,
         COMPILER,
         COLLECTOR,
@@ -26,13 +26,13 @@
     }
 
     /** What a thread had spent when it was last seen. */
-    private record Spent(Group group, double seconds) {}
+    private record ThreadCpuTime(ThreadKind group, double seconds) {}
 
-    private final Map<String, Spent> seen = new HashMap<>();
+    private final Map<String, ThreadCpuTime> seen = new HashMap<>();
     private double unseen;
     private final long pid;
 
-    ProcessFigures(long pid) {
+    ProcessMetrics(long pid) {
         this.pid = pid;
     }
 
@@ -40,9 +40,9 @@
      * Processor seconds: in all, of the I/O thread, the compiler and the collector, and in the
      * kernel.
      */
-    record Cpu(double all, double loop, double compiler, double collector, double kernel) {
-        Cpu since(Cpu before) {
-            return new Cpu(
+    record CpuTime(double all, double loop, double compiler, double collector, double kernel) {
+        CpuTime since(CpuTime before) {
+            return new CpuTime(
                     all - before.all,
                     loop - before.loop,
                     compiler - before.compiler,
@@ -55,7 +55,7 @@
      * By the nanosecond for each thread; by ticks of 10 ms the kernel's part, and what threads have
      * spent that ended between two looks.
      */
-    Cpu cpu() {
+    CpuTime cpu() {
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(of("task"))) {
             for (Path t : threads) {
                 try {
@@ -63,7 +63,7 @@
                     double s =
                             Long.parseLong(Files.readString(t.resolve("schedstat")).split(" ")[0])
                                     * NS;
-                    seen.put(t.getFileName().toString(), new Spent(group(name), s));
+                    seen.put(t.getFileName().toString(), new ThreadCpuTime(group(name), s));
                 } catch (NoSuchFileException e) {
                     continue; // it has just ended
                 }
@@ -71,29 +71,33 @@
             // the third field and on
             String[] stat = Files.readString(of("stat")).split("\\) ")[1].split(" ");
             double kernel = Long.parseLong(stat[12]) / TICKS_S;
-            double all = seen.values().stream().mapToDouble(Spent::seconds).sum();
+            double all = seen.values().stream().mapToDouble(ThreadCpuTime::seconds).sum();
             unseen = Math.max(unseen, Long.parseLong(stat[11]) / TICKS_S + kernel - all);
-            return new Cpu(
-                    all + unseen, of(Group.LOOP), of(Group.COMPILER), of(Group.COLLECTOR), kernel);
+            return new CpuTime(
+                    all + unseen,
+                    of(ThreadKind.LOOP),
+                    of(ThreadKind.COMPILER),
+                    of(ThreadKind.COLLECTOR),
+                    kernel);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private double of(Group group) {
+    private double of(ThreadKind group) {
         return seen.values().stream()
                 .filter(s -> s.group == group)
-                .mapToDouble(Spent::seconds)
+                .mapToDouble(ThreadCpuTime::seconds)
                 .sum();
     }
 
     /** The system keeps 15 characters of a thread's name. */
-    private static Group group(String name) {
+    private static ThreadKind group(String name) {
         return name.startsWith("junipercourse")
-                ? Group.LOOP
+                ? ThreadKind.LOOP
                 : name.matches("C[12] Comp.*")
-                        ? Group.COMPILER
-                        : name.equals("VM Thread") ? Group.COLLECTOR : Group.OTHER;
+                        ? ThreadKind.COMPILER
+                        : name.equals("VM Thread") ? ThreadKind.COLLECTOR : ThreadKind.OTHER;
     }
 
     /** Resident bytes. */
--- a/src/test/java/junipercourse/scale/Results.java
+++ b/src/test/java/junipercourse/scale/ResultWriter.java
@@ -15,7 +15,7 @@
  * Figures of a measuring tool, one JSON object a line, appended to a file as they come, so that
  * what was measured stays when the run is cut short. All members are always there.
  */
-public final class Results {
+public final class ResultWriter {
     private static final String COMMIT = System.getProperty("scale.commit", "unknown");
 
     private static final int DIGITS = 3;
@@ -31,7 +31,7 @@
      * @param machine what it ran on, for people
      * @param variant a free word that tells runs of different code apart
      */
-    public Results(Path file, String suite, String machine, String variant, long seed) {
+    public ResultWriter(Path file, String suite, String machine, String variant, long seed) {
         this.file = file;
         this.suite = suite;
         this.machine = machine;
@@ -69,7 +69,7 @@
     /**
      * A figure that is no measurement, since the machine was the bound or the run was cut short.
      */
-    public void invalid(
+    public void addInvalid(
             String play,
             int size,
             String figure,
--- a/src/test/java/junipercourse/scale/ResultsTest.java
+++ b/src/test/java/junipercourse/scale/ResultWriterTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ResultsTest {
+class ResultWriterTest {
     @TempDir private Path folder;
 
     @Test
     void eachFigureIsOneLineWithAllMembersAndIsAppended() throws IOException {
         Path file = folder.resolve("out.jsonl");
-        new Results(file, "fleet", "8 cores", "after", 7)
+        new ResultWriter(file, "fleet", "8 cores", "after", 7)
                 .add("calm", 720, "bytes_out", "B/s", 2700.5, 3100, 720);
-        new Results(file, "fleet", "8 cores", "after", 7)
-                .invalid("kill", 45, "settled", "s", 0, 0, 1, "\"full\"");
+        new ResultWriter(file, "fleet", "8 cores", "after", 7)
+                .addInvalid("kill", 45, "settled", "s", 0, 0, 1, "\"full\"");
         List<String> lines = Files.readAllLines(file);
         assertEquals(2, lines.size());
         JsonObject first = Json.parse(lines.get(0)).asObject();
@@ -43,16 +43,16 @@
 
     @Test
     void medianAndWorstAreOfTheValuesAlsoWhereTheyAreNought() {
-        assertArrayEquals(new double[] {0, 0}, Results.medianAndWorst(0, 0, 0));
-        assertArrayEquals(new double[] {0, 9}, Results.medianAndWorst(9, 0, 0));
+        assertArrayEquals(new double[] {0, 0}, ResultWriter.medianAndWorst(0, 0, 0));
+        assertArrayEquals(new double[] {0, 9}, ResultWriter.medianAndWorst(9, 0, 0));
         assertArrayEquals(
-                new double[] {2700, 102_912}, Results.medianAndWorst(0.001, 2700, 102_912), 3);
+                new double[] {2700, 102_912}, ResultWriter.medianAndWorst(0.001, 2700, 102_912), 3);
     }
 
     /** What is no number is not written as if it were one. */
     @Test
     void aFigureThatIsNoneIsRefused() {
-        Results results = new Results(folder.resolve("none"), "fleet", "", "", 1);
+        ResultWriter results = new ResultWriter(folder.resolve("none"), "fleet", "", "", 1);
         assertThrows(
                 IllegalArgumentException.class,
                 () -> results.add("calm", 1, "settled", "s", Double.NaN, 0, 1));
--- a/src/test/java/junipercourse/scale/Guard.java
+++ b/src/test/java/junipercourse/scale/RunLimits.java
@@ -3,29 +3,29 @@
 import java.io.IOException;
 
 /** The run's own bounds: past one of them it ends by itself, with all that it started. */
-final class Guard {
+final class RunLimits {
     private final double memoryMb;
     private final double wallS;
     private final double begun = Network.now();
     private volatile String passed;
 
     /** The run is to end before its time. */
-    static final class CutShortException extends RuntimeException {
+    static final class RunAbortedException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        CutShortException(String why) {
+        RunAbortedException(String why) {
             super(why);
         }
     }
 
-    Guard(double memoryMb, double wallS) {
+    RunLimits(double memoryMb, double wallS) {
         this.memoryMb = memoryMb;
         this.wallS = wallS;
     }
 
     /** Looks at memory and time; to be called each second. */
     void look(ScaleFleet fleet) throws IOException {
-        double used = Machine.residentMb();
+        double used = HostMetrics.residentMb();
         for (RealMember each : fleet.real) {
             used += each.residentMb();
         }
@@ -44,7 +44,7 @@
     /** Fails if a bound was passed. */
     void check() {
         if (passed != null) {
-            throw new CutShortException(passed);
+            throw new RunAbortedException(passed);
         }
     }
 }
--- a/src/test/java/junipercourse/scale/ScaleFleet.java
+++ b/src/test/java/junipercourse/scale/ScaleFleet.java
@@ -36,7 +36,7 @@
     final int size;
     final int realCount;
     final Network network;
-    final Listeners listeners;
+    final EndpointWatchers listeners;
     final List<HollowThread> threads = new ArrayList<>();
     final List<HollowMember> hollow = new ArrayList<>();
     final List<RealMember> real = new CopyOnWriteArrayList<>();
@@ -69,7 +69,7 @@
         this.packaged = packaged;
         lives = new int[size];
         network = new Network(size, realCount, delay);
-        listeners = new Listeners(size);
+        listeners = new EndpointWatchers(size);
         Path file =
                 Files.writeString(
                         folder.resolve("product.xml"), RealMember.product(0, zone(0), seeds()));
--- a/src/test/java/junipercourse/scale/ScaleMain.java
+++ b/src/test/java/junipercourse/scale/ScaleMain.java
@@ -18,7 +18,7 @@
 
     private final List<Integer> sizes =
             list("scale.sizes", "45,90").stream().map(Integer::valueOf).toList();
-    private final List<String> plays = list("scale.plays", String.join(",", Plays.ALL));
+    private final List<String> plays = list("scale.plays", String.join(",", FleetScenarios.ALL));
     private final int realCount = Integer.getInteger("scale.real", 6);
     private final int threads =
             Integer.getInteger(
@@ -32,11 +32,11 @@
     private final double apartS = number("scale.apart", 20);
     private final double memoryMb = number("scale.memory", 11) * 1024;
     private final double wallS = number("scale.wall", 1800);
-    private final Results results =
-            new Results(
+    private final ResultWriter results =
+            new ResultWriter(
                     Path.of(System.getProperty("scale.out", "target/scale.jsonl")),
                     "fleet",
-                    Machine.told(),
+                    HostMetrics.told(),
                     System.getProperty("scale.variant", "landed"),
                     seed);
 
@@ -82,10 +82,11 @@
                 wallS,
                 (int) (sizes.size() * (70 + calmS * 3 + apartS)),
                 realCount + 1);
-        if (!Plays.ALL.containsAll(plays)) {
-            throw new IllegalArgumentException("plays are " + Plays.ALL + ", got " + plays);
+        if (!FleetScenarios.ALL.containsAll(plays)) {
+            throw new IllegalArgumentException(
+                    "plays are " + FleetScenarios.ALL + ", got " + plays);
         }
-        Guard guard = new Guard(memoryMb, wallS);
+        RunLimits guard = new RunLimits(memoryMb, wallS);
         boolean all = true;
         warmUp();
         for (int size : sizes) {
@@ -113,14 +114,14 @@
         }
     }
 
-    private boolean run(int size, Guard guard) throws IOException {
+    private boolean run(int size, RunLimits guard) throws IOException {
         List<String> left = Collections.synchronizedList(new ArrayList<>(plays));
         left.remove("start");
         left.add(0, "start"); // nothing is without it
         Path folder = Files.createTempDirectory("scale");
         try (ScaleFleet fleet =
                         new ScaleFleet(folder, size, realCount, threads, packaged, delay, seed);
-                Meter meter = new Meter(fleet, results, guard)) {
+                ScenarioRecorder meter = new ScenarioRecorder(fleet, results, guard)) {
             Thread hook =
                     new Thread(
                             () -> {
@@ -128,18 +129,20 @@
                                 notRun(
                                         size,
                                         left,
-                                        new Guard.CutShortException("ended from outside"));
+                                        new RunLimits.RunAbortedException("ended from outside"));
                                 for (int later :
                                         sizes.subList(sizes.indexOf(size) + 1, sizes.size())) {
                                     notRun(
                                             later,
                                             new ArrayList<>(plays),
-                                            new Guard.CutShortException("ended from outside"));
+                                            new RunLimits.RunAbortedException(
+                                                    "ended from outside"));
                                 }
                             },
                             "end-real");
             Runtime.getRuntime().addShutdownHook(hook);
-            Plays all = new Plays(fleet, meter, guard, seed, leastS, calmS, apartS);
+            FleetScenarios all =
+                    new FleetScenarios(fleet, meter, guard, seed, leastS, calmS, apartS);
             try {
                 while (!left.isEmpty()) {
                     all.play(left.get(0));
@@ -164,11 +167,11 @@
             return;
         }
         System.out.println("cut short at " + size + " members: " + why);
-        if (!(why instanceof Guard.CutShortException)) {
+        if (!(why instanceof RunLimits.RunAbortedException)) {
             why.printStackTrace(System.out);
         }
         for (String play : left) {
-            results.invalid(
+            results.addInvalid(
                     play, size, "not_run", "plays", 1, 1, 1, "cut short: " + why.getMessage());
         }
         left.clear();
--- a/src/test/java/junipercourse/scale/ScaleRun.java
+++ b/src/test/java/junipercourse/scale/ScaleRun.java
@@ -17,13 +17,13 @@
  * test -Dtest=ScaleRun -Dscale.sizes=45,90 -Dscale.out=FILE}. It runs in a process of its own with
  * a heap of its own ({@code scale.heap}, 6g), which ends all that it has started.
  *
- * <p>Further properties, with their defaults: {@code scale.plays} (all of {@link Plays#ALL}),
- * {@code scale.real} (6), {@code scale.threads} (half the cores, 4 at most), {@code scale.seed}
- * (34), {@code scale.variant} (landed), {@code scale.commit} (unknown), {@code scale.delay} (most
- * seconds a datagram is held back, 0), {@code scale.least} (least seconds of a play, 5), {@code
- * scale.calm} (s, 10), {@code scale.apart} (s, 20), {@code scale.warm} (s of an unmeasured fleet
- * before, 10), {@code scale.memory} (GB, 11), {@code scale.wall} (s, 1800), {@code scale.packaged}
- * (true; false runs the class path).
+ * <p>Further properties, with their defaults: {@code scale.plays} (all of {@link
+ * FleetScenarios#ALL}), {@code scale.real} (6), {@code scale.threads} (half the cores, 4 at most),
+ * {@code scale.seed} (34), {@code scale.variant} (landed), {@code scale.commit} (unknown), {@code
+ * scale.delay} (most seconds a datagram is held back, 0), {@code scale.least} (least seconds of a
+ * play, 5), {@code scale.calm} (s, 10), {@code scale.apart} (s, 20), {@code scale.warm} (s of an
+ * unmeasured fleet before, 10), {@code scale.memory} (GB, 11), {@code scale.wall} (s, 1800), {@code
+ * scale.packaged} (true; false runs the class path).
  */
 class ScaleRun {
     private static final int END_S = 30;
--- a/src/test/java/junipercourse/scale/ScaleRunTest.java
+++ b/src/test/java/junipercourse/scale/ScaleRunTest.java
@@ -34,11 +34,11 @@
     void hollowAndRealMembersAreEqualsThroughAKillAndACut() throws Exception {
         System.out.println("seed " + SEED);
         Path out = folder.resolve("out.jsonl");
-        Results results = new Results(out, "fleet", Machine.told(), "test", SEED);
-        Guard guard = new Guard(11 * 1024, 60);
+        ResultWriter results = new ResultWriter(out, "fleet", HostMetrics.told(), "test", SEED);
+        RunLimits guard = new RunLimits(11 * 1024, 60);
         try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, REAL, 1, false, 0, SEED);
-                Meter meter = new Meter(fleet, results, guard)) {
-            Plays plays = new Plays(fleet, meter, guard, SEED, 1, 1, 3);
+                ScenarioRecorder meter = new ScenarioRecorder(fleet, results, guard)) {
+            FleetScenarios plays = new FleetScenarios(fleet, meter, guard, SEED, 1, 1, 3);
             for (String play : List.of("start", "calm", "kill", "restart", "regions", "events")) {
                 plays.play(play);
                 assertNull(fleet.disagreement(), play);
@@ -66,14 +66,14 @@
     /** Past a bound the run ends by itself and says why. */
     @Test
     void aPassedBoundCutsTheRunShort() throws Exception {
-        Guard guard = new Guard(1, 60);
+        RunLimits guard = new RunLimits(1, 60);
         try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, 0, 1, false, 0, SEED)) {
             guard.look(fleet);
         }
         boolean cut = false;
         try {
             guard.check();
-        } catch (Guard.CutShortException e) {
+        } catch (RunLimits.RunAbortedException e) {
             cut = e.getMessage().contains("1 allowed");
         }
         assertTrue(cut);
--- a/src/test/java/junipercourse/scale/Meter.java
+++ b/src/test/java/junipercourse/scale/ScenarioRecorder.java
@@ -16,15 +16,15 @@
  * Measures one play after the other: counts of all hollow members at its begin, each second and at
  * its end. A play during which the machine was the bound is written as one that does not count.
  */
-final class Meter implements Closeable {
+final class ScenarioRecorder implements Closeable {
     /** Above this a thread or the machine is taken for full. */
     private static final double FULL = 0.85;
 
     private static final double MB = 1 << 20;
 
     private final ScaleFleet fleet;
-    private final Results results;
-    private final Guard guard;
+    private final ResultWriter results;
+    private final RunLimits guard;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final Thread sampler = new Thread(this::sample, "meter");
     private static final double LEAST_WINDOW_S = 0.95;
@@ -32,10 +32,10 @@
     private long[] secondBefore;
     private double secondAt;
     private double[] worstSecond;
-    private Reading begin;
+    private MetricsSample begin;
 
     /** All that is counted, at one moment. */
-    private record Reading(
+    private record MetricsSample(
             double at,
             long[][] counts,
             double[] threadS,
@@ -43,9 +43,9 @@
             long stalls,
             long bufferErrors,
             long realBufferErrors,
-            Machine.Processors machine) {}
+            HostMetrics.CpuTicks machine) {}
 
-    Meter(ScaleFleet fleet, Results results, Guard guard) {
+    ScenarioRecorder(ScaleFleet fleet, ResultWriter results, RunLimits guard) {
         this.fleet = fleet;
         this.results = results;
         this.guard = guard;
@@ -65,14 +65,14 @@
         return counts;
     }
 
-    private Reading read() throws IOException {
+    private MetricsSample read() throws IOException {
         long[][] counts =
                 fleet.hollow.stream().map(member -> counts(member.tally)).toArray(long[][]::new);
         double[] realS = new double[fleet.real.size()];
         for (int i = 0; i < realS.length; i++) {
             realS[i] = fleet.real.get(i).processorS();
         }
-        return new Reading(
+        return new MetricsSample(
                 Network.now(),
                 counts,
                 fleet.threads.stream()
@@ -80,9 +80,9 @@
                         .toArray(),
                 realS,
                 fleet.threads.stream().mapToLong(HollowThread::stalls).sum(),
-                Machine.receiveBufferErrors(),
-                Machine.receiveBufferErrors(fleet.realCount),
-                Machine.processors());
+                HostMetrics.receiveBufferErrors(),
+                HostMetrics.receiveBufferErrors(fleet.realCount),
+                HostMetrics.processors());
     }
 
     /** A play begins now. */
@@ -140,7 +140,7 @@
     }
 
     /** Why the play that began last is no measurement, or an empty text. */
-    private String machineWasBound(Reading end, double busiest) {
+    private String machineWasBound(MetricsSample end, double busiest) {
         List<String> why = new ArrayList<>();
         if (busiest > FULL) {
             why.add("a hollow thread was %.0f%% busy".formatted(busiest * 100));
@@ -166,8 +166,8 @@
      * The play is over: writes its figures; {@code play} names it in them. Returns how they are
      * written.
      */
-    Figures end(String play) throws IOException {
-        Reading end = read();
+    MetricWriter end(String play) throws IOException {
+        MetricsSample end = read();
         if (end.at - secondAt > 0.5) {
             second();
         }
@@ -177,7 +177,7 @@
                         .mapToDouble(i -> (end.threadS[i] - begin.threadS[i]) / seconds)
                         .toArray();
         double busiest = DoubleStream.of(busy).max().orElse(0);
-        Figures figures = new Figures(play, machineWasBound(end, busiest));
+        MetricWriter figures = new MetricWriter(play, machineWasBound(end, busiest));
         String[] names = {"bytes_out", "bytes_in", "datagrams_out", "datagrams_in"};
         for (int f = 0; f < names.length; f++) {
             int figure = f;
@@ -246,11 +246,11 @@
     }
 
     /** Writes figures of one play, as ones that count or with the reason why not. */
-    final class Figures {
+    final class MetricWriter {
         private final String play;
         private final String why;
 
-        private Figures(String play, String why) {
+        private MetricWriter(String play, String why) {
             this.play = play;
             this.why = why;
         }
@@ -266,7 +266,7 @@
 
         void spread(String figure, String unit, double[] values) {
             if (values.length > 0) {
-                double[] both = Results.medianAndWorst(values);
+                double[] both = ResultWriter.medianAndWorst(values);
                 write(figure, unit, both[0], both[1], values.length, why);
             }
         }
@@ -276,7 +276,7 @@
             if (reason.isEmpty()) {
                 results.add(play, fleet.size, figure, unit, median, worst, count);
             } else {
-                results.invalid(play, fleet.size, figure, unit, median, worst, count, reason);
+                results.addInvalid(play, fleet.size, figure, unit, median, worst, count, reason);
             }
         }
     }
--- a/src/test/java/junipercourse/scale/ServingBench.java
+++ b/src/test/java/junipercourse/scale/ServingHarness.java
@@ -16,7 +16,7 @@
  * One dispatcher after the other before stand-in engines, for the parts of {@link ServingSlopes}.
  * None of its processes outlives it, nor this JVM, however that ends.
  */
-final class ServingBench implements Closeable {
+final class ServingHarness implements Closeable {
     static final int DEPLOYED_HEAP_MB = 64; // the deploy file's
     static final int PLATFORM_SOCKETS = 1024;
     private static final int SPARE_DESCRIPTORS =
@@ -37,17 +37,17 @@
             "offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[%s]}}]\
             """;
 
-    final Results results;
+    final ResultWriter results;
     final EngineFarm farm = new EngineFarm();
     private final Path folder;
     private final boolean deployed;
-    private final List<Running> all = new ArrayList<>();
+    private final List<RunningDispatcher> all = new ArrayList<>();
     private final Thread atEnd = new Thread(this::end);
 
     /**
      * By the deploy file's command line and the packaged program, or by the classes of the build.
      */
-    ServingBench(Path folder, Results results, boolean deployed) throws IOException {
+    ServingHarness(Path folder, ResultWriter results, boolean deployed) throws IOException {
         this.folder = folder;
         this.results = results;
         this.deployed = deployed;
@@ -55,21 +55,21 @@
     }
 
     /** What a part's dispatcher is to be. */
-    record Site(int engines, int sockets, int heapMb, String bus) {
-        static Site of(int engines) {
-            return new Site(engines, PLATFORM_SOCKETS, DEPLOYED_HEAP_MB, "");
+    record DispatcherSpec(int engines, int sockets, int heapMb, String bus) {
+        static DispatcherSpec of(int engines) {
+            return new DispatcherSpec(engines, PLATFORM_SOCKETS, DEPLOYED_HEAP_MB, "");
         }
 
-        Site sockets(int limit) {
-            return new Site(engines, limit, heapMb, bus);
+        DispatcherSpec sockets(int limit) {
+            return new DispatcherSpec(engines, limit, heapMb, bus);
         }
 
-        Site heap(int mb) {
-            return new Site(engines, sockets, mb, bus);
+        DispatcherSpec heap(int mb) {
+            return new DispatcherSpec(engines, sockets, mb, bus);
         }
 
-        Site bus(InetSocketAddress at) {
-            return new Site(
+        DispatcherSpec bus(InetSocketAddress at) {
+            return new DispatcherSpec(
                     engines,
                     sockets,
                     heapMb,
@@ -78,7 +78,7 @@
     }
 
     /** Starts one and returns at once. */
-    Running start(Site site) throws IOException {
+    RunningDispatcher start(DispatcherSpec site) throws IOException {
         int number = all.size();
         Path config = Files.writeString(folder.resolve("config" + number + ".json"), config(site));
         int descriptors = site.sockets + SPARE_DESCRIPTORS;
@@ -88,8 +88,8 @@
                         : "export _JAVA_OPTIONS='-Xmx" + site.heapMb + "m'; ";
         Path logs = Files.createDirectory(folder.resolve("run" + number));
         long begun = System.nanoTime();
-        Running r =
-                new Running(
+        RunningDispatcher r =
+                new RunningDispatcher(
                         deployed
                                 ? DispatcherProcess.startDeployed(
                                         logs.resolve("log"),
@@ -103,7 +103,7 @@
         return r;
     }
 
-    private String config(Site site) throws IOException {
+    private String config(DispatcherSpec site) throws IOException {
         String[] members = new String[site.engines];
         for (int i = 0; i < members.length; i++) {
             InetSocketAddress at = farm.address(i + 1);
@@ -122,19 +122,19 @@
     }
 
     /** A dispatcher that runs. */
-    static final class Running implements Closeable {
+    static final class RunningDispatcher implements Closeable {
         final DispatcherProcess process;
-        final ProcessFigures figures;
+        final ProcessMetrics figures;
         private final long begun;
 
-        Running(DispatcherProcess process, long begun) {
+        RunningDispatcher(DispatcherProcess process, long begun) {
             this.process = process;
-            this.figures = new ProcessFigures(process.pid());
+            this.figures = new ProcessMetrics(process.pid());
             this.begun = begun;
         }
 
         /** Waits until it listens and has answered an empty query. */
-        Running ready() throws IOException {
+        RunningDispatcher ready() throws IOException {
             try (Client c = new Client(process.address())) {
                 String answer = c.startSession().query(" ");
                 if (!answer.equals("I")) {
@@ -189,11 +189,12 @@
         double median = sorted[sorted.length / 2];
         double worst = sorted[sorted.length - 1];
         if (!Double.isFinite(median) || !Double.isFinite(worst)) { // such as a share of nothing
-            results.invalid(play, size, figure, unit, 0, 0, values.length, why + " no figure came");
+            results.addInvalid(
+                    play, size, figure, unit, 0, 0, values.length, why + " no figure came");
         } else if (why.isEmpty()) {
             results.add(play, size, figure, unit, median, worst, values.length);
         } else {
-            results.invalid(play, size, figure, unit, median, worst, values.length, why);
+            results.addInvalid(play, size, figure, unit, median, worst, values.length, why);
         }
         System.out.printf(
                 "%-22s %5d  %-32s %14.4f %14.4f %-6s %s%n",
@@ -202,7 +203,7 @@
 
     private void end() {
         synchronized (all) {
-            all.forEach(Running::close);
+            all.forEach(RunningDispatcher::close);
         }
     }
 
--- a/src/test/java/junipercourse/scale/ServingParts.java
+++ b/src/test/java/junipercourse/scale/ServingMeasurements.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import junipercourse.SocketTestSupport;
 import junipercourse.SocketTestSupport.Client;
-import junipercourse.scale.ProcessFigures.Cpu;
-import junipercourse.scale.ServingBench.Running;
-import junipercourse.scale.ServingBench.Site;
+import junipercourse.scale.ProcessMetrics.CpuTime;
+import junipercourse.scale.ServingHarness.DispatcherSpec;
+import junipercourse.scale.ServingHarness.RunningDispatcher;
 
 /** What is measured of one dispatcher, a method a part; sizes are the arguments. */
-final class ServingParts {
+final class ServingMeasurements {
     private static final double US = 1e6;
     private static final int GROUPS = 64; // of tables that are read in turn
     private static final double WARM_RATE = 400;
@@ -22,9 +22,9 @@
     private static final double REST_PART =
             0.3; // of the time to warm up: what is spent without queries
     private static final int LARGER_HEAP_MB = 256;
-    private final ServingBench bench;
+    private final ServingHarness bench;
 
-    ServingParts(ServingBench bench) {
+    ServingMeasurements(ServingHarness bench) {
         this.bench = bench;
     }
 
@@ -32,7 +32,7 @@
     void start(int engines, int repeats) throws IOException, InterruptedException {
         double[][] all = new double[5][repeats];
         for (int i = 0; i < repeats; i++) {
-            try (Running r = bench.start(Site.of(engines))) {
+            try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines))) {
                 r.front();
                 all[0][i] = r.age();
                 r.ready();
@@ -51,9 +51,9 @@
 
     /** Processor time for each query at rates, with so many engines listed. */
     void engines(int engines, double warmS, double seconds, double... rates) throws Exception {
-        try (Running r = bench.start(Site.of(engines)).ready()) {
-            new PacedLoad(r.front(), WARM_RATE, warmS, GROUPS);
-            Cpu before = r.figures.cpu();
+        try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines)).ready()) {
+            new ConstantRateLoad(r.front(), WARM_RATE, warmS, GROUPS);
+            CpuTime before = r.figures.cpu();
             double begun = r.age();
             SocketTestSupport.sleepMillis((long) (warmS * REST_PART * 1000));
             bench.add(
@@ -92,11 +92,11 @@
 
     /** The processor time of each query, in microseconds. */
     private double perQuery(
-            String play, int size, Running r, double rate, double seconds, int groups)
+            String play, int size, RunningDispatcher r, double rate, double seconds, int groups)
             throws InterruptedException {
-        Cpu before = r.figures.cpu();
-        PacedLoad load = new PacedLoad(r.front(), rate, seconds, groups);
-        Cpu spent = r.figures.cpu().since(before);
+        CpuTime before = r.figures.cpu();
+        ConstantRateLoad load = new ConstantRateLoad(r.front(), rate, seconds, groups);
+        CpuTime spent = r.figures.cpu().since(before);
         String why = load.why(rate);
         if (why.isEmpty() && spent.loop() > 0.9 * load.seconds) {
             why = "the dispatcher's one thread was full";
@@ -115,7 +115,7 @@
 
     /** Idle connections with the platform's descriptors: how many it holds, and what those cost. */
     void idlePlatform(int clients, double seconds) throws Exception {
-        try (Running r = bench.start(Site.of(10)).ready();
+        try (RunningDispatcher r = bench.start(DispatcherSpec.of(10)).ready();
                 IdleClients idle = new IdleClients(r.front())) {
             int opened = idle.open(clients, REFUSED_S);
             bench.add(
@@ -154,7 +154,7 @@
      * short.
      */
     void idle(int clients, double seconds) throws Exception {
-        String fault = idle("idle", clients, seconds, ServingBench.DEPLOYED_HEAP_MB);
+        String fault = idle("idle", clients, seconds, ServingHarness.DEPLOYED_HEAP_MB);
         if (!fault.isEmpty()) {
             idle("idle-heap-" + LARGER_HEAP_MB, clients, seconds, LARGER_HEAP_MB);
         }
@@ -163,10 +163,11 @@
     private String idle(String play, int clients, double seconds, int heapMb) throws Exception {
         int sockets =
                 4 * clients + 64; // past half of clients' half, connections are closed after 0.5 s
-        try (Running r = bench.start(Site.of(10).sockets(sockets).heap(heapMb)).ready();
+        try (RunningDispatcher r =
+                        bench.start(DispatcherSpec.of(10).sockets(sockets).heap(heapMb)).ready();
                 IdleClients idle = new IdleClients(r.front())) {
             double resident = r.figures.resident();
-            Cpu before = r.figures.cpu();
+            CpuTime before = r.figures.cpu();
             double begun = r.age();
             int opened = idle.open(clients, PATIENCE_S);
             double took = r.age() - begun;
@@ -207,14 +208,14 @@
         bench.farm.hold(true);
         int before = bench.farm.posts.get();
         List<Client> clients = new ArrayList<>();
-        try (Running r = bench.start(Site.of(engines)).ready()) {
+        try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines)).ready()) {
             for (int i = 0; i < queries; i++) {
                 Client c = new Client(r.front());
                 clients.add(c);
-                c.startSession().write(Client.queryMessage(PacedLoad.query(GROUPS)));
+                c.startSession().write(Client.queryMessage(ConstantRateLoad.query(GROUPS)));
             }
             SocketTestSupport.await(() -> bench.farm.posts.get() >= before + queries);
-            Cpu cpu = r.figures.cpu();
+            CpuTime cpu = r.figures.cpu();
             double begun = r.age();
             SocketTestSupport.sleepMillis((long) (seconds * 1000));
             double spent = r.figures.cpu().since(cpu).all() / (r.age() - begun);
@@ -248,10 +249,10 @@
      * one.
      */
     void handshake(int calls, double seconds, int... rates) throws Exception {
-        Exchanges exchanges = new Exchanges(bench.farm);
+        EngineExchangeBenchmark exchanges = new EngineExchangeBenchmark(bench.farm);
         for (int rate : rates) {
-            try (Running r = bench.start(Site.of(10)).ready()) {
-                new PacedLoad(r.front(), WARM_RATE, seconds / 2, GROUPS);
+            try (RunningDispatcher r = bench.start(DispatcherSpec.of(10)).ready()) {
+                new ConstantRateLoad(r.front(), WARM_RATE, seconds / 2, GROUPS);
                 long connected = r.count("engines connected");
                 long served = r.count("queries served");
                 double query = perQuery("handshake", rate, r, rate, seconds, GROUPS);
--- a/src/test/java/junipercourse/scale/ServingSlopes.java
+++ b/src/test/java/junipercourse/scale/ServingSlopes.java
@@ -39,8 +39,8 @@
                 Files.exists(Path.of("target/junipercourse.jar")),
                 "the program is to be packaged first");
         List<String> parts = Arrays.asList(System.getProperty("scale.parts", ALL).split(","));
-        Results results =
-                new Results(
+        ResultWriter results =
+                new ResultWriter(
                         Path.of(System.getProperty("scale.out", "target/serving.jsonl")),
                         "serving",
                         machine(),
@@ -50,8 +50,8 @@
                 "takes one dispatcher at a time, of 64 MB heap (256 MB where that does not hold"
                         + " the connections), and this JVM; under six minutes; parts: "
                         + parts);
-        try (ServingBench bench = new ServingBench(folder, results, true)) {
-            ServingParts p = new ServingParts(bench);
+        try (ServingHarness bench = new ServingHarness(folder, results, true)) {
+            ServingMeasurements p = new ServingMeasurements(bench);
             if (parts.contains("start")) {
                 each(bench, "start", ENGINES, n -> p.start(n, 3));
             }
@@ -63,7 +63,7 @@
                         bench,
                         "list",
                         ENGINES,
-                        n -> new ListPart(bench, n).measure(1000, 500, 100, 100, 3));
+                        n -> new EndpointListBenchmark(bench, n).measure(1000, 500, 100, 100, 3));
             }
             if (parts.contains("idle")) {
                 each(bench, "idle-1024-descriptors", CLIENTS, n -> p.idlePlatform(n, 2));
@@ -79,7 +79,7 @@
     }
 
     /** Measures a part at each size; what fails costs that size alone. */
-    static void each(ServingBench bench, String play, int[] sizes, Measurement part) {
+    static void each(ServingHarness bench, String play, int[] sizes, Measurement part) {
         List<String> only = Arrays.asList(System.getProperty("scale.only", "").split(","));
         for (int size : sizes) {
             if (!only.contains("") && !only.contains(Integer.toString(size))) {
--- a/src/test/java/junipercourse/scale/ServingSlopesTest.java
+++ b/src/test/java/junipercourse/scale/ServingSlopesTest.java
@@ -30,16 +30,16 @@
     @Test
     void eachPartTellsItsFigures() throws Exception {
         Path out = folder.resolve("out");
-        Results results = new Results(out, "serving", ServingSlopes.machine(), "test", 0);
-        try (ServingBench bench = new ServingBench(folder, results, false)) {
-            ServingParts p = new ServingParts(bench);
+        ResultWriter results = new ResultWriter(out, "serving", ServingSlopes.machine(), "test", 0);
+        try (ServingHarness bench = new ServingHarness(folder, results, false)) {
+            ServingMeasurements p = new ServingMeasurements(bench);
             p.start(3, 1);
             p.engines(4, 0.1, 0.4, 50);
             p.idlePlatform(6, 0.1);
             p.idle(8, 0.2);
             p.hand(5, 3, 0.2);
             p.handshake(50, 0.4, 50);
-            new ListPart(bench, 8).measure(40, 200, 5, 50, 0.3);
+            new EndpointListBenchmark(bench, 8).measure(40, 200, 5, 50, 0.3);
         }
         List<JsonObject> lines =
                 Files.readAllLines(out).stream().map(l -> Json.parse(l).asObject()).toList();
@@ -66,8 +66,8 @@
     @Test
     void whatFailsIsToldAndTheRestGoesOn() throws Exception {
         Path out = folder.resolve("out");
-        Results results = new Results(out, "serving", ServingSlopes.machine(), "test", 0);
-        try (ServingBench bench = new ServingBench(folder, results, false)) {
+        ResultWriter results = new ResultWriter(out, "serving", ServingSlopes.machine(), "test", 0);
+        try (ServingHarness bench = new ServingHarness(folder, results, false)) {
             ServingSlopes.each(
                     bench,
                     "part",
