--- a/src/main/java/junipercourse/fleet/FleetService.java
+++ b/src/main/java/junipercourse/fleet/FleetService.java
@@ -185,7 +185,7 @@
         StallDetector.Stall stall = stallDetector.recordIteration(now);
         if (stall != null) {
             stalls++;
-            membership.stalled(now, stall.durationSeconds());
+            membership.handleStall(now, stall.durationSeconds());
             drainTarget = transport.drainCount() + 2;
             drainDeadline = now + MAX_DRAIN_SECONDS;
         }
@@ -198,9 +198,9 @@
             if (envelope == null) {
                 break;
             }
-            membership.messageReceived(now, envelope.address(), envelope.message());
+            membership.handleMessage(now, envelope.address(), envelope.message());
         }
-        messagesHeldBack = membership.messagesHeldBack();
+        messagesHeldBack = membership.messagesDroppedByBudget();
         if (!drained) {
             transport.wakeUp();
         } else if (now >= membership.nextTickAt()) {
--- a/src/main/java/junipercourse/fleet/membership/FailureDetector.java
+++ b/src/main/java/junipercourse/fleet/membership/FailureDetector.java
@@ -117,7 +117,7 @@
     }
 
     /** Does what is due: timeouts, probes of suspects, and the next probe in turn. */
-    void tick(double now, VerdictListener listener) {
+    void tick(double now, StatusChangeListener listener) {
         indirectProbes.tick(now);
         checkOpenProbes(now, listener);
         suspicions.tick(
@@ -140,7 +140,7 @@
         }
     }
 
-    private void checkOpenProbes(double now, VerdictListener listener) {
+    private void checkOpenProbes(double now, StatusChangeListener listener) {
         double timeout = settings.probeTimeout() * (1 + localHealth);
         List<OpenProbe> timedOut = new ArrayList<>();
         for (Iterator<Map.Entry<Long, OpenProbe>> all = probes.entrySet().iterator();
@@ -191,7 +191,7 @@
                         >= INDIRECT_PROBE_BYTES;
     }
 
-    private void probeTimedOut(OpenProbe probe, double now, VerdictListener listener) {
+    private void probeTimedOut(OpenProbe probe, double now, StatusChangeListener listener) {
         PeerState peer = probe.peer;
         boolean isolated = lastHeardAnyAt < probe.sentAt;
         localHealth =
--- a/src/main/java/junipercourse/fleet/membership/InjectedFault.java
+++ b/src/main/java/junipercourse/fleet/membership/InjectedFault.java
@@ -7,7 +7,7 @@
     /** A member begins with an incarnation that was used before. */
     REUSED_INCARNATION,
     /** A member does not notice its own stalls. */
-    STALL_BLAMED_ON_PEERS,
+    LOCAL_STALL_IGNORED,
     /** Records are merged that are older than the known ones. */
     STALE_RECORDS_ACCEPTED
 }
--- a/src/main/java/junipercourse/fleet/membership/MemberTable.java
+++ b/src/main/java/junipercourse/fleet/membership/MemberTable.java
@@ -15,8 +15,8 @@
  * MembershipSettings#maxMembers} and {@link MembershipSettings#maxTombstones}.
  */
 final class MemberTable {
-    /** Members that {@link #allAgree} examines if there are more. */
-    static final int AGREEMENT_SAMPLE = 24;
+    /** Members that {@link #allDigestsMatch} examines if there are more. */
+    static final int AGREEMENT_SAMPLE_SIZE = 24;
 
     /** Largest age of a digest in that sample. */
     static final double AGREEMENT_SAMPLE_SECONDS = 2.5;
@@ -82,12 +82,12 @@
 
     /**
      * Returns true if every present member but {@code self} last sent our digest. In a fleet of
-     * over {@link #AGREEMENT_SAMPLE} others, every one that was heard recently must agree, and at
-     * least that many: to hear all of them would take messages between every pair of members.
+     * over {@link #AGREEMENT_SAMPLE_SIZE} others, every one that was heard recently must agree, and
+     * at least that many: to hear all of them would take messages between every pair of members.
      */
-    boolean allAgree(String self, double now) {
+    boolean allDigestsMatch(String self, double now) {
         long ownDigest = digest();
-        boolean allMustAgree = presentCount - 1 <= AGREEMENT_SAMPLE;
+        boolean allMustAgree = presentCount - 1 <= AGREEMENT_SAMPLE_SIZE;
         int agreeing = 0;
         for (PeerState peer : peers.values()) {
             if (!peer.record.isPresent() || peer.record.name().equals(self)) {
@@ -99,7 +99,7 @@
             }
             agreeing += fresh && peer.digest == ownDigest ? 1 : 0;
         }
-        return allMustAgree || agreeing >= AGREEMENT_SAMPLE;
+        return allMustAgree || agreeing >= AGREEMENT_SAMPLE_SIZE;
     }
 
     /** Returns all members as a snapshot shows them. */
--- a/src/main/java/junipercourse/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/junipercourse/fleet/membership/MembershipProtocol.java
@@ -10,7 +10,7 @@
  * I/O, no clock, no threads. Times are seconds of one monotonic clock. Must be used by one thread.
  *
  * <p>{@link #nextTickAt} states when {@link #tick} is due. A tick that is late by more than {@link
- * #STALL_SECONDS} is taken for a stall of our own, as if {@link #stalled} had been called: no
+ * #STALL_SECONDS} is taken for a stall of our own, as if {@link #handleStall} had been called: no
  * silence of that time counts against other members.
  */
 public final class MembershipProtocol {
@@ -137,7 +137,7 @@
     }
 
     /** Takes in a message; {@code fromAddress} is for replies if it states no other. */
-    public void messageReceived(double now, String fromAddress, GossipMessage message) {
+    public void handleMessage(double now, String fromAddress, GossipMessage message) {
         if (left || nextTickAt == Double.POSITIVE_INFINITY) {
             return;
         }
@@ -149,7 +149,7 @@
     /** Does what is due. */
     public void tick(double now) {
         if (now - nextTickAt > STALL_SECONDS) {
-            stalled(now, now - nextTickAt);
+            handleStall(now, now - nextTickAt);
         }
         if (now < nextTickAt) {
             return;
@@ -181,9 +181,9 @@
      * Notes that a stall of our own has just ended, in which nothing was read: probes and suspicion
      * timeouts start afresh.
      */
-    public void stalled(double now, double seconds) {
+    public void handleStall(double now, double seconds) {
         nextTickAt = Math.max(nextTickAt, now);
-        if (faults != InjectedFault.STALL_BLAMED_ON_PEERS) {
+        if (faults != InjectedFault.LOCAL_STALL_IGNORED) {
             failureDetector.restart(now);
             localIncarnation.stalled(now);
         }
@@ -229,11 +229,11 @@
 
     private boolean isConverged() {
         return localIncarnation.isActive()
-                && memberTable.allAgree(sender.localRecord().name(), lastEventAt);
+                && memberTable.allDigestsMatch(sender.localRecord().name(), lastEventAt);
     }
 
     /** Returns the number of messages that the budget has held back. */
-    public long messagesHeldBack() {
+    public long messagesDroppedByBudget() {
         return sender.heldBack();
     }
 
--- a/src/main/java/junipercourse/fleet/membership/PeerContact.java
+++ b/src/main/java/junipercourse/fleet/membership/PeerContact.java
@@ -81,7 +81,7 @@
      * for the fleet to converge.
      */
     void probeDiffering(double now) {
-        if (memberTable.presentCount() - 1 > MemberTable.AGREEMENT_SAMPLE) {
+        if (memberTable.presentCount() - 1 > MemberTable.AGREEMENT_SAMPLE_SIZE) {
             return;
         }
         int probed = 0;
--- a/src/main/java/junipercourse/fleet/membership/VerdictListener.java
+++ b/src/main/java/junipercourse/fleet/membership/StatusChangeListener.java
@@ -1,7 +1,7 @@
 package junipercourse.fleet.membership;
 
 /** Receives what failure detection concludes about members. */
-interface VerdictListener {
+interface StatusChangeListener {
     /** Merges and disseminates a record. */
     void accept(MemberRecord verdict);
 }
--- a/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
+++ b/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
@@ -93,7 +93,7 @@
      *
      * @param silenceSeconds how long we have received nothing from anybody
      */
-    void tick(double silenceSeconds, double now, Prober prober, VerdictListener listener) {
+    void tick(double silenceSeconds, double now, Prober prober, StatusChangeListener listener) {
         boolean isolated =
                 silenceSeconds > 4 * settings.probeTimeout()
                         && silenceSeconds < settings.isolationGrace();
--- a/src/test/java/junipercourse/fleet/membership/BoundsTest.java
+++ b/src/test/java/junipercourse/fleet/membership/BoundsTest.java
@@ -55,7 +55,7 @@
         assertEquals(3, first.seen.members().size(), world::toString);
         GossipMessage late =
                 new GossipMessage("n9", 0, Kind.SYNC_RESPONSE, 1, "", 7, List.of(old), 0, 1);
-        first.view.messageReceived(first.local(), away.address, late);
+        first.view.handleMessage(first.local(), away.address, late);
         assertEquals(3, first.seen.members().size(), world::toString);
         world.run(1);
         assertEquals(3, first.seen.members().size(), world::toString);
--- a/src/test/java/junipercourse/fleet/membership/BudgetTest.java
+++ b/src/test/java/junipercourse/fleet/membership/BudgetTest.java
@@ -119,15 +119,15 @@
                         });
         view.start(now[0]);
         for (double end = now[0] + 30; now[0] < end; now[0] += 0.001) {
-            view.messageReceived(now[0], address(9), word(random));
+            view.handleMessage(now[0], address(9), word(random));
             if (now[0] >= view.nextTickAt()) {
                 view.tick(now[0]);
             }
         }
         assertTrue(seconds.most <= BYTES, () -> "seed " + seed + ": " + seconds.most);
         assertTrue(
-                view.messagesHeldBack() > 1000,
-                () -> "seed " + seed + ": " + view.messagesHeldBack() + " held back");
+                view.messagesDroppedByBudget() > 1000,
+                () -> "seed " + seed + ": " + view.messagesDroppedByBudget() + " held back");
         assertTrue(
                 seconds.all > 30 * BYTES / 2, () -> "seed " + seed + ": no flood, " + seconds.all);
     }
--- a/src/test/java/junipercourse/fleet/membership/LargeFleetTest.java
+++ b/src/test/java/junipercourse/fleet/membership/LargeFleetTest.java
@@ -88,7 +88,7 @@
                             List.of(liar, verdict),
                             0,
                             0);
-            hearing.view.messageReceived(hearing.local(), liar.address(), word);
+            hearing.view.handleMessage(hearing.local(), liar.address(), word);
         }
         world.run(10);
         assertEquals(List.of(), world.judge.falseUnreachable, "seed " + seed);
@@ -146,7 +146,7 @@
         victim.kill();
         for (SimulatedNetwork.Process process : world.processes) {
             if (process.runs()) {
-                process.view.messageReceived(
+                process.view.handleMessage(
                         process.local(),
                         "10.9.0.1:7400",
                         new GossipMessage("n99", 0, Kind.PING, 1, "", 7, List.of(doubt), 0, 0));
@@ -195,23 +195,24 @@
             peers.add(roll.find("n" + i));
         }
         Set<Boolean> agreed = new HashSet<>();
-        for (int i = 1; i <= MemberTable.AGREEMENT_SAMPLE; i++) {
-            agreed.add(roll.allAgree("n0", 100));
+        for (int i = 1; i <= MemberTable.AGREEMENT_SAMPLE_SIZE; i++) {
+            agreed.add(roll.allDigestsMatch("n0", 100));
             peers.get(i).digest = roll.digest();
             peers.get(i).digestReceivedAt = 99;
         }
         assertEquals(Set.of(false), agreed, "fewer than the sample");
-        assertTrue(roll.allAgree("n0", 100));
+        assertTrue(roll.allDigestsMatch("n0", 100));
         assertFalse(
-                roll.allAgree("n0", 99 + MemberTable.AGREEMENT_SAMPLE_SECONDS + 0.1), "too old");
+                roll.allDigestsMatch("n0", 99 + MemberTable.AGREEMENT_SAMPLE_SECONDS + 0.1),
+                "too old");
         peers.get(40).digestReceivedAt = 99.5;
-        assertFalse(roll.allAgree("n0", 100), "one heard of late tells otherwise");
+        assertFalse(roll.allDigestsMatch("n0", 100), "one heard of late tells otherwise");
         for (int i = 25; i < 60; i++) {
             roll.merge(member(i, "z").with(MemberStatus.UNREACHABLE), 100);
         }
         peers.forEach(peer -> peer.digest = roll.digest());
-        assertTrue(roll.allAgree("n0", 1000), "all 24 others, however long ago");
+        assertTrue(roll.allDigestsMatch("n0", 1000), "all 24 others, however long ago");
         peers.get(3).digest = 5;
-        assertFalse(roll.allAgree("n0", 1000));
+        assertFalse(roll.allDigestsMatch("n0", 1000));
     }
 }
--- a/src/test/java/junipercourse/fleet/membership/PartitionVerdictTest.java
+++ b/src/test/java/junipercourse/fleet/membership/PartitionVerdictTest.java
@@ -172,7 +172,7 @@
                         "z0");
         GossipMessage told =
                 new GossipMessage("n1", 0, Kind.SYNC_RESPONSE, 1, "", 7, List.of(later), 0, 1);
-        again.view.messageReceived(again.local(), "10.0.0.2:7400", told);
+        again.view.handleMessage(again.local(), "10.0.0.2:7400", told);
         assertTrue(
                 again.view.snapshot().self().incarnation() > later.incarnation(), "raised at once");
     }
@@ -200,7 +200,7 @@
     void aStallOfOurOwnIsHeldAgainstNobody() {
         assertEquals(0, falseAfterStalls(InjectedFault.NONE));
         assertTrue(
-                falseAfterStalls(InjectedFault.STALL_BLAMED_ON_PEERS) > 0, "the judge saw nothing");
+                falseAfterStalls(InjectedFault.LOCAL_STALL_IGNORED) > 0, "the judge saw nothing");
     }
 
     private static int falseAfterStalls(InjectedFault fault) {
--- a/src/test/java/junipercourse/fleet/membership/SimulatedNetwork.java
+++ b/src/test/java/junipercourse/fleet/membership/SimulatedNetwork.java
@@ -150,7 +150,7 @@
                                             3); // a view must bear each, the first by seeing a late
                             // tick
                             if (order > 0) {
-                                view.stalled(local(), seconds * rate);
+                                view.handleStall(local(), seconds * rate);
                             }
                             if (order < 2) {
                                 view.tick(local());
@@ -181,10 +181,10 @@
             MembershipProtocol hearing = view;
             if (paused()) {
                 if (waiting.size() < BUFFER) {
-                    waiting.add(() -> hearing.messageReceived(local(), from, word));
+                    waiting.add(() -> hearing.handleMessage(local(), from, word));
                 }
             } else if (view != null) {
-                view.messageReceived(local(), from, word);
+                view.handleMessage(local(), from, word);
             }
         }
 
--- a/src/test/java/junipercourse/fleet/membership/SuspicionTest.java
+++ b/src/test/java/junipercourse/fleet/membership/SuspicionTest.java
@@ -69,7 +69,7 @@
         for (double until = now + seconds; now < until; now += 0.005) {
             while (!answers.isEmpty()) {
                 GossipMessage word = answers.poll();
-                view.messageReceived(now, word.records().get(0).address(), word);
+                view.handleMessage(now, word.records().get(0).address(), word);
             }
             if (now >= view.nextTickAt()) {
                 view.tick(now);
@@ -98,7 +98,7 @@
                             new Script());
             view.start(now);
             for (int i = 1; i <= OTHERS; i++) {
-                view.messageReceived(
+                view.handleMessage(
                         now,
                         member(i).address(),
                         new GossipMessage(
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -134,14 +134,14 @@
     }
 
     void stalled(double now, double seconds) {
-        view.stalled(now, seconds);
+        view.handleStall(now, seconds);
     }
 
     void receive() throws IOException {
         link.receive(
                 (from, word) -> {
                     if (view != null) {
-                        view.messageReceived(Network.now(), from, word);
+                        view.handleMessage(Network.now(), from, word);
                     }
                 });
     }
