--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -37,7 +37,7 @@
     private final StatusTables shows;
     private AcceptingChannel<StreamConnection> server;
     private boolean sharesSocket;
-    private boolean beside;
+    private boolean siblingRunning;
     private Runnable whenEmpty;
     private boolean ending;
     private final long mostInput;
@@ -90,7 +90,7 @@
      * both, and connections that rest here keep queries out there.
      */
     public void beside(boolean another) {
-        beside = another;
+        siblingRunning = another;
     }
 
     /** Whether a client whose session has ended has not been sent all that it was to get. */
@@ -142,7 +142,7 @@
                     now,
                     whenEmpty != null
                             ? CROSSING_S
-                            : beside ? IDLE_BESIDE_S : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
+                            : siblingRunning ? IDLE_BESIDE_S : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
         }
     }
 
