--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -142,7 +142,9 @@
                     now,
                     whenEmpty != null
                             ? CROSSING_S
-                            : siblingRunning ? IDLE_BESIDE_S : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
+                            : siblingRunning
+                                    ? IDLE_BESIDE_S
+                                    : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
         }
     }
 
