--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -89,17 +89,17 @@
      * Another process runs beside this one: clients hold at most a third of all descriptors with
      * both, and connections that rest here keep queries out there.
      */
-    public void beside(boolean another) {
+    public void setSiblingRunning(boolean another) {
         siblingRunning = another;
     }
 
     /** Whether a client whose session has ended has not been sent all that it was to get. */
-    public boolean unsent() {
+    public boolean hasUnsentBytes() {
         return places.unsent();
     }
 
     /** Whether all connections of clients are closed. */
-    public boolean empty() {
+    public boolean hasNoConnections() {
         return places.empty();
     }
 
@@ -115,7 +115,7 @@
      *
      * @param empty runs once no client is left, which takes as long as their queries do
      */
-    public void leaveToOthers(Runnable empty) {
+    public void stopAccepting(Runnable empty) {
         server.suspendAccepts();
         whenEmpty = empty;
     }
@@ -166,7 +166,7 @@
      * From now on queries are refused. The task runs once all that have connected are sessions of
      * ours.
      */
-    public void end(Runnable handedOver) {
+    public void beginShutdown(Runnable handedOver) {
         ending = true;
         if (sharesSocket) { // see InheritedSocket: that one is not closed
             handedOver.run();
@@ -179,7 +179,7 @@
      * Ends all sessions in order; a query that lies unread on one is refused before, after {@link
      * #end}.
      */
-    public void endSessions() {
+    public void closeSessions() {
         for (Session s : places.sessions()) {
             s.poll();
             s.fatal("57P03", SHUTTING_DOWN);
