--- a/src/main/java/junipercourse/pg/BackendMessageEncoder.java
+++ b/src/main/java/junipercourse/pg/BackendMessageEncoder.java
@@ -10,67 +10,67 @@
 final class BackendMessageEncoder {
     private static final int TEXT_OID = 25;
 
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream(256);
 
     byte[] bytes() {
-        return out.toByteArray();
+        return output.toByteArray();
     }
 
-    private BackendMessageEncoder message(char type, byte[] body) {
-        out.write(type);
-        out.writeBytes(ByteBuffer.allocate(4).putInt(body.length + 4).array());
-        out.writeBytes(body);
+    private BackendMessageEncoder appendMessage(char type, byte[] body) {
+        output.write(type);
+        output.writeBytes(ByteBuffer.allocate(4).putInt(body.length + 4).array());
+        output.writeBytes(body);
         return this;
     }
 
-    private static byte[] text(String s) {
-        return (s + "\0").getBytes(StandardCharsets.UTF_8);
+    private static byte[] cString(String value) {
+        return (value + "\0").getBytes(StandardCharsets.UTF_8);
     }
 
     BackendMessageEncoder authenticationOk() {
-        return message('R', new byte[4]);
+        return appendMessage('R', new byte[4]);
     }
 
-    BackendMessageEncoder parameter(String name, String value) {
-        return message('S', text(name + "\0" + value));
+    BackendMessageEncoder parameterStatus(String name, String value) {
+        return appendMessage('S', cString(name + "\0" + value));
     }
 
-    BackendMessageEncoder backendKey(int process, int secret) {
-        return message('K', ByteBuffer.allocate(8).putInt(process).putInt(secret).array());
+    BackendMessageEncoder backendKeyData(int processId, int secret) {
+        return appendMessage('K', ByteBuffer.allocate(8).putInt(processId).putInt(secret).array());
     }
 
     /** Says that only version 3.0 is spoken here, and which options are not known. */
-    BackendMessageEncoder negotiate(List<String> unknownOptions) {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        b.writeBytes(ByteBuffer.allocate(8).putInt(0).putInt(unknownOptions.size()).array());
-        unknownOptions.forEach(o -> b.writeBytes(text(o)));
-        return message('v', b.toByteArray());
+    BackendMessageEncoder negotiateProtocolVersion(List<String> unknownOptions) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        body.writeBytes(ByteBuffer.allocate(8).putInt(0).putInt(unknownOptions.size()).array());
+        unknownOptions.forEach(option -> body.writeBytes(cString(option)));
+        return appendMessage('v', body.toByteArray());
     }
 
-    BackendMessageEncoder ready() {
-        return message('Z', new byte[] {'I'});
+    BackendMessageEncoder readyForQuery() {
+        return appendMessage('Z', new byte[] {'I'});
     }
 
-    BackendMessageEncoder emptyQuery() {
-        return message('I', new byte[0]);
+    BackendMessageEncoder emptyQueryResponse() {
+        return appendMessage('I', new byte[0]);
     }
 
-    BackendMessageEncoder error(String severity, String code, String text) {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        b.writeBytes(text("S" + severity));
-        b.writeBytes(text("V" + severity));
-        b.writeBytes(text("C" + code));
-        b.writeBytes(text("M" + text));
-        b.write(0);
-        return message('E', b.toByteArray());
+    BackendMessageEncoder errorResponse(String severity, String code, String message) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        body.writeBytes(cString("S" + severity));
+        body.writeBytes(cString("V" + severity));
+        body.writeBytes(cString("C" + code));
+        body.writeBytes(cString("M" + message));
+        body.write(0);
+        return appendMessage('E', body.toByteArray());
     }
 
     /** A whole result of text columns: its description, its rows and its end. */
-    BackendMessageEncoder result(List<byte[]> pages, String... names) {
+    BackendMessageEncoder resultSet(List<byte[]> pages, String... columnNames) {
         ByteArrayOutputStream description = new ByteArrayOutputStream();
-        description.writeBytes(ByteBuffer.allocate(2).putShort((short) names.length).array());
-        for (String name : names) {
-            description.writeBytes(text(name));
+        description.writeBytes(ByteBuffer.allocate(2).putShort((short) columnNames.length).array());
+        for (String columnName : columnNames) {
+            description.writeBytes(cString(columnName));
             description.writeBytes(
                     ByteBuffer.allocate(18)
                             .putInt(0)
@@ -81,33 +81,34 @@
                             .putShort((short) 0)
                             .array());
         }
-        message('T', description.toByteArray());
-        int rows = 0;
+        appendMessage('T', description.toByteArray());
+        int rowCount = 0;
         for (byte[] page : pages) {
-            int from = 0;
+            int rowStart = 0;
             for (int i = 0; i < page.length; i++) {
                 if (page[i] == '\n') {
-                    row(page, from, i, names.length);
-                    from = i + 1;
-                    rows++;
+                    appendRow(page, rowStart, i, columnNames.length);
+                    rowStart = i + 1;
+                    rowCount++;
                 }
             }
         }
-        return message('C', text("SELECT " + rows));
+        return appendMessage('C', cString("SELECT " + rowCount));
     }
 
-    private void row(byte[] page, int from, int to, int columns) {
+    private void appendRow(byte[] page, int rowStart, int rowEnd, int columnCount) {
         ByteBuffer body =
-                ByteBuffer.allocate(2 + 4 * columns + to - from).putShort((short) columns);
-        int start = from;
-        for (int column = 1; column <= columns; column++) {
-            int end = start;
-            while (end < to && page[end] != '\t') {
-                end++;
+                ByteBuffer.allocate(2 + 4 * columnCount + rowEnd - rowStart)
+                        .putShort((short) columnCount);
+        int fieldStart = rowStart;
+        for (int column = 1; column <= columnCount; column++) {
+            int fieldEnd = fieldStart;
+            while (fieldEnd < rowEnd && page[fieldEnd] != '\t') {
+                fieldEnd++;
             }
-            body.putInt(end - start).put(page, start, end - start);
-            start = Math.min(end + 1, to); // columns that are missing are empty
+            body.putInt(fieldEnd - fieldStart).put(page, fieldStart, fieldEnd - fieldStart);
+            fieldStart = Math.min(fieldEnd + 1, rowEnd); // columns that are missing are empty
         }
-        message('D', Arrays.copyOf(body.array(), body.position()));
+        appendMessage('D', Arrays.copyOf(body.array(), body.position()));
     }
 }
--- a/src/main/java/junipercourse/pg/CommentScanner.java
+++ b/src/main/java/junipercourse/pg/CommentScanner.java
@@ -8,9 +8,9 @@
      * The place after the comment that opens here; comments nest. The end of the text if it stays
      * open.
      */
-    static int end(String sql, int open) {
+    static int endOfComment(String sql, int commentStart) {
         int depth = 0;
-        for (int i = open; i + 1 < sql.length(); i++) {
+        for (int i = commentStart; i + 1 < sql.length(); i++) {
             if (sql.startsWith("/*", i)) {
                 depth++;
                 i++;
--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -12,33 +12,35 @@
 
 /**
  * The places that clients' connections hold: of sessions, and of those that we have ended and whose
- * clients have not. A place is given back in {@link #closed} alone, when its descriptor is.
+ * clients have not. A place is given back in {@link #onConnectionClosing} alone, when its
+ * descriptor is.
  */
 final class ConnectionSlots {
-    private static final int LOBBY_MOST =
+    private static final int MAX_REJECTION_SLOTS =
             24; // places from which clients are only told that there is none
-    private static final int LOBBY_PART = 8; // of all places, where that is less
-    private static final double FRESH_S =
+    private static final int REJECTION_SLOT_DIVISOR = 8; // of all places, where that is less
+    private static final double FIRST_QUERY_GRACE_SECONDS =
             0.25; // a client that means to ask does so well within this
-    private static final double CROSSING_S =
+    private static final double IN_FLIGHT_GRACE_SECONDS =
             0.06; // a query that crosses a close within 50 ms comes again
 
     private final EventLoop loop;
     private final DescriptorBudget.Share share;
-    private final int most;
-    private final int lobby;
+    private final int maxConnections;
+    private final int rejectionSlots;
     private final SlotTable<Session> sessions = new SlotTable<>();
     private final ArrayDeque<LingeringClose> lingering = new ArrayDeque<>();
 
     ConnectionSlots(EventLoop loop, DescriptorBudget.Share share) {
         this.loop = loop;
         this.share = share;
-        this.most = share.maxOpen();
-        this.lobby = Math.max(1, Math.min(LOBBY_MOST, most / LOBBY_PART));
+        this.maxConnections = share.maxOpen();
+        this.rejectionSlots =
+                Math.max(1, Math.min(MAX_REJECTION_SLOTS, maxConnections / REJECTION_SLOT_DIVISOR));
     }
 
-    int most() {
-        return most;
+    int maxConnections() {
+        return maxConnections;
     }
 
     List<Session> sessions() {
@@ -46,21 +48,21 @@
     }
 
     /** How many sessions there are. */
-    int size() {
+    int sessionCount() {
         return sessions.size();
     }
 
-    Session find(int process) {
-        return sessions.findByLowerBits(process);
+    Session findByProcessId(int processId) {
+        return sessions.findByLowerBits(processId);
     }
 
     /** Whether all connections are closed. */
-    boolean empty() {
+    boolean hasNoConnections() {
         return share.openCount() == 0;
     }
 
     /** Whether a client whose connection we have ended has not been sent all that it was to get. */
-    boolean unsent() {
+    boolean hasUnsentBytes() {
         return lingering.stream().anyMatch(LingeringClose::hasUnsentBytes);
     }
 
@@ -68,19 +70,19 @@
      * Makes room for one that comes, if that can be; false if it is only to be told that there is
      * none.
      */
-    boolean room() {
-        while (sessions.size() >= most - lobby && makeRoom()) {
+    boolean ensureSlotAvailable() {
+        while (sessions.size() >= maxConnections - rejectionSlots && evictSession()) {
             continue; // each round closes one, or finds that it has asked
         }
-        return sessions.size() < most - lobby;
+        return sessions.size() < maxConnections - rejectionSlots;
     }
 
     /** Takes one that has been accepted. */
-    void take(Session session) {
+    void add(Session session) {
         session.slot = sessions.add(session);
         share.acquireUnconditionally();
-        giveWay();
-        full();
+        freeRejectionSlots();
+        updateBacklogged();
     }
 
     /**
@@ -88,8 +90,8 @@
      * all places taken, some might wait unaccepted, and when what they have sent has come could not
      * be told.
      */
-    private void giveWay() {
-        while (share.openCount() > most - lobby && !lingering.isEmpty()) {
+    private void freeRejectionSlots() {
+        while (share.openCount() > maxConnections - rejectionSlots && !lingering.isEmpty()) {
             lingering.peek().close();
         }
     }
@@ -98,8 +100,8 @@
      * While no more are accepted, others may have been there for long without being seen. The
      * acceptor counts a connection until its descriptor is closed.
      */
-    private void full() {
-        loop.setBacklogged(share.openCount() + share.closingCount() >= most);
+    private void updateBacklogged() {
+        loop.setBacklogged(share.openCount() + share.closingCount() >= maxConnections);
     }
 
     /**
@@ -108,33 +110,34 @@
      * False if there is none whose time is up: a client that waits for its answer is never closed
      * for one that comes.
      */
-    private boolean makeRoom() {
+    private boolean evictSession() {
         double now = loop.responsiveSeconds();
-        Session silent = longest(Session::silentSince);
-        Session idle = longest(Session::idleSince);
-        if (silent != null && silent.silentSince() < now - FRESH_S) {
-            silent.poll();
-            if (silent.silentSince() < now - FRESH_S) {
-                silent.fatal("57P05", "closed without a query, to make room");
+        Session unusedSession = findEarliest(Session::unusedSince);
+        Session idleSession = findEarliest(Session::idleSince);
+        if (unusedSession != null
+                && unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
+            unusedSession.readPending();
+            if (unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
+                unusedSession.closeWithError("57P05", "closed without a query, to make room");
             }
             return true;
         }
-        if (idle != null && idle.idleSince() < now - CROSSING_S) {
-            idle.poll();
-            if (idle.idleSince() < now - CROSSING_S) {
-                idle.fatal("57P05", "closed after being idle, to make room");
+        if (idleSession != null && idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
+            idleSession.readPending();
+            if (idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
+                idleSession.closeWithError("57P05", "closed after being idle, to make room");
             }
             return true;
         }
         return false;
     }
 
-    private Session longest(ToDoubleFunction<Session> since) {
-        return sessions.all().stream().min(Comparator.comparingDouble(since)).orElse(null);
+    private Session findEarliest(ToDoubleFunction<Session> startSeconds) {
+        return sessions.all().stream().min(Comparator.comparingDouble(startSeconds)).orElse(null);
     }
 
     /** The one place where a session's slot is given back. */
-    void left(Session session) {
+    void remove(Session session) {
         sessions.remove(session.slot);
     }
 
@@ -142,27 +145,27 @@
      * Ends a session's connection in order. As many as the lobby holds may be on their way out at
      * once.
      */
-    void linger(Connection link, byte[] goodbye) {
+    void closeLingering(Connection connection, byte[] finalMessage) {
         lingering.add(
-                link.closeLingering(
-                        goodbye,
-                        over -> {
-                            lingering.remove(over);
-                            closed();
+                connection.closeLingering(
+                        finalMessage,
+                        closed -> {
+                            lingering.remove(closed);
+                            onConnectionClosing();
                         }));
-        if (lingering.size() > lobby) {
+        if (lingering.size() > rejectionSlots) {
             lingering.peek().close();
         }
-        giveWay();
+        freeRejectionSlots();
     }
 
     /** A connection's close is queued: the one place where its descriptor is given back. */
-    void closed() {
+    void onConnectionClosing() {
         share.markClosing();
         loop.execute(
                 () -> { // the close has been queued before; the acceptor looks only after that
                     share.markClosed();
-                    full();
+                    updateBacklogged();
                 });
     }
 }
--- a/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
+++ b/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
@@ -5,13 +5,13 @@
 
 /** Cuts a client's bytes, in whatever pieces they come, into start-up packets and messages. */
 final class FrontendMessageDecoder {
-    static final int MAX_STARTUP = 10_000; // what a PostgreSQL server takes
-    static final int MAX_MESSAGE = 64 * 1024; // some hundred clients may send as much at once
-    private static final int LEAST = 512;
+    static final int MAX_STARTUP_BYTES = 10_000; // what a PostgreSQL server takes
+    static final int MAX_MESSAGE_BYTES = 64 * 1024; // some hundred clients may send as much at once
+    private static final int MIN_BUFFER_BYTES = 512;
 
-    private byte[] buffer = new byte[LEAST];
-    private int from;
-    private int to;
+    private byte[] buffer = new byte[MIN_BUFFER_BYTES];
+    private int readIndex;
+    private int writeIndex;
 
     /** Bytes that are no message. */
     static final class MalformedMessageException extends Exception {
@@ -25,57 +25,61 @@
     /** A message: its type, or 0 for a start-up packet, and what follows the length. */
     record Message(char type, byte[] body) {}
 
-    void add(ByteBuffer bytes) {
-        int held = to - from;
-        int n = bytes.remaining();
-        if (to + n > buffer.length) {
-            byte[] room =
-                    held + n > buffer.length ? new byte[Math.max(LEAST, (held + n) * 2)] : buffer;
-            System.arraycopy(buffer, from, room, 0, held);
-            buffer = room;
-            from = 0;
-            to = held;
+    void append(ByteBuffer bytes) {
+        int buffered = writeIndex - readIndex;
+        int addedBytes = bytes.remaining();
+        if (writeIndex + addedBytes > buffer.length) {
+            byte[] target =
+                    buffered + addedBytes > buffer.length
+                            ? new byte[Math.max(MIN_BUFFER_BYTES, (buffered + addedBytes) * 2)]
+                            : buffer;
+            System.arraycopy(buffer, readIndex, target, 0, buffered);
+            buffer = target;
+            readIndex = 0;
+            writeIndex = buffered;
         }
-        bytes.get(buffer, to, n);
-        to += n;
+        bytes.get(buffer, writeIndex, addedBytes);
+        writeIndex += addedBytes;
     }
 
     /** Bytes that no message has been cut from. */
-    int held() {
-        return to - from;
+    int bufferedBytes() {
+        return writeIndex - readIndex;
     }
 
     /** The next start-up packet, or null if more bytes are needed. */
-    Message startup() throws MalformedMessageException {
-        return cut(0, MAX_STARTUP, 8);
+    Message nextStartupPacket() throws MalformedMessageException {
+        return extract(0, MAX_STARTUP_BYTES, 8);
     }
 
     /** The next message, or null if more bytes are needed. */
-    Message message() throws MalformedMessageException {
-        return cut(1, MAX_MESSAGE, 4);
+    Message nextMessage() throws MalformedMessageException {
+        return extract(1, MAX_MESSAGE_BYTES, 4);
     }
 
-    private Message cut(int typeBytes, int most, int least) throws MalformedMessageException {
-        if (held() < typeBytes + 4) {
+    private Message extract(int typeBytes, int maxLength, int minLength)
+            throws MalformedMessageException {
+        if (bufferedBytes() < typeBytes + 4) {
             return null;
         }
-        long length = ByteBuffer.wrap(buffer).getInt(from + typeBytes) & 0xffffffffL;
-        if (length < least || length > most) {
+        long length = ByteBuffer.wrap(buffer).getInt(readIndex + typeBytes) & 0xffffffffL;
+        if (length < minLength || length > maxLength) {
             throw new MalformedMessageException("a message of " + length + " bytes");
         }
-        int whole = typeBytes + (int) length;
-        if (held() < whole) {
+        int totalLength = typeBytes + (int) length;
+        if (bufferedBytes() < totalLength) {
             return null;
         }
-        char type = typeBytes == 0 ? 0 : (char) (buffer[from] & 0xff);
-        byte[] body = Arrays.copyOfRange(buffer, from + typeBytes + 4, from + whole);
-        from += whole;
-        if (from == to) {
-            from = 0;
-            to = 0;
-            if (buffer.length > 16 * LEAST) {
-                buffer =
-                        new byte[LEAST]; // one large message is no reason to hold its room for good
+        char type = typeBytes == 0 ? 0 : (char) (buffer[readIndex] & 0xff);
+        byte[] body =
+                Arrays.copyOfRange(buffer, readIndex + typeBytes + 4, readIndex + totalLength);
+        readIndex += totalLength;
+        if (readIndex == writeIndex) {
+            readIndex = 0;
+            writeIndex = 0;
+            if (buffer.length > 16 * MIN_BUFFER_BYTES) {
+                buffer = new byte[MIN_BUFFER_BYTES]; // one large message is no reason to hold its
+                // room for good
             }
         }
         return new Message(type, body);
--- a/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
+++ b/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
@@ -4,7 +4,7 @@
 final class InvalidQueryFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidQueryFieldException(String field, String fault) {
-        super(field + ": " + fault);
+    InvalidQueryFieldException(String field, String problem) {
+        super(field + ": " + problem);
     }
 }
--- a/src/main/java/junipercourse/pg/PgProtocolHandler.java
+++ b/src/main/java/junipercourse/pg/PgProtocolHandler.java
@@ -12,132 +12,141 @@
 
 /**
  * What one client says, message by message, and what it is told. It has one query open at most,
- * which is given up in {@link #end} or {@link #cancelled} and nowhere else.
+ * which is given up in {@link #onSessionClosed} or {@link #cancelQuery} and nowhere else.
  */
 final class PgProtocolHandler implements ResponseHandler {
-    private static final Pattern SHOW =
+    private static final Pattern SHOW_STATEMENT =
             Pattern.compile("\\s*show\\s+([a-z_]+)\\s*;?\\s*", Pattern.CASE_INSENSITIVE);
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_MESSAGE = {};
 
-    private final PgServer front;
+    private final PgServer server;
     private final Session session;
     private boolean started;
-    private boolean waiting;
-    private long open;
+    private boolean hasOpenQuery;
+    private long queryHandle;
 
-    PgProtocolHandler(PgServer front, Session session) {
-        this.front = front;
+    PgProtocolHandler(PgServer server, Session session) {
+        this.server = server;
         this.session = session;
     }
 
     /** Whether a query is open. */
-    boolean waiting() {
-        return waiting;
+    boolean hasOpenQuery() {
+        return hasOpenQuery;
     }
 
     // ---- what comes in ----
 
     /** Takes one packet or message; false if more bytes are needed. */
-    boolean step(FrontendMessageDecoder in)
+    boolean handleNext(FrontendMessageDecoder decoder)
             throws FrontendMessageDecoder.MalformedMessageException {
         if (!started) {
-            FrontendMessageDecoder.Message m = in.startup();
-            if (m != null) {
-                startup(StartupPacket.read(m.body()));
+            FrontendMessageDecoder.Message message = decoder.nextStartupPacket();
+            if (message != null) {
+                handleStartupPacket(StartupPacket.parse(message.body()));
             }
-            return m != null;
+            return message != null;
         }
-        FrontendMessageDecoder.Message m = in.message();
-        if (m != null) {
-            message(m);
+        FrontendMessageDecoder.Message message = decoder.nextMessage();
+        if (message != null) {
+            handleMessage(message);
         }
-        return m != null;
+        return message != null;
     }
 
-    private void startup(StartupPacket packet) {
+    private void handleStartupPacket(StartupPacket packet) {
         switch (packet.kind()) {
             case ENCRYPTION -> session.write(new byte[] {'N'});
             case CANCEL -> {
-                if (packet.cancelled() != null) {
-                    front.cancel(packet.cancelled().process(), packet.cancelled().secret());
+                if (packet.cancelTarget() != null) {
+                    server.cancel(
+                            packet.cancelTarget().processId(), packet.cancelTarget().secret());
                 }
-                session.end(NOTHING);
+                session.closeLingering(NO_MESSAGE);
             }
-            case START -> start(packet);
+            case START -> startSession(packet);
         }
     }
 
-    private void start(StartupPacket packet) {
+    private void startSession(StartupPacket packet) {
         started = true;
-        if (session.inLobby()) { // what follows the start-up packet is answered by this, too
-            front.counters().increment(Count.CLIENTS_TURNED_AWAY);
-            session.fatal("53300", "too many clients" + front.comeBack());
+        if (session.isRejected()) { // what follows the start-up packet is answered by this, too
+            server.counters().increment(Count.CLIENTS_TURNED_AWAY);
+            session.closeWithError("53300", "too many clients" + server.holdoffSuffix());
             return;
         }
         session.write(
-                packet.greeting(new StartupPacket.Key((int) session.slot, session.secret)).bytes());
+                packet.greetingMessages(new StartupPacket.Key((int) session.slot, session.secret))
+                        .bytes());
     }
 
-    private void message(FrontendMessageDecoder.Message m) {
-        switch (m.type()) {
-            case 'Q' -> query(m.body());
-            case 'X' -> session.end(NOTHING);
+    private void handleMessage(FrontendMessageDecoder.Message message) {
+        switch (message.type()) {
+            case 'Q' -> handleQuery(message.body());
+            case 'X' -> session.closeLingering(NO_MESSAGE);
             case 'H', 'S' -> {
-                if (m.type() == 'S') {
-                    say(new BackendMessageEncoder());
+                if (message.type() == 'S') {
+                    sendReply(new BackendMessageEncoder());
                 }
             }
             default -> {
-                front.counters().increment(Count.CLIENTS_GARBLED);
-                session.fatal(
+                server.counters().increment(Count.CLIENTS_GARBLED);
+                session.closeWithError(
                         "0A000",
-                        "only simple queries are taken here, no message of type " + (int) m.type());
+                        "only simple queries are taken here, no message of type "
+                                + (int) message.type());
             }
         }
     }
 
-    private void query(byte[] body) {
-        session.asks();
+    private void handleQuery(byte[] body) {
+        session.onQueryReceived();
         if (body.length == 0 || body[body.length - 1] != 0) {
-            front.counters().increment(Count.CLIENTS_GARBLED);
-            session.fatal("08P01", "a query without its end");
+            server.counters().increment(Count.CLIENTS_GARBLED);
+            session.closeWithError("08P01", "a query without its end");
             return;
         }
         String text = new String(body, 0, body.length - 1, StandardCharsets.UTF_8);
         if (text.isBlank()) {
-            say(new BackendMessageEncoder().emptyQuery());
+            sendReply(new BackendMessageEncoder().emptyQueryResponse());
             return;
         }
-        Matcher show = SHOW.matcher(text);
-        StatusTables.Table table = show.matches() ? front.shows().table(show.group(1)) : null;
+        Matcher showMatcher = SHOW_STATEMENT.matcher(text);
+        StatusTables.Table table =
+                showMatcher.matches() ? server.statusTables().table(showMatcher.group(1)) : null;
         if (table != null) {
-            say(new BackendMessageEncoder().result(List.of(table.rows()), table.columns()));
+            sendReply(
+                    new BackendMessageEncoder().resultSet(List.of(table.rows()), table.columns()));
             return;
         }
-        if (front.ending()) { // what comes this late may not be finished; elsewhere it does no harm
-            say(error("57P03", PgServer.SHUTTING_DOWN));
+        if (server
+                .isShuttingDown()) { // what comes this late may not be finished; elsewhere it does
+            // no harm
+            sendReply(errorResponse("57P03", PgServer.SHUTTING_DOWN));
             return;
         }
         Query query;
         try {
-            query = front.reader().read(Arrays.copyOf(body, body.length - 1), session.arrival());
+            query =
+                    server.fieldParser()
+                            .parse(Arrays.copyOf(body, body.length - 1), session.arrival());
         } catch (InvalidQueryFieldException e) {
-            front.counters().increment(Count.QUERIES_MALFORMED);
-            say(error("22023", e.getMessage()));
+            server.counters().increment(Count.QUERIES_MALFORMED);
+            sendReply(errorResponse("22023", e.getMessage()));
             return;
         }
-        open = front.gateway().submit(query, this);
-        waiting = open != 0;
-        if (!waiting) {
-            say(error("55006", "req: a query of this id is open"));
+        queryHandle = server.gateway().submit(query, this);
+        hasOpenQuery = queryHandle != 0;
+        if (!hasOpenQuery) {
+            sendReply(errorResponse("55006", "req: a query of this id is open"));
         }
     }
 
     /** The client no longer wants its answer; it is told so, as a server would. */
-    void cancelled() {
-        if (waiting) {
-            front.gateway().abandon(open);
-            answer(error("57014", "canceling statement due to user request"));
+    void cancelQuery() {
+        if (hasOpenQuery) {
+            server.gateway().abandon(queryHandle);
+            completeQuery(errorResponse("57014", "canceling statement due to user request"));
         }
     }
 
@@ -145,44 +154,45 @@
 
     @Override
     public boolean isClientWaiting() {
-        session.poll();
-        return waiting;
+        session.readPending();
+        return hasOpenQuery;
     }
 
     @Override
     public void onServed(List<byte[]> pages) {
-        answer(new BackendMessageEncoder().result(pages, "c1", "c2", "c3"));
+        completeQuery(new BackendMessageEncoder().resultSet(pages, "c1", "c2", "c3"));
     }
 
     @Override
-    public void onRejected(double coolDown, String why) {
-        String wait = coolDown > 0 ? "; holdoff=" + Math.round(coolDown * 1000) : "";
-        answer(error("53300", why + wait));
+    public void onRejected(double retryAfterSeconds, String reason) {
+        String holdoffSuffix =
+                retryAfterSeconds > 0 ? "; holdoff=" + Math.round(retryAfterSeconds * 1000) : "";
+        completeQuery(errorResponse("53300", reason + holdoffSuffix));
     }
 
     @Override
-    public void onFailed(String why) {
-        answer(error("58000", why));
+    public void onFailed(String reason) {
+        completeQuery(errorResponse("58000", reason));
     }
 
-    private void answer(BackendMessageEncoder out) {
-        waiting = false;
-        session.answered(out.ready().bytes());
+    private void completeQuery(BackendMessageEncoder response) {
+        hasOpenQuery = false;
+        session.sendResponse(response.readyForQuery().bytes());
     }
 
-    private void say(BackendMessageEncoder out) {
-        session.write(out.ready().bytes());
+    private void sendReply(BackendMessageEncoder reply) {
+        session.write(reply.readyForQuery().bytes());
     }
 
-    private static BackendMessageEncoder error(String code, String why) {
-        return new BackendMessageEncoder().error("ERROR", code, why);
+    private static BackendMessageEncoder errorResponse(String code, String reason) {
+        return new BackendMessageEncoder().errorResponse("ERROR", code, reason);
     }
 
     /** The session has ended: nobody waits for an answer any more. */
-    void end() {
-        if (waiting) {
-            waiting = false;
-            front.gateway().abandon(open);
+    void onSessionClosed() {
+        if (hasOpenQuery) {
+            hasOpenQuery = false;
+            server.gateway().abandon(queryHandle);
         }
     }
 }
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -16,13 +16,15 @@
 
 /** The front for clients that speak the PostgreSQL wire protocol. */
 public final class PgServer {
-    private static final double LOOK_S = 0.1; // between looks for clients that have had their time
-    private static final double IDLE_MOST_S = 8.0; // clients close what is idle for half as long
-    private static final double IDLE_CROWDED_S =
+    private static final double SESSION_CHECK_INTERVAL_SECONDS =
+            0.1; // between looks for clients that have had their time
+    private static final double MAX_IDLE_SECONDS =
+            8.0; // clients close what is idle for half as long
+    private static final double MAX_IDLE_WHEN_CROWDED_SECONDS =
             0.5; // while clients have opened about all that they may
-    private static final double IDLE_BESIDE_S =
+    private static final double MAX_IDLE_WITH_SIBLING_SECONDS =
             0.25; // while another process shares what clients may open
-    private static final double CROSSING_S =
+    private static final double IN_FLIGHT_GRACE_SECONDS =
             0.06; // a query that crosses a close within 50 ms comes again
 
     static final String SHUTTING_DOWN = "the dispatcher is shutting down";
@@ -30,18 +32,18 @@
     private final EventLoop loop;
     private final Gateway gateway;
     private final Counters counters;
-    private final QueryFieldParser reader;
+    private final QueryFieldParser fieldParser;
     private final SplittableRandom random;
-    private final double maxRetryAfter;
-    private final ConnectionSlots places;
-    private final StatusTables shows;
-    private AcceptingChannel<StreamConnection> server;
+    private final double maxRetryAfterSeconds;
+    private final ConnectionSlots connectionSlots;
+    private final StatusTables statusTables;
+    private AcceptingChannel<StreamConnection> listener;
     private boolean sharesSocket;
     private boolean siblingRunning;
-    private Runnable whenEmpty;
-    private boolean ending;
-    private final long mostInput;
-    private long input;
+    private Runnable idleCallback;
+    private boolean isShuttingDown;
+    private final long maxBufferedBytes;
+    private long bufferedBytes;
 
     /**
      * @param share how many clients may be connected; the last few only to be told that there is no
@@ -55,52 +57,52 @@
             DecisionSettings settings,
             Gateway gateway,
             DescriptorBudget.Share share,
-            long mostInput,
+            long maxBufferedBytes,
             long seed,
             Counters counters,
-            StatusTables shows) {
+            StatusTables statusTables) {
         this.loop = loop;
         this.gateway = gateway;
         this.counters = counters;
-        this.reader = new QueryFieldParser(settings);
-        this.places = new ConnectionSlots(loop, share);
-        this.shows = shows;
-        this.maxRetryAfter =
+        this.fieldParser = new QueryFieldParser(settings);
+        this.connectionSlots = new ConnectionSlots(loop, share);
+        this.statusTables = statusTables;
+        this.maxRetryAfterSeconds =
                 settings.limits().retryAfterAllowed()
                         ? settings.limits().maxRetryAfterSeconds()
                         : 0;
-        this.mostInput = mostInput;
+        this.maxBufferedBytes = maxBufferedBytes;
         this.random = new SplittableRandom(seed);
     }
 
     public void listen(InetSocketAddress address) throws IOException {
-        server = loop.listen(address, places.most(), this::accepted);
-        loop.scheduleAfter(LOOK_S, this::lookAround);
+        listener = loop.listen(address, connectionSlots.maxConnections(), this::onAccepted);
+        loop.scheduleAfter(SESSION_CHECK_INTERVAL_SECONDS, this::checkSessions);
     }
 
     /** Listens on a socket that others accept from, too. */
-    public void listen(ServerSocketChannel shared) throws IOException {
-        server = loop.listen(shared, places.most(), this::accepted);
+    public void listen(ServerSocketChannel sharedSocket) throws IOException {
+        listener = loop.listen(sharedSocket, connectionSlots.maxConnections(), this::onAccepted);
         sharesSocket = true;
-        loop.scheduleAfter(LOOK_S, this::lookAround);
+        loop.scheduleAfter(SESSION_CHECK_INTERVAL_SECONDS, this::checkSessions);
     }
 
     /**
      * Another process runs beside this one: clients hold at most a third of all descriptors with
      * both, and connections that rest here keep queries out there.
      */
-    public void setSiblingRunning(boolean another) {
-        siblingRunning = another;
+    public void setSiblingRunning(boolean running) {
+        siblingRunning = running;
     }
 
     /** Whether a client whose session has ended has not been sent all that it was to get. */
     public boolean hasUnsentBytes() {
-        return places.unsent();
+        return connectionSlots.hasUnsentBytes();
     }
 
     /** Whether all connections of clients are closed. */
     public boolean hasNoConnections() {
-        return places.empty();
+        return connectionSlots.hasNoConnections();
     }
 
     /** Whether other processes accept from the same socket. */
@@ -115,63 +117,64 @@
      *
      * @param empty runs once no client is left, which takes as long as their queries do
      */
-    public void stopAccepting(Runnable empty) {
-        server.suspendAccepts();
-        whenEmpty = empty;
+    public void stopAccepting(Runnable onIdle) {
+        listener.suspendAccepts();
+        idleCallback = onIdle;
     }
 
     /**
      * One look at all sessions in place of a deadline for each, which would keep those that have
      * left.
      */
-    private void lookAround() {
-        if (whenEmpty != null && places.size() == 0) {
-            whenEmpty.run();
+    private void checkSessions() {
+        if (idleCallback != null && connectionSlots.sessionCount() == 0) {
+            idleCallback.run();
             return;
         }
         loop.scheduleAfter(
-                LOOK_S,
-                this::lookAround); // first of all, so that no fault in this look makes it the last
+                SESSION_CHECK_INTERVAL_SECONDS,
+                this::checkSessions); // first of all, so that no fault in this look makes it
+        // the last
         double now = loop.responsiveSeconds();
-        for (Session s : places.sessions()) {
+        for (Session session : connectionSlots.sessions()) {
             // Guards clients, which open no more than a third of the descriptors, against running
             // out of
             // connections because some hold theirs for good: what is idle gives way in time.
-            boolean crowded = places.size() > places.most() / 2;
-            s.expire(
+            boolean crowded = connectionSlots.sessionCount() > connectionSlots.maxConnections() / 2;
+            session.closeIfExpired(
                     now,
-                    whenEmpty != null
-                            ? CROSSING_S
+                    idleCallback != null
+                            ? IN_FLIGHT_GRACE_SECONDS
                             : siblingRunning
-                                    ? IDLE_BESIDE_S
-                                    : crowded ? IDLE_CROWDED_S : IDLE_MOST_S);
+                                    ? MAX_IDLE_WITH_SIBLING_SECONDS
+                                    : crowded ? MAX_IDLE_WHEN_CROWDED_SECONDS : MAX_IDLE_SECONDS);
         }
     }
 
     public InetSocketAddress address() {
-        return server.getLocalAddress(InetSocketAddress.class);
+        return listener.getLocalAddress(InetSocketAddress.class);
     }
 
-    private void accepted(StreamConnection connection) {
+    private void onAccepted(StreamConnection connection) {
         Session session = new Session(connection, this, random.nextInt());
-        if (places.room()) {
+        if (connectionSlots.ensureSlotAvailable()) {
             counters.increment(Count.CLIENTS_ACCEPTED);
         } else {
-            session.toLobby();
+            session.rejectAfterStartup();
         }
-        places.take(session);
+        connectionSlots.add(session);
     }
 
     /**
      * From now on queries are refused. The task runs once all that have connected are sessions of
      * ours.
      */
-    public void beginShutdown(Runnable handedOver) {
-        ending = true;
+    public void beginShutdown(Runnable onAllAccepted) {
+        isShuttingDown = true;
         if (sharesSocket) { // see InheritedSocket: that one is not closed
-            handedOver.run();
+            onAllAccepted.run();
         } else { // whoever the system has let in would be reset by the close
-            loop.drainAndClose(server, handedOver);
+            loop.drainAndClose(listener, onAllAccepted);
         }
     }
 
@@ -180,43 +183,46 @@
      * #end}.
      */
     public void closeSessions() {
-        for (Session s : places.sessions()) {
-            s.poll();
-            s.fatal("57P03", SHUTTING_DOWN);
+        for (Session session : connectionSlots.sessions()) {
+            session.readPending();
+            session.closeWithError("57P03", SHUTTING_DOWN);
         }
     }
 
-    boolean ending() {
-        return ending;
+    boolean isShuttingDown() {
+        return isShuttingDown;
     }
 
     /** What a refusal of this front's adds on when to come back. */
-    String comeBack() {
-        return maxRetryAfter > 0 ? "; holdoff=" + Math.round(maxRetryAfter * 1000) : "";
+    String holdoffSuffix() {
+        return maxRetryAfterSeconds > 0
+                ? "; holdoff=" + Math.round(maxRetryAfterSeconds * 1000)
+                : "";
     }
 
     /** A CancelRequest: the session's number and its secret must both be right. */
-    void cancel(int process, int secret) {
+    void cancel(int processId, int secret) {
         counters.increment(Count.CLIENTS_CANCELLED);
-        Session session = places.find(process);
+        Session session = connectionSlots.findByProcessId(processId);
         if (session != null && session.secret == secret) {
-            session.poll(); // after a pause of ours, the query that it is for may lie there unread
-            session.cancelled();
+            session.readPending(); // after a pause of ours, the query that it is for may lie there
+            // unread
+            session.cancelQuery();
         }
     }
 
     /** Counts what a session holds of its client's bytes; false if all hold too much by now. */
-    boolean holds(int more) {
-        input += more;
-        return input <= mostInput;
+    boolean addBufferedBytes(int delta) {
+        bufferedBytes += delta;
+        return bufferedBytes <= maxBufferedBytes;
     }
 
-    ConnectionSlots places() {
-        return places;
+    ConnectionSlots connectionSlots() {
+        return connectionSlots;
     }
 
-    StatusTables shows() {
-        return shows;
+    StatusTables statusTables() {
+        return statusTables;
     }
 
     EventLoop loop() {
@@ -231,7 +237,7 @@
         return counters;
     }
 
-    QueryFieldParser reader() {
-        return reader;
+    QueryFieldParser fieldParser() {
+        return fieldParser;
     }
 }
--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -17,62 +17,67 @@
     /**
      * The statement is passed on unchanged, whatever its encoding: all that is read here is ASCII.
      */
-    private static final Charset BYTE_FOR_BYTE = StandardCharsets.ISO_8859_1;
+    private static final Charset BYTE_PRESERVING = StandardCharsets.ISO_8859_1;
 
-    private static final double ROUNDING = 1.02; // clients round their times
-    private static final double MOST_WORK =
+    private static final double TIMEOUT_ROUNDING_FACTOR = 1.02; // clients round their times
+    private static final double MAX_WORK_DEADLINES =
             100; // deadlines of work in a query: beyond, it is no estimate
-    private static final double MOST_MEMORY = 16; // engines' memory, likewise
+    private static final double MAX_MEMORY_MULTIPLE = 16; // engines' memory, likewise
 
     private final List<QueryClass> classes;
-    private final Map<String, Integer> classAt = new HashMap<>();
-    private final Map<String, Integer> tenantAt = new HashMap<>();
-    private final double mostMemory;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> tenantIndexes = new HashMap<>();
+    private final double maxMemoryMb;
 
     QueryFieldParser(DecisionSettings settings) {
         classes = settings.queryClasses();
-        double largest =
+        double largestMemoryMb =
                 settings.engineKinds().stream().mapToDouble(EngineKind::memoryMb).max().orElse(0);
-        mostMemory = largest > 0 ? largest * MOST_MEMORY : Double.POSITIVE_INFINITY;
+        maxMemoryMb =
+                largestMemoryMb > 0
+                        ? largestMemoryMb * MAX_MEMORY_MULTIPLE
+                        : Double.POSITIVE_INFINITY;
         for (int i = 0; i < classes.size(); i++) {
-            classAt.put(classes.get(i).name(), i);
+            classIndexes.put(classes.get(i).name(), i);
         }
         for (int i = 0; i < settings.tenants().size(); i++) {
-            tenantAt.put(settings.tenants().get(i).name(), i);
+            tenantIndexes.put(settings.tenants().get(i).name(), i);
         }
     }
 
     /** Reads a query; {@code arrived} is when its last byte came. */
-    Query read(byte[] sql, ArrivalInterval arrived) throws InvalidQueryFieldException {
-        String text = new String(sql, BYTE_FOR_BYTE);
-        int open = 0;
-        while (open < text.length() && Character.isWhitespace(text.charAt(open))) {
-            open++;
+    Query parse(byte[] sql, ArrivalInterval arrival) throws InvalidQueryFieldException {
+        String text = new String(sql, BYTE_PRESERVING);
+        int commentStart = 0;
+        while (commentStart < text.length() && Character.isWhitespace(text.charAt(commentStart))) {
+            commentStart++;
         }
-        if (!text.startsWith("/*", open)) {
+        if (!text.startsWith("/*", commentStart)) {
             throw new InvalidQueryFieldException(
                     "kind", "missing; no comment with fields stands before the statement");
         }
-        int end = CommentScanner.end(text, open);
-        if (!text.startsWith("*/", end - 2) || end - 4 < open) {
+        int commentEnd = CommentScanner.endOfComment(text, commentStart);
+        if (!text.startsWith("*/", commentEnd - 2) || commentEnd - 4 < commentStart) {
             throw new InvalidQueryFieldException(
                     "kind", "missing; the comment with the fields stays open");
         }
-        Map<String, String> fields = fields(text.substring(open + 2, end - 2));
-        int from = end;
-        while (from < text.length() && Character.isWhitespace(text.charAt(from))) {
-            from++;
+        Map<String, String> fields = parseFields(text.substring(commentStart + 2, commentEnd - 2));
+        int statementStart = commentEnd;
+        while (statementStart < text.length()
+                && Character.isWhitespace(text.charAt(statementStart))) {
+            statementStart++;
         }
-        return query(fields, text.substring(from), arrived);
+        return buildQuery(fields, text.substring(statementStart), arrival);
     }
 
-    private static Map<String, String> fields(String comment) throws InvalidQueryFieldException {
+    private static Map<String, String> parseFields(String comment)
+            throws InvalidQueryFieldException {
         Map<String, String> fields = new HashMap<>();
-        for (String part : comment.split(",")) {
-            int eq = part.indexOf('=');
-            if (eq >= 0) {
-                String name = part.substring(0, eq).trim();
-                if (fields.put(name, part.substring(eq + 1).trim()) != null) {
+        for (String assignment : comment.split(",")) {
+            int equalsIndex = assignment.indexOf('=');
+            if (equalsIndex >= 0) {
+                String name = assignment.substring(0, equalsIndex).trim();
+                if (fields.put(name, assignment.substring(equalsIndex + 1).trim()) != null) {
                     throw new InvalidQueryFieldException(name, "given twice");
                 }
             }
@@ -80,78 +85,88 @@
         return fields;
     }
 
-    private Query query(Map<String, String> fields, String statement, ArrivalInterval arrived)
+    private Query buildQuery(Map<String, String> fields, String statement, ArrivalInterval arrival)
             throws InvalidQueryFieldException {
-        String kind = need(fields, "kind");
-        Integer at = classAt.get(kind);
-        if (at == null) {
-            throw new InvalidQueryFieldException("kind", "unknown class " + quoted(kind));
-        }
-        QueryClass c = classes.get(at);
-        String id = need(fields, "req");
-        hex("req", id, 16);
-        double timeout = number("timeout", need(fields, "timeout"));
+        String className = requireField(fields, "kind");
+        Integer classIndex = classIndexes.get(className);
+        if (classIndex == null) {
+            throw new InvalidQueryFieldException("kind", "unknown class " + quote(className));
+        }
+        QueryClass queryClass = classes.get(classIndex);
+        String id = requireField(fields, "req");
+        parseHex("req", id, 16);
+        double timeoutMillis = parseNumber("timeout", requireField(fields, "timeout"));
         // Figures that cannot be meant are told rather than taken: they would mislead the module's
         // means.
-        inRange("timeout", timeout, 1, c.deadlineSeconds() * 1000 * ROUNDING, fields);
-        String dedupe =
-                c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        ? need(fields, "opkey")
+        requireInRange(
+                "timeout",
+                timeoutMillis,
+                1,
+                queryClass.deadlineSeconds() * 1000 * TIMEOUT_ROUNDING_FACTOR,
+                fields);
+        String idempotencyKey =
+                queryClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        ? requireField(fields, "opkey")
                         : fields.get("opkey");
-        if (dedupe != null && !dedupe.matches("[0-9A-Za-z_.-]{1,128}")) {
-            throw new InvalidQueryFieldException("opkey", "not a key: " + quoted(dedupe));
+        if (idempotencyKey != null && !idempotencyKey.matches("[0-9A-Za-z_.-]{1,128}")) {
+            throw new InvalidQueryFieldException("opkey", "not a key: " + quote(idempotencyKey));
         }
-        String subject = fields.get("subject");
-        String ms = fields.get("ms");
-        String ram = fields.get("ram");
+        String orderKeyText = fields.get("subject");
+        String workText = fields.get("ms");
+        String memoryText = fields.get("ram");
         String resent = fields.getOrDefault("resent", "0");
         if (!resent.equals("0") && !resent.equals("1")) {
-            throw new InvalidQueryFieldException("resent", "neither 0 nor 1: " + quoted(resent));
-        }
-        double work = ms == null ? Double.NaN : number("ms", ms);
-        double memory = ram == null ? 0 : number("ram", ram);
-        inRange("ms", work, 0, c.deadlineSeconds() * 1000 * MOST_WORK, fields);
-        inRange("ram", memory, 0, mostMemory, fields);
+            throw new InvalidQueryFieldException("resent", "neither 0 nor 1: " + quote(resent));
+        }
+        double workMillis = workText == null ? Double.NaN : parseNumber("ms", workText);
+        double memoryMb = memoryText == null ? 0 : parseNumber("ram", memoryText);
+        requireInRange(
+                "ms",
+                workMillis,
+                0,
+                queryClass.deadlineSeconds() * 1000 * MAX_WORK_DEADLINES,
+                fields);
+        requireInRange("ram", memoryMb, 0, maxMemoryMb, fields);
         if (statement.isBlank()) {
             throw new InvalidQueryFieldException("statement", "missing");
         }
         return new Query(
                 id,
-                kind,
-                at,
-                tenant(fields),
-                arrived.clientWaitStart() + timeout / 1000,
-                dedupe,
-                subject == null ? 0 : hex("subject", subject, 16),
-                TableGroupExtractor.of(statement),
-                work / 1000,
-                memory,
+                className,
+                classIndex,
+                tenantIndex(fields),
+                arrival.clientWaitStart() + timeoutMillis / 1000,
+                idempotencyKey,
+                orderKeyText == null ? 0 : parseHex("subject", orderKeyText, 16),
+                TableGroupExtractor.extractGroup(statement),
+                workMillis / 1000,
+                memoryMb,
                 resent.equals("1"),
-                statement.getBytes(BYTE_FOR_BYTE),
-                arrived);
+                statement.getBytes(BYTE_PRESERVING),
+                arrival);
     }
 
-    private static void inRange(
-            String name, double value, double least, double most, Map<String, String> fields)
+    private static void requireInRange(
+            String name, double value, double min, double max, Map<String, String> fields)
             throws InvalidQueryFieldException {
-        if (value < least || value > most) {
-            throw new InvalidQueryFieldException(name, "out of range: " + quoted(fields.get(name)));
+        if (value < min || value > max) {
+            throw new InvalidQueryFieldException(name, "out of range: " + quote(fields.get(name)));
         }
     }
 
-    private int tenant(Map<String, String> fields) throws InvalidQueryFieldException {
-        if (tenantAt.isEmpty()) {
+    private int tenantIndex(Map<String, String> fields) throws InvalidQueryFieldException {
+        if (tenantIndexes.isEmpty()) {
             return -1;
         }
-        String owner = need(fields, "owner");
-        Integer at = tenantAt.get(owner);
-        if (at == null) {
-            throw new InvalidQueryFieldException("owner", "unknown tenant " + quoted(owner));
+        String tenantName = requireField(fields, "owner");
+        Integer index = tenantIndexes.get(tenantName);
+        if (index == null) {
+            throw new InvalidQueryFieldException("owner", "unknown tenant " + quote(tenantName));
         }
-        return at;
+        return index;
     }
 
-    private static String need(Map<String, String> fields, String name)
+    private static String requireField(Map<String, String> fields, String name)
             throws InvalidQueryFieldException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
@@ -160,24 +175,24 @@
         return value;
     }
 
-    private static long hex(String name, String text, int digits)
+    private static long parseHex(String name, String text, int digits)
             throws InvalidQueryFieldException {
         if (text.length() != digits || !text.matches("[0-9a-fA-F]+")) {
             throw new InvalidQueryFieldException(
-                    name, "not " + digits + " hexadecimal digits: " + quoted(text));
+                    name, "not " + digits + " hexadecimal digits: " + quote(text));
         }
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static double number(String name, String text) throws InvalidQueryFieldException {
+    private static double parseNumber(String name, String text) throws InvalidQueryFieldException {
         if (!text.matches("[0-9]{1,15}(\\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?")) {
-            throw new InvalidQueryFieldException(name, "not a number: " + quoted(text));
+            throw new InvalidQueryFieldException(name, "not a number: " + quote(text));
         }
         return Double.parseDouble(text);
     }
 
     /** Short enough for a message, whatever the client sent. */
-    private static String quoted(String text) {
+    private static String quote(String text) {
         return "'" + (text.length() > 40 ? text.substring(0, 40) + "…" : text) + "'";
     }
 }
--- a/src/main/java/junipercourse/pg/StartupPacket.java
+++ b/src/main/java/junipercourse/pg/StartupPacket.java
@@ -13,11 +13,11 @@
  * @param unknown options of the protocol that are not known here
  * @param cancelled whose query is to be cancelled; null if the packet does not say it as it should
  */
-record StartupPacket(Kind kind, int minor, List<String> unknown, Key cancelled) {
+record StartupPacket(Kind kind, int minorVersion, List<String> unknownOptions, Key cancelTarget) {
     private static final int PROTOCOL_MAJOR = 3;
-    private static final int CANCEL = 80877102;
-    private static final int SSL = 80877103;
-    private static final int GSS = 80877104;
+    private static final int CANCEL_REQUEST_CODE = 80877102;
+    private static final int SSL_REQUEST_CODE = 80877103;
+    private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
 
     /** To go on encrypted, to cancel another session's query, or to start this session. */
     enum Kind {
@@ -27,19 +27,20 @@
     }
 
     /** A session's number and its secret. */
-    record Key(int process, int secret) {}
+    record Key(int processId, int secret) {}
 
     /** Reads what follows the packet's length, four bytes or more. */
-    static StartupPacket read(byte[] body) throws FrontendMessageDecoder.MalformedMessageException {
+    static StartupPacket parse(byte[] body)
+            throws FrontendMessageDecoder.MalformedMessageException {
         ByteBuffer packet = ByteBuffer.wrap(body);
         int code = packet.getInt();
-        if (code == SSL || code == GSS) {
+        if (code == SSL_REQUEST_CODE || code == GSS_ENCRYPTION_REQUEST_CODE) {
             return new StartupPacket(Kind.ENCRYPTION, 0, List.of(), null);
-        } else if (code == CANCEL) {
+        } else if (code == CANCEL_REQUEST_CODE) {
             Key key = packet.remaining() == 8 ? new Key(packet.getInt(), packet.getInt()) : null;
             return new StartupPacket(Kind.CANCEL, 0, List.of(), key);
         } else if (code >>> 16 == PROTOCOL_MAJOR) {
-            return start(code & 0xffff, packet);
+            return parseStart(code & 0xffff, packet);
         }
         throw new FrontendMessageDecoder.MalformedMessageException(
                 "protocol version "
@@ -49,44 +50,44 @@
                         + " is not spoken here");
     }
 
-    private static StartupPacket start(int minor, ByteBuffer packet)
+    private static StartupPacket parseStart(int minorVersion, ByteBuffer packet)
             throws FrontendMessageDecoder.MalformedMessageException {
-        String[] words =
+        String[] parameters =
                 new String(
                                 packet.array(),
                                 packet.position(),
                                 packet.remaining(),
                                 StandardCharsets.UTF_8)
                         .split("\0", -1);
-        boolean user = false;
-        List<String> unknown = new ArrayList<>();
-        for (int i = 0; i + 1 < words.length && !words[i].isEmpty(); i += 2) {
-            user |= words[i].equals("user") && !words[i + 1].isEmpty();
-            if (words[i].startsWith("_pq_.")) {
-                unknown.add(words[i]);
+        boolean hasUser = false;
+        List<String> unknownOptions = new ArrayList<>();
+        for (int i = 0; i + 1 < parameters.length && !parameters[i].isEmpty(); i += 2) {
+            hasUser |= parameters[i].equals("user") && !parameters[i + 1].isEmpty();
+            if (parameters[i].startsWith("_pq_.")) {
+                unknownOptions.add(parameters[i]);
             }
         }
-        if (!user) {
+        if (!hasUser) {
             throw new FrontendMessageDecoder.MalformedMessageException(
                     "the start-up packet names no user");
         }
-        return new StartupPacket(Kind.START, minor, unknown, null);
+        return new StartupPacket(Kind.START, minorVersion, unknownOptions, null);
     }
 
     /** What a session that starts is told, with the key that its query can be cancelled by. */
-    BackendMessageEncoder greeting(Key key) {
-        BackendMessageEncoder out = new BackendMessageEncoder();
-        if (minor > 0 || !unknown.isEmpty()) {
-            out.negotiate(unknown);
+    BackendMessageEncoder greetingMessages(Key key) {
+        BackendMessageEncoder encoder = new BackendMessageEncoder();
+        if (minorVersion > 0 || !unknownOptions.isEmpty()) {
+            encoder.negotiateProtocolVersion(unknownOptions);
         }
-        return out.authenticationOk()
-                .parameter("server_version", "15.0")
-                .parameter("server_encoding", "UTF8")
-                .parameter("client_encoding", "UTF8")
-                .parameter("DateStyle", "ISO, MDY")
-                .parameter("integer_datetimes", "on")
-                .parameter("standard_conforming_strings", "on")
-                .backendKey(key.process(), key.secret())
-                .ready();
+        return encoder.authenticationOk()
+                .parameterStatus("server_version", "15.0")
+                .parameterStatus("server_encoding", "UTF8")
+                .parameterStatus("client_encoding", "UTF8")
+                .parameterStatus("DateStyle", "ISO, MDY")
+                .parameterStatus("integer_datetimes", "on")
+                .parameterStatus("standard_conforming_strings", "on")
+                .backendKeyData(key.processId(), key.secret())
+                .readyForQuery();
     }
 }
--- a/src/main/java/junipercourse/pg/TableGroupExtractor.java
+++ b/src/main/java/junipercourse/pg/TableGroupExtractor.java
@@ -11,151 +11,154 @@
  * {@code staging} do not count, nor do columns written with the name of their table.
  */
 final class TableGroupExtractor {
-    private static final Set<String> BEFORE_TABLE =
+    private static final Set<String> TABLE_KEYWORDS =
             Set.of("from", "join", "into", "update", "table", "using", "only", "copy", "truncate");
 
     private final String sql;
     private final List<String> tokens = new ArrayList<>();
-    private int at;
+    private int position;
 
     private TableGroupExtractor(String sql) {
         this.sql = sql;
     }
 
     /** The group, or 0 if the statement names none. */
-    static float of(String sql) {
-        TableGroupExtractor scan = new TableGroupExtractor(sql);
-        scan.tokens();
-        Float named = scan.search(true);
-        Float any = named == null ? scan.search(false) : named;
-        return any == null ? 0 : any;
+    static float extractGroup(String sql) {
+        TableGroupExtractor extractor = new TableGroupExtractor(sql);
+        extractor.tokenize();
+        Float groupAfterKeyword = extractor.findGroup(true);
+        Float group = groupAfterKeyword == null ? extractor.findGroup(false) : groupAfterKeyword;
+        return group == null ? 0 : group;
     }
 
-    private Float search(boolean afterKeyword) {
-        boolean listed = false; // a comma goes on with a list of tables
+    private Float findGroup(boolean afterKeyword) {
+        boolean inTableList = false; // a comma goes on with a list of tables
         for (int i = 0; i + 2 < tokens.size(); i++) {
             boolean qualified =
-                    name(i)
+                    isIdentifier(i)
                             && tokens.get(i + 1).equals(".")
-                            && name(i + 2)
+                            && isIdentifier(i + 2)
                             && (i == 0 || !tokens.get(i - 1).equals("."));
-            String before = i == 0 ? "" : tokens.get(i - 1);
-            boolean table =
-                    BEFORE_TABLE.contains(before.toLowerCase(Locale.ROOT))
-                            || before.equals(",") && listed;
-            if (qualified && (table || !afterKeyword)) {
+            String previousToken = i == 0 ? "" : tokens.get(i - 1);
+            boolean isTablePosition =
+                    TABLE_KEYWORDS.contains(previousToken.toLowerCase(Locale.ROOT))
+                            || previousToken.equals(",") && inTableList;
+            if (qualified && (isTablePosition || !afterKeyword)) {
                 // of three parts the first names the database
-                boolean three =
-                        i + 4 < tokens.size() && tokens.get(i + 3).equals(".") && name(i + 4);
-                Float group = number(unquoted(tokens.get(three ? i + 2 : i)));
+                boolean hasDatabaseName =
+                        i + 4 < tokens.size()
+                                && tokens.get(i + 3).equals(".")
+                                && isIdentifier(i + 4);
+                Float group = groupNumber(unquote(tokens.get(hasDatabaseName ? i + 2 : i)));
                 if (group != null) {
                     return group;
                 }
             }
-            String word = tokens.get(i).toLowerCase(Locale.ROOT);
-            if (BEFORE_TABLE.contains(word)) {
-                listed = true;
+            String token = tokens.get(i).toLowerCase(Locale.ROOT);
+            if (TABLE_KEYWORDS.contains(token)) {
+                inTableList = true;
             } else if (Set.of("where", "select", "group", "order", "set", "on", "(")
-                    .contains(word)) {
-                listed = false;
+                    .contains(token)) {
+                inTableList = false;
             }
         }
         return null;
     }
 
-    private static Float number(String schema) {
+    private static Float groupNumber(String schema) {
         int underscore = schema.lastIndexOf('_');
         String digits = schema.substring(underscore + 1);
-        boolean plain =
+        boolean isNumber =
                 underscore >= 0
                         && !digits.isEmpty()
                         && digits.length() <= 9
                         && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        return plain ? (Float) (float) Integer.parseInt(digits) : null;
+        return isNumber ? (Float) (float) Integer.parseInt(digits) : null;
     }
 
-    private boolean name(int i) {
+    private boolean isIdentifier(int i) {
         char c = tokens.get(i).charAt(0);
         return Character.isLetter(c) || c == '_' || c == '"';
     }
 
-    private static String unquoted(String token) {
+    private static String unquote(String token) {
         return token.startsWith("\"") ? token.substring(1, token.length() - 1) : token;
     }
 
-    private void tokens() {
-        while (at < sql.length()) {
-            char c = sql.charAt(at);
+    private void tokenize() {
+        while (position < sql.length()) {
+            char c = sql.charAt(position);
             if (Character.isWhitespace(c)) {
-                at++;
-            } else if (sql.startsWith("--", at)) {
-                int end = sql.indexOf('\n', at);
-                at = end < 0 ? sql.length() : end + 1;
-            } else if (sql.startsWith("/*", at)) {
-                at = CommentScanner.end(sql, at);
+                position++;
+            } else if (sql.startsWith("--", position)) {
+                int end = sql.indexOf('\n', position);
+                position = end < 0 ? sql.length() : end + 1;
+            } else if (sql.startsWith("/*", position)) {
+                position = CommentScanner.endOfComment(sql, position);
             } else if (c == '\'') {
                 boolean escapes =
-                        at > 0
-                                && Character.toLowerCase(sql.charAt(at - 1)) == 'e'
-                                && (at == 1 || !wordPart(sql.charAt(at - 2)));
-                string(escapes);
+                        position > 0
+                                && Character.toLowerCase(sql.charAt(position - 1)) == 'e'
+                                && (position == 1 || !isWordPart(sql.charAt(position - 2)));
+                skipString(escapes);
             } else if (c == '"') {
-                int from = at;
-                quoted('"', false);
-                tokens.add(sql.substring(from, at));
-            } else if (c == '$' && dollarQuoted()) {
+                int tokenStart = position;
+                skipQuoted('"', false);
+                tokens.add(sql.substring(tokenStart, position));
+            } else if (c == '$' && skipDollarQuoted()) {
                 tokens.add("'");
-            } else if (wordPart(c)) {
-                int from = at;
-                while (at < sql.length() && wordPart(sql.charAt(at))) {
-                    at++;
+            } else if (isWordPart(c)) {
+                int tokenStart = position;
+                while (position < sql.length() && isWordPart(sql.charAt(position))) {
+                    position++;
                 }
-                tokens.add(sql.substring(from, at));
+                tokens.add(sql.substring(tokenStart, position));
             } else {
                 tokens.add(String.valueOf(c));
-                at++;
+                position++;
             }
         }
     }
 
-    private void string(boolean escapes) {
-        quoted('\'', escapes);
+    private void skipString(boolean escapes) {
+        skipQuoted('\'', escapes);
         tokens.add("'");
     }
 
-    private void quoted(char quote, boolean escapes) {
-        at++;
-        while (at < sql.length()) {
-            char c = sql.charAt(at++);
+    private void skipQuoted(char quote, boolean escapes) {
+        position++;
+        while (position < sql.length()) {
+            char c = sql.charAt(position++);
             if (escapes && c == '\\') {
-                at++;
+                position++;
             } else if (c == quote) {
-                if (at >= sql.length() || sql.charAt(at) != quote) {
+                if (position >= sql.length() || sql.charAt(position) != quote) {
                     return;
                 }
-                at++; // doubled: part of the text
+                position++; // doubled: part of the text
             }
         }
-        at = sql.length();
+        position = sql.length();
     }
 
     /** Passes a text quoted as {@code $tag$…$tag$}; false if a dollar sign begins none. */
-    private boolean dollarQuoted() {
-        int i = at + 1;
-        while (i < sql.length() && wordPart(sql.charAt(i)) && sql.charAt(i) != '$') {
+    private boolean skipDollarQuoted() {
+        int i = position + 1;
+        while (i < sql.length() && isWordPart(sql.charAt(i)) && sql.charAt(i) != '$') {
             i++;
         }
-        boolean parameter = Character.isDigit(sql.charAt(Math.min(at + 1, sql.length() - 1)));
-        if (i >= sql.length() || sql.charAt(i) != '$' || parameter) {
+        boolean isParameter =
+                Character.isDigit(sql.charAt(Math.min(position + 1, sql.length() - 1)));
+        if (i >= sql.length() || sql.charAt(i) != '$' || isParameter) {
             return false;
         }
-        String tag = sql.substring(at, i + 1);
+        String tag = sql.substring(position, i + 1);
         int end = sql.indexOf(tag, i + 1);
-        at = end < 0 ? sql.length() : end + tag.length();
+        position = end < 0 ? sql.length() : end + tag.length();
         return true;
     }
 
-    private static boolean wordPart(char c) {
+    private static boolean isWordPart(char c) {
         return Character.isLetterOrDigit(c) || c == '_' || c == '$';
     }
 }
--- a/src/main/java/junipercourse/product/FleetConfigReader.java
+++ b/src/main/java/junipercourse/product/FleetConfigReader.java
@@ -18,16 +18,16 @@
  * here.
  */
 final class FleetConfigReader extends DefaultHandler {
-    private static final RateLimits DEFAULT =
+    private static final RateLimits DEFAULT_RATE_LIMITS =
             new RateLimits(64 * 1024, 256 * 1024, 2000, 10_000, 512);
 
-    private final SchemaErrorCollector faults;
-    private final Map<String, Map<String, String>> given = new HashMap<>();
+    private final SchemaErrorCollector errors;
+    private final Map<String, Map<String, String>> attributesByElement = new HashMap<>();
     private final List<String> seeds = new ArrayList<>();
     private FleetConfig fleet;
 
-    FleetConfigReader(SchemaErrorCollector faults) {
-        this.faults = faults;
+    FleetConfigReader(SchemaErrorCollector errors) {
+        this.errors = errors;
     }
 
     /** The part, or null if the file has none. */
@@ -37,115 +37,133 @@
 
     @Override
     public void startElement(String uri, String local, String name, Attributes attributes) {
-        Map<String, String> all = new HashMap<>();
+        Map<String, String> attributeValues = new HashMap<>();
         for (int i = 0; i < attributes.getLength(); i++) {
-            all.put(attributes.getLocalName(i), attributes.getValue(i));
+            attributeValues.put(attributes.getLocalName(i), attributes.getValue(i));
         }
-        given.put(local, all);
-        if (local.equals("seed") && all.containsKey("address")) {
+        attributesByElement.put(local, attributeValues);
+        if (local.equals("seed") && attributeValues.containsKey("address")) {
             try {
-                address(all.get("address"));
-                seeds.add(all.get("address"));
+                parseAddress(attributeValues.get("address"));
+                seeds.add(attributeValues.get("address"));
             } catch (IllegalArgumentException e) {
-                faults.add("address: " + e.getMessage());
+                errors.add("address: " + e.getMessage());
             }
         }
     }
 
     @Override
     public void endElement(String uri, String local, String name) {
-        if (local.equals("fleet") && faults.faults().isEmpty()) {
+        if (local.equals("fleet") && errors.errors().isEmpty()) {
             try {
-                fleet = part(given.get("fleet"));
+                fleet = buildFleetConfig(attributesByElement.get("fleet"));
             } catch (IllegalArgumentException e) {
-                faults.add(e.getMessage());
+                errors.add(e.getMessage());
             }
         }
     }
 
-    private FleetConfig part(Map<String, String> all) {
-        InetSocketAddress listen = address(all.get("listen"));
-        String advertise = all.get("advertise");
+    private FleetConfig buildFleetConfig(Map<String, String> fleetAttributes) {
+        InetSocketAddress listen = parseAddress(fleetAttributes.get("listen"));
+        String advertise = fleetAttributes.get("advertise");
         if (advertise == null
                 && (listen.getPort() == 0 || listen.getAddress().isAnyLocalAddress())) {
             throw new IllegalArgumentException(
-                    "advertise: missing; others cannot send to " + all.get("listen"));
+                    "advertise: missing; others cannot send to " + fleetAttributes.get("listen"));
         }
         if (advertise != null) {
-            address(advertise);
+            parseAddress(advertise);
         }
         return new FleetConfig(
-                all.get("name"),
+                fleetAttributes.get("name"),
                 listen,
-                advertise == null ? all.get("listen") : advertise,
-                all.getOrDefault("zone", ""),
+                advertise == null ? fleetAttributes.get("listen") : advertise,
+                fleetAttributes.getOrDefault("zone", ""),
                 List.copyOf(seeds),
-                bounds(),
-                view(all.get("name")));
+                rateLimits(),
+                membershipSettings(fleetAttributes.get("name")));
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return Config.parseAddress(text, text);
     }
 
-    private RateLimits bounds() {
+    private RateLimits rateLimits() {
         return new RateLimits(
                 value(
                         "bounds",
                         "peer-rate",
                         UnitParser::bytesPerSecond,
-                        DEFAULT.peerBytesPerSecond()),
-                value("bounds", "rate", UnitParser::bytesPerSecond, DEFAULT.totalBytesPerSecond()),
+                        DEFAULT_RATE_LIMITS.peerBytesPerSecond()),
+                value(
+                        "bounds",
+                        "rate",
+                        UnitParser::bytesPerSecond,
+                        DEFAULT_RATE_LIMITS.totalBytesPerSecond()),
                 value(
                         "bounds",
                         "peer-datagrams",
                         UnitParser::perSecond,
-                        DEFAULT.peerDatagramsPerSecond()),
+                        DEFAULT_RATE_LIMITS.peerDatagramsPerSecond()),
                 value(
                         "bounds",
                         "datagrams",
                         UnitParser::perSecond,
-                        DEFAULT.totalDatagramsPerSecond()),
-                (int) value("bounds", "ring", Double::parseDouble, DEFAULT.ringCapacity()));
+                        DEFAULT_RATE_LIMITS.totalDatagramsPerSecond()),
+                (int)
+                        value(
+                                "bounds",
+                                "ring",
+                                Double::parseDouble,
+                                DEFAULT_RATE_LIMITS.ringCapacity()));
     }
 
-    private MembershipSettings view(String name) {
-        MembershipSettings d = MembershipSettings.defaults();
+    private MembershipSettings membershipSettings(String fleetName) {
+        MembershipSettings defaults = MembershipSettings.defaults();
         return new MembershipSettings(
-                d.tickInterval(),
-                time("probe-interval", d.probeInterval()),
-                time("probe-timeout", d.probeTimeout()),
-                d.indirectProbes(),
-                time("suspicion-min", d.suspicionMin()),
-                time("suspicion-max", d.suspicionMax()),
-                d.maxLocalHealth(),
-                d.isolationGrace(),
-                time("reach-interval", d.reconnectInterval()),
-                time("sync-interval", d.syncInterval()),
-                d.joinWait(),
-                d.joinTimeout(),
-                d.nameConflictWait(),
-                time("forget-unreachable", d.forgetUnreachable()),
-                time("forget-left", d.forgetLeft()),
-                (int) value("bounds", "members", Double::parseDouble, d.maxMembers()),
-                d.maxTombstones(),
-                d.maxRecordsPerMessage(),
-                d.retransmitFactor(),
-                (int) value("bounds", "budget", UnitParser::bytesPerSecond, d.bytesPerSecond()),
-                MembershipSettings.IP_UDP_HEADER_BYTES + name.length());
+                defaults.tickInterval(),
+                seconds("probe-interval", defaults.probeInterval()),
+                seconds("probe-timeout", defaults.probeTimeout()),
+                defaults.indirectProbes(),
+                seconds("suspicion-min", defaults.suspicionMin()),
+                seconds("suspicion-max", defaults.suspicionMax()),
+                defaults.maxLocalHealth(),
+                defaults.isolationGrace(),
+                seconds("reach-interval", defaults.reconnectInterval()),
+                seconds("sync-interval", defaults.syncInterval()),
+                defaults.joinWait(),
+                defaults.joinTimeout(),
+                defaults.nameConflictWait(),
+                seconds("forget-unreachable", defaults.forgetUnreachable()),
+                seconds("forget-left", defaults.forgetLeft()),
+                (int) value("bounds", "members", Double::parseDouble, defaults.maxMembers()),
+                defaults.maxTombstones(),
+                defaults.maxRecordsPerMessage(),
+                defaults.retransmitFactor(),
+                (int)
+                        value(
+                                "bounds",
+                                "budget",
+                                UnitParser::bytesPerSecond,
+                                defaults.bytesPerSecond()),
+                MembershipSettings.IP_UDP_HEADER_BYTES + fleetName.length());
     }
 
-    private double time(String key, double fallback) {
-        return value("times", key, UnitParser::seconds, fallback);
+    private double seconds(String attribute, double defaultValue) {
+        return value("times", attribute, UnitParser::seconds, defaultValue);
     }
 
     private double value(
-            String element, String key, ToDoubleFunction<String> unit, double fallback) {
-        String text = given.getOrDefault(element, Map.of()).get(key);
+            String element,
+            String attribute,
+            ToDoubleFunction<String> parser,
+            double defaultValue) {
+        String text = attributesByElement.getOrDefault(element, Map.of()).get(attribute);
         try {
-            return text == null ? fallback : unit.applyAsDouble(text);
+            return text == null ? defaultValue : parser.applyAsDouble(text);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(element + ": " + key + ": " + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    element + ": " + attribute + ": " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/junipercourse/product/InvalidProductFileException.java
+++ b/src/main/java/junipercourse/product/InvalidProductFileException.java
@@ -10,9 +10,9 @@
     private static final long serialVersionUID = 1;
     private final transient List<String> errors;
 
-    InvalidProductFileException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.errors = List.copyOf(faults);
+    InvalidProductFileException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 
     /** One line each, in the file's order. */
--- a/src/main/java/junipercourse/product/ProductReader.java
+++ b/src/main/java/junipercourse/product/ProductReader.java
@@ -21,12 +21,12 @@
 
 /**
  * Reads a product file with the JDK's parser and the schema in the jar. No document type, no
- * outside entity and no more than {@link #MOST_BYTES} are taken. All faults are told at once; of a
+ * outside entity and no more than {@link #MAX_BYTES} are taken. All faults are told at once; of a
  * file with any, nothing is used.
  */
 public final class ProductReader {
     /** Longest file that is read. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
     private static final String SCHEMA = "product.xsd";
     private static final String NO_DOCTYPE = "http://apache.org/xml/features/disallow-doctype-decl";
@@ -41,46 +41,46 @@
      */
     public static Product read(String file) throws InvalidProductFileException {
         byte[] bytes;
-        try (InputStream in = Files.newInputStream(Path.of(file))) {
-            bytes = in.readNBytes(MOST_BYTES + 1);
+        try (InputStream input = Files.newInputStream(Path.of(file))) {
+            bytes = input.readNBytes(MAX_BYTES + 1);
         } catch (IOException | InvalidPathException e) {
             throw new InvalidProductFileException(
                     List.of(file + ":1:1: document: cannot be read: " + e));
         }
-        if (bytes.length > MOST_BYTES) {
+        if (bytes.length > MAX_BYTES) {
             throw new InvalidProductFileException(
-                    List.of(file + ":1:1: document: over " + MOST_BYTES + " bytes"));
+                    List.of(file + ":1:1: document: over " + MAX_BYTES + " bytes"));
         }
         return parse(file, bytes);
     }
 
     static Product parse(String file, byte[] bytes) throws InvalidProductFileException {
-        SchemaErrorCollector faults = new SchemaErrorCollector(file);
-        FleetConfigReader fleet = new FleetConfigReader(faults);
+        SchemaErrorCollector errors = new SchemaErrorCollector(file);
+        FleetConfigReader fleetReader = new FleetConfigReader(errors);
         try {
-            ValidatorHandler validator = validator();
-            validator.setErrorHandler(faults);
-            validator.setContentHandler(fleet);
-            faults.setContentHandler(validator);
-            XMLReader reader = reader();
-            reader.setContentHandler(faults);
-            reader.setErrorHandler(faults);
+            ValidatorHandler validator = newValidator();
+            validator.setErrorHandler(errors);
+            validator.setContentHandler(fleetReader);
+            errors.setContentHandler(validator);
+            XMLReader reader = newReader();
+            reader.setContentHandler(errors);
+            reader.setErrorHandler(errors);
             reader.parse(new InputSource(new ByteArrayInputStream(bytes)));
         } catch (SAXParseException e) {
-            if (faults.faults().isEmpty()) {
+            if (errors.errors().isEmpty()) {
                 throw new IllegalStateException(e); // each is told before it is thrown
             }
         } catch (SAXException | ParserConfigurationException | IOException e) {
             throw new InvalidProductFileException(
                     List.of(file + ":1:1: document: cannot be read: " + e));
         }
-        if (!faults.faults().isEmpty()) {
-            throw new InvalidProductFileException(faults.faults());
+        if (!errors.errors().isEmpty()) {
+            throw new InvalidProductFileException(errors.errors());
         }
-        return new Product(fleet.fleet());
+        return new Product(fleetReader.fleet());
     }
 
-    private static XMLReader reader() throws SAXException, ParserConfigurationException {
+    private static XMLReader newReader() throws SAXException, ParserConfigurationException {
         SAXParserFactory factory = SAXParserFactory.newDefaultNSInstance();
         factory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
         factory.setFeature(NO_DOCTYPE, true);
@@ -89,7 +89,7 @@
         return reader;
     }
 
-    private static ValidatorHandler validator() throws SAXException {
+    private static ValidatorHandler newValidator() throws SAXException {
         SchemaFactory factory = SchemaFactory.newDefaultInstance();
         factory.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
         factory.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
--- a/src/main/java/junipercourse/product/SchemaErrorCollector.java
+++ b/src/main/java/junipercourse/product/SchemaErrorCollector.java
@@ -20,18 +20,18 @@
  * then as that attribute's; only the second is told, with what would be right.
  */
 final class SchemaErrorCollector extends XMLFilterImpl implements ErrorHandler {
-    private static final int MOST = 50;
-    private static final Pattern VALUE_ALONE =
+    private static final int MAX_ERRORS = 50;
+    private static final Pattern VALUE_ERROR =
             Pattern.compile(
                     "cvc-(pattern|datatype|minInclusive"
                             + "|maxInclusive|enumeration|length)[^:]*: .*",
                     Pattern.DOTALL);
-    private static final Pattern ATTRIBUTE =
+    private static final Pattern ATTRIBUTE_ERROR =
             Pattern.compile(
                     "cvc-attribute\\.3: The value '(.*)' of attribute '(.*)' on element '.*' is not"
                             + " valid with respect to its type, '(.*)'\\.",
                     Pattern.DOTALL);
-    private static final Map<String, String> RIGHT =
+    private static final Map<String, String> EXPECTED_VALUES =
             Map.of(
                     "name", "1 to 40 visible ASCII characters",
                     "address", "a numeric address and a port, such as 127.0.0.1:7101",
@@ -42,8 +42,8 @@
                     "members", "a whole number from 2 to 1000");
 
     private final String file;
-    private final List<String> faults = new ArrayList<>();
-    private final Deque<String> open = new ArrayDeque<>();
+    private final List<String> errors = new ArrayList<>();
+    private final Deque<String> openElements = new ArrayDeque<>();
     private Locator locator;
 
     SchemaErrorCollector(String file) {
@@ -51,61 +51,61 @@
     }
 
     @Override
-    public void setDocumentLocator(Locator where) {
-        locator = where;
-        super.setDocumentLocator(where);
+    public void setDocumentLocator(Locator documentLocator) {
+        locator = documentLocator;
+        super.setDocumentLocator(documentLocator);
     }
 
     @Override
     public void startElement(String uri, String local, String name, Attributes attributes)
             throws SAXException {
-        open.push(name);
+        openElements.push(name);
         super.startElement(uri, local, name, attributes);
     }
 
     @Override
     public void endElement(String uri, String local, String name) throws SAXException {
         super.endElement(uri, local, name);
-        open.pop();
+        openElements.pop();
     }
 
     /** Adds a fault at the place being read. */
-    void add(String what) {
-        add(locator.getLineNumber(), locator.getColumnNumber(), what);
+    void add(String problem) {
+        add(locator.getLineNumber(), locator.getColumnNumber(), problem);
     }
 
-    private void add(int line, int column, String what) {
-        if (faults.size() < MOST) {
-            faults.add(
+    private void add(int line, int column, String problem) {
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(
                     file
                             + ":"
                             + line
                             + ":"
                             + column
                             + ": "
-                            + (open.isEmpty() ? "document" : open.peek())
+                            + (openElements.isEmpty() ? "document" : openElements.peek())
                             + ": "
-                            + what);
-        } else if (faults.size() == MOST) {
-            faults.add(file + ": there are more faults than these " + MOST);
+                            + problem);
+        } else if (errors.size() == MAX_ERRORS) {
+            errors.add(file + ": there are more faults than these " + MAX_ERRORS);
         }
     }
 
     @Override
     public void error(SAXParseException e) {
         String message = e.getMessage();
-        Matcher attribute = ATTRIBUTE.matcher(message);
-        if (attribute.matches()) {
-            String right = RIGHT.get(attribute.group(3));
+        Matcher matcher = ATTRIBUTE_ERROR.matcher(message);
+        if (matcher.matches()) {
+            String expected = EXPECTED_VALUES.get(matcher.group(3));
             add(
                     e.getLineNumber(),
                     e.getColumnNumber(),
-                    attribute.group(2)
+                    matcher.group(2)
                             + ": '"
-                            + attribute.group(1)
+                            + matcher.group(1)
                             + "' cannot be used; right would be "
-                            + (right == null ? attribute.group(3) : right));
-        } else if (!VALUE_ALONE.matcher(message).matches()) {
+                            + (expected == null ? matcher.group(3) : expected));
+        } else if (!VALUE_ERROR.matcher(message).matches()) {
             add(e.getLineNumber(), e.getColumnNumber(), message.replaceFirst("^cvc-[^:]*: ", ""));
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /** All in the file's order. */
-    List<String> faults() {
-        return faults;
+    List<String> errors() {
+        return errors;
     }
 }
--- a/src/main/java/junipercourse/product/UnitParser.java
+++ b/src/main/java/junipercourse/product/UnitParser.java
@@ -4,36 +4,37 @@
 
 /** Values with their units, such as {@code 250ms}, {@code 64KB/s} and {@code 2000/s}. */
 final class UnitParser {
-    private static final Map<String, Double> SECONDS =
+    private static final Map<String, Double> SECONDS_PER_UNIT =
             Map.of("ms", 1e-3, "s", 1.0, "min", 60.0, "h", 3600.0);
-    private static final Map<String, Double> BYTES =
+    private static final Map<String, Double> BYTES_PER_UNIT =
             Map.of("B/s", 1.0, "KB/s", 1024.0, "MB/s", 1048576.0);
 
     private UnitParser() {}
 
     /** A time in seconds; an IllegalArgumentException says what would be right. */
     static double seconds(String text) {
-        return value(text, SECONDS, "a time, such as 250ms, 1.5s, 2min or 1h");
+        return parse(text, SECONDS_PER_UNIT, "a time, such as 250ms, 1.5s, 2min or 1h");
     }
 
     /** Bytes a second. */
     static double bytesPerSecond(String text) {
-        return value(text, BYTES, "a rate, such as 900B/s, 64KB/s or 1MB/s");
+        return parse(text, BYTES_PER_UNIT, "a rate, such as 900B/s, 64KB/s or 1MB/s");
     }
 
     /** A count a second. */
     static double perSecond(String text) {
-        return value(text, Map.of("/s", 1.0), "a rate, such as 2000/s");
+        return parse(text, Map.of("/s", 1.0), "a rate, such as 2000/s");
     }
 
-    private static double value(String text, Map<String, Double> units, String right) {
-        int end = 0;
-        while (end < text.length() && "0123456789.".indexOf(text.charAt(end)) >= 0) {
-            end++;
+    private static double parse(String text, Map<String, Double> units, String expected) {
+        int unitStart = 0;
+        while (unitStart < text.length() && "0123456789.".indexOf(text.charAt(unitStart)) >= 0) {
+            unitStart++;
         }
-        Double unit = units.get(text.substring(end));
+        Double factor = units.get(text.substring(unitStart));
         try {
-            double value = unit == null ? 0 : Double.parseDouble(text.substring(0, end)) * unit;
+            double value =
+                    factor == null ? 0 : Double.parseDouble(text.substring(0, unitStart)) * factor;
             if (value > 0) {
                 return value;
             }
@@ -41,6 +42,6 @@
             // falls through to the message below, which says what was expected
         }
         throw new IllegalArgumentException(
-                "'" + text + "' is not above 0 or has no unit; right would be " + right);
+                "'" + text + "' is not above 0 or has no unit; right would be " + expected);
     }
 }
--- a/src/main/java/junipercourse/sim/SimHost.java
+++ b/src/main/java/junipercourse/sim/SimHost.java
@@ -29,30 +29,30 @@
  * Hosts instances of the module on the simulator's wire: frames in, calls; calls back, frames out.
  */
 public final class SimHost {
-    private static final int HEADER_AFTER_LENGTH = 16;
+    private static final int HEADER_BYTES = 16;
 
     private final Map<Long, TagsDispatcher> instances = new HashMap<>();
-    private final Map<Integer, List<EngineListing>> ledgers = new HashMap<>();
-    private final Set<Long> touched = new LinkedHashSet<>();
+    private final Map<Integer, List<EngineListing>> endpointLists = new HashMap<>();
+    private final Set<Long> changedInstances = new LinkedHashSet<>();
     private final WireWriter reply = new WireWriter();
     private final PrintStream errors;
-    private long target = -1;
+    private long targetInstance = -1;
 
     public SimHost(PrintStream errors) {
         this.errors = errors;
     }
 
     /** Answers batches until the input ends; returns the exit code. */
-    public int run(InputStream in, OutputStream out) {
+    public int run(InputStream input, OutputStream output) {
         try {
-            ByteArrayOutputStream frame = new ByteArrayOutputStream(4096);
-            byte[] body = nextBody(in);
+            ByteArrayOutputStream replyFrame = new ByteArrayOutputStream(4096);
+            byte[] body = readFrame(input);
             while (body != null) {
-                frame.reset();
-                answer(new WireReader(body), frame);
-                frame.writeTo(out);
-                out.flush();
-                body = nextBody(in);
+                replyFrame.reset();
+                processBatch(new WireReader(body), replyFrame);
+                replyFrame.writeTo(output);
+                output.flush();
+                body = readFrame(input);
             }
             return 0;
         } catch (WireException | IOException e) {
@@ -61,46 +61,51 @@
         }
     }
 
-    private static byte[] nextBody(InputStream in) throws IOException {
-        byte[] head = in.readNBytes(4);
-        if (head.length == 0) {
+    private static byte[] readFrame(InputStream input) throws IOException {
+        byte[] lengthBytes = input.readNBytes(4);
+        if (lengthBytes.length == 0) {
             return null;
         }
-        if (head.length < 4) {
+        if (lengthBytes.length < 4) {
             throw new WireException("input ends inside a frame's length");
         }
-        long n = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
-        if (n < HEADER_AFTER_LENGTH || n > Integer.MAX_VALUE - 16) {
-            throw new WireException("frame length " + n + " is out of range");
+        long length =
+                ByteBuffer.wrap(lengthBytes).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
+        if (length < HEADER_BYTES || length > Integer.MAX_VALUE - 16) {
+            throw new WireException("frame length " + length + " is out of range");
         }
-        byte[] body = in.readNBytes((int) n);
-        if (body.length < n) {
+        byte[] body = input.readNBytes((int) length);
+        if (body.length < length) {
             throw new WireException(
-                    "input ends in mid-frame: " + body.length + " of " + n + " bytes");
+                    "input ends in mid-frame: " + body.length + " of " + length + " bytes");
         }
         return body;
     }
 
-    private void answer(WireReader in, ByteArrayOutputStream frame) {
-        double now = in.f64();
-        long count = in.u32();
-        long batch = in.u32();
+    private void processBatch(WireReader reader, ByteArrayOutputStream replyFrame) {
+        double now = reader.f64();
+        long recordCount = reader.u32();
+        long batch = reader.u32();
         reply.begin();
-        touched.clear();
-        target = -1;
+        changedInstances.clear();
+        targetInstance = -1;
         try {
-            for (long i = 0; i < count; i++) {
-                record(in, now, batch);
+            for (long i = 0; i < recordCount; i++) {
+                handleRecord(reader, now, batch);
             }
-            if (in.left() > 0) {
+            if (reader.remaining() > 0) {
                 throw new WireException(
-                        "batch " + batch + ": " + in.left() + " bytes after the last record");
+                        "batch "
+                                + batch
+                                + ": "
+                                + reader.remaining()
+                                + " bytes after the last record");
             }
-            for (long id : touched) {
-                TagsDispatcher d = instances.get(id);
-                if (d != null) {
-                    reply.speakFor(id);
-                    d.decide(now);
+            for (long id : changedInstances) {
+                TagsDispatcher dispatcher = instances.get(id);
+                if (dispatcher != null) {
+                    reply.selectInstance(id);
+                    dispatcher.decide(now);
                 }
             }
         } catch (WireException e) {
@@ -109,22 +114,22 @@
             e.printStackTrace(errors);
             reply.fault(e.toString());
         }
-        reply.finish(batch, frame);
+        reply.finish(batch, replyFrame);
     }
 
-    private void record(WireReader in, double now, long batch) {
-        int at = in.position();
-        int code = in.u16();
+    private void handleRecord(WireReader reader, double now, long batch) {
+        int offset = reader.position();
+        int code = reader.u16();
         switch (code) {
             case Wire.TARGET_INSTANCE -> {
-                target = in.u32();
-                reply.speakFor(target);
+                targetInstance = reader.u32();
+                reply.selectInstance(targetInstance);
             }
-            case Wire.LEDGER -> ledgers.put((int) in.u32(), in.entries());
-            case Wire.CREATE -> create(in);
+            case Wire.LEDGER -> endpointLists.put((int) reader.u32(), reader.endpointList());
+            case Wire.CREATE -> createInstance(reader);
             case Wire.CRASH_NOW -> {
-                instance(code, at, batch);
-                instances.remove(target);
+                requireInstance(code, offset, batch);
+                instances.remove(targetInstance);
             }
             case Wire.FIRED,
                     Wire.FIRST_BYTE,
@@ -135,115 +140,124 @@
                     Wire.ROSTER_CHANGE,
                     Wire.NOTICE,
                     Wire.ABANDONED ->
-                    event(code, in, now, instance(code, at, batch));
+                    handleEvent(code, reader, now, requireInstance(code, offset, batch));
             default ->
                     throw new WireException(
-                            "batch " + batch + ": unknown record code " + code + " at byte " + at);
+                            "batch "
+                                    + batch
+                                    + ": unknown record code "
+                                    + code
+                                    + " at byte "
+                                    + offset);
         }
     }
 
-    private void create(WireReader in) {
-        if (target < 0) {
-            throw new WireException("Create before any TargetInstance at byte " + in.position());
+    private void createInstance(WireReader reader) {
+        if (targetInstance < 0) {
+            throw new WireException(
+                    "Create before any TargetInstance at byte " + reader.position());
         }
-        long seed = in.u64();
-        String text = new String(in.bytes(), StandardCharsets.UTF_8);
-        touch();
-        instances.put(target, new TagsDispatcher(SettingsReader.read(text), seed, reply));
+        long seed = reader.u64();
+        String settingsText = new String(reader.bytes(), StandardCharsets.UTF_8);
+        markChanged();
+        instances.put(
+                targetInstance, new TagsDispatcher(SettingsReader.read(settingsText), seed, reply));
     }
 
-    private TagsDispatcher instance(int code, int at, long batch) {
-        TagsDispatcher d = instances.get(target);
-        if (d == null) {
+    private TagsDispatcher requireInstance(int code, int offset, long batch) {
+        TagsDispatcher dispatcher = instances.get(targetInstance);
+        if (dispatcher == null) {
             throw new WireException(
                     "batch "
                             + batch
                             + ": record "
                             + code
                             + " at byte "
-                            + at
+                            + offset
                             + " for unknown instance "
-                            + target);
+                            + targetInstance);
         }
-        touch();
-        return d;
+        markChanged();
+        return dispatcher;
     }
 
-    private void touch() {
-        touched.add(target);
+    private void markChanged() {
+        changedInstances.add(targetInstance);
     }
 
-    private void event(int code, WireReader in, double now, TagsDispatcher d) {
+    private void handleEvent(int code, WireReader reader, double now, TagsDispatcher dispatcher) {
         switch (code) {
-            case Wire.FIRED -> d.timerFired(now, in.u32());
+            case Wire.FIRED -> dispatcher.timerFired(now, reader.u32());
             case Wire.FIRST_BYTE -> {
-                RequestId id = new RequestId(in.u64());
-                int attempt = in.u8();
-                EngineId engine = new EngineId(in.u32());
-                in.f64();
-                d.responseStarted(now, id, attempt, engine);
+                RequestId id = new RequestId(reader.u64());
+                int attempt = reader.u8();
+                EngineId engine = new EngineId(reader.u32());
+                reader.f64();
+                dispatcher.responseStarted(now, id, attempt, engine);
             }
-            case Wire.INGRESS -> d.requestReceived(now, request(in));
+            case Wire.INGRESS -> dispatcher.requestReceived(now, readRequest(reader));
             case Wire.PROBE_DONE -> {
-                AttemptOutcome outcome = Wire.outcome(in.u16());
-                double took = in.f64();
-                d.probeCompleted(now, new EngineId(in.u32()), outcome, took, in.report());
+                AttemptOutcome outcome = Wire.outcome(reader.u16());
+                double seconds = reader.f64();
+                dispatcher.probeCompleted(
+                        now, new EngineId(reader.u32()), outcome, seconds, reader.loadReport());
             }
-            case Wire.ATTEMPT_END -> d.attemptEnded(now, attemptEnd(in));
-            case Wire.PEER_DATA -> d.peerMessageReceived(now, (int) in.u32(), in.shortBytes());
-            case Wire.ROSTER_CHANGE -> roster(in, now, d);
-            case Wire.NOTICE -> notice(in, now, d);
-            case Wire.ABANDONED -> d.requestAbandoned(now, new RequestId(in.u64()));
+            case Wire.ATTEMPT_END -> dispatcher.attemptEnded(now, readAttemptResult(reader));
+            case Wire.PEER_DATA ->
+                    dispatcher.peerMessageReceived(now, (int) reader.u32(), reader.shortBytes());
+            case Wire.ROSTER_CHANGE -> handleEndpointUpdate(reader, now, dispatcher);
+            case Wire.NOTICE -> handleProgress(reader, now, dispatcher);
+            case Wire.ABANDONED -> dispatcher.requestAbandoned(now, new RequestId(reader.u64()));
             default -> throw new IllegalStateException("record " + code);
         }
     }
 
-    private static QueryRequest request(WireReader in) {
-        RequestId id = new RequestId(in.u64());
-        int marks = in.u8();
-        int tenant = (int) in.u32();
-        float group = in.f32();
-        double notAfter = in.f64();
-        long key = in.u64();
-        int queryClass = in.u16();
-        double needMb = in.f32();
-        double cost = in.f64();
+    private static QueryRequest readRequest(WireReader reader) {
+        RequestId id = new RequestId(reader.u64());
+        int flags = reader.u8();
+        int tenant = (int) reader.u32();
+        float group = reader.f32();
+        double deadline = reader.f64();
+        long key = reader.u64();
+        int queryClass = reader.u16();
+        double memoryMb = reader.f32();
+        double costSeconds = reader.f64();
         return new QueryRequest(
                 id,
                 queryClass,
                 tenant,
-                notAfter,
+                deadline,
                 key,
                 group,
-                (marks & 1) != 0 ? cost : Double.NaN,
-                needMb,
-                (marks & 2) != 0);
+                (flags & 1) != 0 ? costSeconds : Double.NaN,
+                memoryMb,
+                (flags & 2) != 0);
     }
 
-    private static AttemptResult attemptEnd(WireReader in) {
-        RequestId id = new RequestId(in.u64());
-        int attempt = in.u8();
-        EngineId engine = new EngineId(in.u32());
-        AttemptOutcome outcome = Wire.outcome(in.u16());
-        double took = in.f64();
-        boolean ended = in.flag();
-        long note = in.u32();
+    private static AttemptResult readAttemptResult(WireReader reader) {
+        RequestId id = new RequestId(reader.u64());
+        int attempt = reader.u8();
+        EngineId engine = new EngineId(reader.u32());
+        AttemptOutcome outcome = Wire.outcome(reader.u16());
+        double seconds = reader.f64();
+        boolean requestCompleted = reader.flag();
+        long note = reader.u32();
         return new AttemptResult(
                 id,
                 attempt,
                 engine,
                 outcome,
-                took,
-                ended,
+                seconds,
+                requestCompleted,
                 Wire.costSeconds(note),
                 Wire.memoryMb(note),
-                in.report());
+                reader.loadReport());
     }
 
-    private void roster(WireReader in, double now, TagsDispatcher d) {
-        int mode = in.u8();
-        in.u32();
-        int ledger = (int) in.u32();
+    private void handleEndpointUpdate(WireReader reader, double now, TagsDispatcher dispatcher) {
+        int mode = reader.u8();
+        reader.u32();
+        int listId = (int) reader.u32();
         EndpointUpdateKind kind =
                 switch (mode) {
                     case 0 -> EndpointUpdateKind.FULL;
@@ -253,21 +267,21 @@
                     default -> throw new WireException("unknown roster mode " + mode);
                 };
         List<EngineListing> entries =
-                kind == EndpointUpdateKind.FAILED ? List.of() : ledgers.get(ledger);
+                kind == EndpointUpdateKind.FAILED ? List.of() : endpointLists.get(listId);
         if (entries == null) {
-            throw new WireException("roster change names unknown list " + ledger);
+            throw new WireException("roster change names unknown list " + listId);
         }
-        d.endpointsChanged(now, kind, entries);
+        dispatcher.endpointsChanged(now, kind, entries);
     }
 
-    private static void notice(WireReader in, double now, TagsDispatcher d) {
-        RequestId id = new RequestId(in.u64());
-        int attempt = in.u8();
-        in.u32();
-        int kind = in.u8();
-        double value = in.f32();
+    private static void handleProgress(WireReader reader, double now, TagsDispatcher dispatcher) {
+        RequestId id = new RequestId(reader.u64());
+        int attempt = reader.u8();
+        reader.u32();
+        int kind = reader.u8();
+        double value = reader.f32();
         if (kind >= 1 && kind <= 3) {
-            d.attemptProgressed(now, id, attempt, ProgressKind.values()[kind - 1], value);
+            dispatcher.attemptProgressed(now, id, attempt, ProgressKind.values()[kind - 1], value);
         }
     }
 }
--- a/src/main/java/junipercourse/sim/Wire.java
+++ b/src/main/java/junipercourse/sim/Wire.java
@@ -22,7 +22,7 @@
     static final int ABANDONED = 267;
     static final int CREATE = 268;
     private static final int MEMORY_STEP_MB = 4;
-    private static final int COST_UNIT = 4096;
+    private static final int COST_MULTIPLIER = 4096;
 
     private Wire() {}
 
@@ -36,11 +36,11 @@
     }
 
     static double costSeconds(long note) {
-        return (note / COST_UNIT) / 1000.0;
+        return (note / COST_MULTIPLIER) / 1000.0;
     }
 
     static double memoryMb(long note) {
-        return (note % COST_UNIT) * MEMORY_STEP_MB;
+        return (note % COST_MULTIPLIER) * MEMORY_STEP_MB;
     }
 
     static EngineStage stage(int code) {
--- a/src/main/java/junipercourse/sim/WireReader.java
+++ b/src/main/java/junipercourse/sim/WireReader.java
@@ -9,23 +9,23 @@
 
 /** Reads the fields of one batch's body, past the length. */
 final class WireReader {
-    private final ByteBuffer in;
+    private final ByteBuffer buffer;
 
     WireReader(byte[] body) {
-        in = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
+        buffer = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     }
 
     int position() {
-        return in.position();
+        return buffer.position();
     }
 
-    int left() {
-        return in.remaining();
+    int remaining() {
+        return buffer.remaining();
     }
 
     int u8() {
-        need(1);
-        return in.get() & 0xff;
+        requireBytes(1);
+        return buffer.get() & 0xff;
     }
 
     boolean flag() {
@@ -33,71 +33,71 @@
     }
 
     int u16() {
-        need(2);
-        return in.getShort() & 0xffff;
+        requireBytes(2);
+        return buffer.getShort() & 0xffff;
     }
 
     long u32() {
-        need(4);
-        return in.getInt() & 0xffffffffL;
+        requireBytes(4);
+        return buffer.getInt() & 0xffffffffL;
     }
 
     long u64() {
-        need(8);
-        return in.getLong();
+        requireBytes(8);
+        return buffer.getLong();
     }
 
     float f32() {
-        need(4);
-        return in.getFloat();
+        requireBytes(4);
+        return buffer.getFloat();
     }
 
     double f64() {
-        need(8);
-        return in.getDouble();
+        requireBytes(8);
+        return buffer.getDouble();
     }
 
     byte[] bytes() {
-        long n = u32();
-        need(n);
-        byte[] out = new byte[(int) n];
-        in.get(out);
-        return out;
+        long length = u32();
+        requireBytes(length);
+        byte[] bytes = new byte[(int) length];
+        buffer.get(bytes);
+        return bytes;
     }
 
     byte[] shortBytes() {
-        int n = u16();
-        need(n);
-        byte[] out = new byte[n];
-        in.get(out);
-        return out;
+        int length = u16();
+        requireBytes(length);
+        byte[] bytes = new byte[length];
+        buffer.get(bytes);
+        return bytes;
     }
 
-    float[] report() {
-        float[] out = new float[u8()];
-        for (int i = 0; i < out.length; i++) {
-            out[i] = f32();
+    float[] loadReport() {
+        float[] values = new float[u8()];
+        for (int i = 0; i < values.length; i++) {
+            values[i] = f32();
         }
-        return out;
+        return values;
     }
 
-    List<EngineListing> entries() {
-        long n = u32();
-        need(n * 22);
-        List<EngineListing> out = new ArrayList<>((int) n);
-        for (long i = 0; i < n; i++) {
+    List<EngineListing> endpointList() {
+        long count = u32();
+        requireBytes(count * 22);
+        List<EngineListing> listings = new ArrayList<>((int) count);
+        for (long i = 0; i < count; i++) {
             EngineId id = new EngineId(u32());
             int zone = u8();
             int kind = u16();
             int cell = u16();
-            out.add(new EngineListing(id, zone, kind, cell, Wire.stage(u8()), f32(), f64()));
+            listings.add(new EngineListing(id, zone, kind, cell, Wire.stage(u8()), f32(), f64()));
         }
-        return out;
+        return listings;
     }
 
-    private void need(long n) {
-        if (in.remaining() < n) {
-            throw new Wire.WireException("batch ends inside a field at byte " + in.position());
+    private void requireBytes(long count) {
+        if (buffer.remaining() < count) {
+            throw new Wire.WireException("batch ends inside a field at byte " + buffer.position());
         }
     }
 }
--- a/src/test/java/junipercourse/pg/BackendMessageBytesTest.java
+++ b/src/test/java/junipercourse/pg/BackendMessageBytesTest.java
@@ -14,13 +14,13 @@
     }
 
     @Test
-    void encodesTheStartOfASession() {
+    void encodesSessionStartMessages() {
         BackendMessageEncoder messages =
                 new BackendMessageEncoder()
                         .authenticationOk()
-                        .parameter("server_version", "14.0")
-                        .backendKey(7, -2)
-                        .ready();
+                        .parameterStatus("server_version", "14.0")
+                        .backendKeyData(7, -2)
+                        .readyForQuery();
         assertEquals(
                 "52000000080000000053000000187365727665725f76657273696f6e0031342e30004b00"
                         + "00000c00000007fffffffe5a0000000549",
@@ -31,18 +31,21 @@
     void encodesVersionNegotiation() {
         assertEquals(
                 "760000001300000000000000015f70715f2e7800",
-                hex(new BackendMessageEncoder().negotiate(List.of("_pq_.x"))));
+                hex(new BackendMessageEncoder().negotiateProtocolVersion(List.of("_pq_.x"))));
     }
 
     @Test
     void encodesErrorAndEmptyQuery() {
         assertEquals(
                 "4500000020534552524f5200564552524f5200433533303030004d627573790000490000" + "0004",
-                hex(new BackendMessageEncoder().error("ERROR", "53000", "busy").emptyQuery()));
+                hex(
+                        new BackendMessageEncoder()
+                                .errorResponse("ERROR", "53000", "busy")
+                                .emptyQueryResponse()));
     }
 
     @Test
-    void encodesAResultOfTwoPages() {
+    void encodesResultOfTwoPages() {
         List<byte[]> pages =
                 List.of(
                         "a\tb\n".getBytes(StandardCharsets.UTF_8),
@@ -51,6 +54,6 @@
                 "540000002e0002780000000000000000000019ffffffffffff0000790000000000000000"
                         + "000019ffffffffffff00004400000010000200000001610000000162440000000f000200"
                         + "0000016300000000430000000d53454c454354203200",
-                hex(new BackendMessageEncoder().result(pages, "x", "y")));
+                hex(new BackendMessageEncoder().resultSet(pages, "x", "y")));
     }
 }
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -23,34 +23,36 @@
 /** Closes by either side that cross something else; the dispatcher's thread is held to force it. */
 class ConnectionCloseTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
-    private static final String ENDING = "E(57P03 the dispatcher is shutting down)";
+    private static final String SHUTTING_DOWN = "E(57P03 the dispatcher is shutting down)";
     private static final String CANCELLED = "E(57014 canceling statement due to user request)";
 
     /** A client that has left is given this long to be noticed, on a busy machine. */
-    private static final long NOTICED_MS = 1000;
+    private static final long DISCONNECT_DETECTION_MILLIS = 1000;
 
-    private final SocketTestSupport bench;
+    private final SocketTestSupport support;
     private StubEngine engine;
-    private volatile String answer = SocketTestSupport.OK;
+    private volatile String engineResponse = SocketTestSupport.OK;
 
     ConnectionCloseTest() throws Exception {
-        bench = new SocketTestSupport();
+        support = new SocketTestSupport();
     }
 
     @BeforeEach
     void start() throws Exception {
         engine =
-                bench.startEngine(
+                support.startEngine(
                         1,
                         call -> {
                             SocketTestSupport.sleepMillis(20);
-                            return call.startsWith("DELETE") ? SocketTestSupport.CANCELLED : answer;
+                            return call.startsWith("DELETE")
+                                    ? SocketTestSupport.CANCELLED
+                                    : engineResponse;
                         });
     }
 
     @AfterEach
     void close() throws Exception {
-        bench.close();
+        support.close();
     }
 
     // ---- the listening socket ----
@@ -59,40 +61,40 @@
      * Those that the system let in before the listening socket closed are ours: refused, not reset.
      */
     @Test
-    void whoWaitsAtTheSocketThatIsClosedIsAnswered() throws Exception {
-        Runnable release = bench.blockLoop();
-        bench.executeOnLoop(front -> front.beginShutdown(() -> {}));
-        List<Client> waiting = new ArrayList<>();
+    void clientsInListenBacklogAreRefusedOnShutdown() throws Exception {
+        Runnable release = support.blockLoop();
+        support.executeOnLoop(server -> server.beginShutdown(() -> {}));
+        List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Client late = bench.connectClient();
-            late.write(Client.startupMessage(), Client.queryMessage(query("check", i, 5000)));
-            waiting.add(late);
+            Client client = support.connectClient();
+            client.write(Client.startupMessage(), Client.queryMessage(query("check", i, 5000)));
+            clients.add(client);
         }
         release.run();
-        for (Client late : waiting) {
-            assertEquals("", late.readAnswer());
-            assertEquals(ENDING, late.readAnswer());
+        for (Client client : clients) {
+            assertEquals("", client.readAnswer());
+            assertEquals(SHUTTING_DOWN, client.readAnswer());
         }
         assertEquals(0, engine.countCalls("POST"));
     }
 
     /** At the end all sessions are ended in order, after a look for what came on them meanwhile. */
     @Test
-    void aQueryThatCrossesTheLastCloseIsRefused() throws Exception {
-        Client asks = bench.connectClient().startSession();
-        Client rests = bench.connectClient().startSession();
-        assertEquals("I", rests.query(" "));
-        Runnable release = bench.blockLoop();
-        bench.executeOnLoop(
-                front -> {
-                    front.beginShutdown(() -> {});
-                    front.closeSessions();
+    void queryUnreadWhenSessionsCloseIsRefused() throws Exception {
+        Client querying = support.connectClient().startSession();
+        Client idle = support.connectClient().startSession();
+        assertEquals("I", idle.query(" "));
+        Runnable release = support.blockLoop();
+        support.executeOnLoop(
+                server -> {
+                    server.beginShutdown(() -> {});
+                    server.closeSessions();
                 });
-        asks.write(Client.queryMessage(query("check", 1, 5000)));
+        querying.write(Client.queryMessage(query("check", 1, 5000)));
         release.run();
-        assertEquals(ENDING, asks.readAnswer());
-        assertEquals(ENDING + " closed=true", asks.readAnswer());
-        assertEquals(ENDING + " closed=true", rests.readAnswer());
+        assertEquals(SHUTTING_DOWN, querying.readAnswer());
+        assertEquals(SHUTTING_DOWN + " closed=true", querying.readAnswer());
+        assertEquals(SHUTTING_DOWN + " closed=true", idle.readAnswer());
         assertEquals(0, engine.countCalls("POST"));
     }
 
@@ -110,12 +112,13 @@
         "7fffffff00030000, 08P01 a message of 2147483647 bytes",
         "474554202f20485454502f312e31, 08P01 a message of 1195725856 bytes"
     })
-    void whoSendsMuchThatIsNoMessageReadsWhyAndAnEnd(String hex, String why) throws Exception {
-        Client client = bench.connectClient();
+    void clientSendingInvalidMessageGetsErrorAndOrderlyClose(String hex, String error)
+            throws Exception {
+        Client client = support.connectClient();
         if (hex.startsWith("start")) {
             client.startSession();
         }
-        Runnable release = bench.blockLoop();
+        Runnable release = support.blockLoop();
         SocketTestSupport.startDaemon(
                 () ->
                         client.write(
@@ -123,8 +126,8 @@
                                 new byte[300_000]));
         SocketTestSupport.sleepMillis(50); // more than one read's worth lies there
         release.run();
-        assertEquals("E(" + why + ") closed=true", client.readAnswer());
-        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
+        assertEquals("E(" + error + ") closed=true", client.readAnswer());
+        assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /**
@@ -132,18 +135,18 @@
      * second.
      */
     @Test
-    void whatIsSentAfterOurCloseReachesNoEngine() throws Exception {
-        int before = bench.descriptorBudget.used();
-        Client client = bench.connectClient().startSession();
+    void queryAfterServerCloseReachesNoEngine() throws Exception {
+        int usedBefore = support.descriptorBudget.used();
+        Client client = support.connectClient().startSession();
         client.write(HexFormat.of().parseHex("5000000004"));
         assertTrue(client.readAnswer().endsWith("closed=true"));
         client.write(Client.queryMessage(query("check", 1, 5000)));
         assertEquals(
-                before + 1,
-                bench.descriptorBudget.used(),
+                usedBefore + 1,
+                support.descriptorBudget.used(),
                 "it counts as a client's until it is closed");
         assertEquals(-1, client.socket.getInputStream().read(), "no reset");
-        SocketTestSupport.await(() -> bench.descriptorBudget.used() == before, 3000);
+        SocketTestSupport.await(() -> support.descriptorBudget.used() == usedBefore, 3000);
         assertEquals(0, engine.countCalls("POST"));
     }
 
@@ -152,20 +155,20 @@
      * second.
      */
     @Test
-    void aCancelRequestIsClosedAtOnce() throws Exception {
-        Client client = bench.connectClient().startSession();
-        long from = System.nanoTime();
+    void cancelRequestConnectionIsClosedImmediately() throws Exception {
+        Client client = support.connectClient().startSession();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 3; i++) {
             client.cancel();
         }
-        assertTrue(System.nanoTime() - from < 2_500_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 2_500_000_000L);
     }
 
     /** One that sends on and on costs bounded bytes: it is cut off. */
     @Test
-    void whoNeverStopsSendingIsCutOff() throws Exception {
-        int before = bench.descriptorBudget.used();
-        Client client = bench.connectClient().startSession();
+    void clientSendingEndlesslyAfterErrorIsDisconnected() throws Exception {
+        int usedBefore = support.descriptorBudget.used();
+        Client client = support.connectClient().startSession();
         client.write(HexFormat.of().parseHex("51ffffffff"));
         SocketTestSupport.startDaemon(
                 () -> {
@@ -173,27 +176,27 @@
                         client.write(new byte[100_000]);
                     }
                 });
-        SocketTestSupport.await(() -> bench.descriptorBudget.used() == before);
+        SocketTestSupport.await(() -> support.descriptorBudget.used() == usedBefore);
     }
 
     /** Connections that we have ended and their clients keep open leave room for those that ask. */
     @Test
-    void connectionsOnTheirWayOutMakeRoom() throws Exception {
+    void lingeringConnectionsAreClosedForNewClients() throws Exception {
         for (int i = 0; i < SocketTestSupport.MAX_CLIENTS * 2; i++) {
-            Client bad = bench.connectClient();
-            bad.write(HexFormat.of().parseHex("7fffffff00030000"));
+            Client invalidClient = support.connectClient();
+            invalidClient.write(HexFormat.of().parseHex("7fffffff00030000"));
             if (i % 40 == 39) {
                 assertEquals(
                         SERVED,
-                        bench.connectClient().startSession().query(query("check", i, 5000)));
+                        support.connectClient().startSession().query(query("check", i, 5000)));
             }
         }
-        assertEquals(0, bench.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
+        assertEquals(0, support.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
         assertTrue(
-                bench.descriptorBudget.shares().stream()
-                        .filter(s -> s.name().equals("clients"))
-                        .allMatch(s -> s.peak() <= s.maxOpen()),
-                bench.descriptorBudget.toString());
+                support.descriptorBudget.shares().stream()
+                        .filter(share -> share.name().equals("clients"))
+                        .allMatch(share -> share.peak() <= share.maxOpen()),
+                support.descriptorBudget.toString());
     }
 
     // ---- closes of the client's ----
@@ -204,9 +207,9 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoSendsMuchAndGoesIsSeenToGo(boolean reset) throws Exception {
-        answer = SocketTestSupport.RUNNING;
-        Client client = bench.connectClient().startSession();
+    void queryIsCancelledWhenPipeliningClientDisconnects(boolean reset) throws Exception {
+        engineResponse = SocketTestSupport.RUNNING;
+        Client client = support.connectClient().startSession();
         client.write(Client.queryMessage(query("check", 1, 7000)));
         SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         client.write(new byte[64 * 1024]);
@@ -214,21 +217,22 @@
             client.socket.setSoLinger(true, 0);
         }
         client.close();
-        SocketTestSupport.await(() -> engine.countCalls("DELETE") == 1, NOTICED_MS);
+        SocketTestSupport.await(
+                () -> engine.countCalls("DELETE") == 1, DISCONNECT_DETECTION_MILLIS);
         assertEquals(1, engine.countCalls("POST"));
     }
 
     /** What lies whole before the overrun is answered, then the session ends with an error. */
     @Test
-    void whoSendsMuchAndStaysIsAnsweredFirst() throws Exception {
-        answer = SocketTestSupport.RUNNING;
-        Client client = bench.connectClient().startSession();
+    void pipelinedQueriesAreAnsweredBeforeExcessClosesSession() throws Exception {
+        engineResponse = SocketTestSupport.RUNNING;
+        Client client = support.connectClient().startSession();
         client.write(Client.queryMessage(query("check", 1, 7000)));
         SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         client.write(
                 Client.queryMessage(query("check", 2, 7000)),
                 Client.queryMessage(" ".repeat(40_000)));
-        answer = SocketTestSupport.OK;
+        engineResponse = SocketTestSupport.OK;
         assertEquals(SERVED, client.readAnswer());
         assertEquals(SERVED, client.readAnswer());
         assertEquals(
@@ -237,10 +241,10 @@
 
     /** One that never stops sending loses its query, and is told why. */
     @Test
-    void whoSendsOnAndOnWhileItsQueryIsOpenIsClosed() throws Exception {
-        answer = SocketTestSupport.RUNNING;
-        int before = bench.descriptorBudget.used();
-        Client client = bench.connectClient().startSession();
+    void queryIsCancelledWhenClientSendsEndlessly() throws Exception {
+        engineResponse = SocketTestSupport.RUNNING;
+        int usedBefore = support.descriptorBudget.used();
+        Client client = support.connectClient().startSession();
         client.write(Client.queryMessage(query("check", 1, 7000)));
         SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         SocketTestSupport.startDaemon(
@@ -249,25 +253,26 @@
                         client.write(new byte[100_000]);
                     }
                 });
-        SocketTestSupport.await(() -> engine.countCalls("DELETE") == 1, NOTICED_MS);
         SocketTestSupport.await(
-                () -> bench.descriptorBudget.used() <= before + 1); // the engine's stays
+                () -> engine.countCalls("DELETE") == 1, DISCONNECT_DETECTION_MILLIS);
+        SocketTestSupport.await(
+                () -> support.descriptorBudget.used() <= usedBefore + 1); // the engine's stays
     }
 
     // ---- cancels ----
 
     /** The cancel is read first, while the query that it is for still lies unread. */
     @Test
-    void aCancelThatIsReadBeforeItsQueryCancelsIt() throws Exception {
-        answer = SocketTestSupport.RUNNING;
-        Client client = bench.connectClient().startSession();
-        Runnable release = bench.blockLoop();
-        bench.executeOnLoop(
-                front -> front.cancel(client.cancelKey().getInt(), client.cancelKey().getInt(4)));
+    void cancelReadBeforeItsQueryCancelsTheQuery() throws Exception {
+        engineResponse = SocketTestSupport.RUNNING;
+        Client client = support.connectClient().startSession();
+        Runnable release = support.blockLoop();
+        support.executeOnLoop(
+                server -> server.cancel(client.cancelKey().getInt(), client.cancelKey().getInt(4)));
         client.write(Client.queryMessage(query("check", 1, 1000)));
         release.run();
         assertEquals(CANCELLED, client.readAnswer());
-        nothingGoesOn(engine.countCalls("POST"));
+        assertAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
     }
 
     /**
@@ -283,16 +288,16 @@
         "query close cancel",
         "query close"
     })
-    void whateverOrderAClientLeavesInNothingIsBegunAfterwards(String order) throws Exception {
-        answer = SocketTestSupport.RUNNING;
-        Client client = bench.connectClient().startSession();
+    void noAttemptStartsAfterCancelOrCloseInAnyOrder(String order) throws Exception {
+        engineResponse = SocketTestSupport.RUNNING;
+        Client client = support.connectClient().startSession();
         byte[] query = Client.queryMessage(query("check", 1, 7000));
         Socket other = new Socket(client.socket.getInetAddress(), client.socket.getPort());
         if (order.startsWith("open")) {
             client.write(query);
             SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
         }
-        Runnable release = bench.blockLoop();
+        Runnable release = support.blockLoop();
         for (String event : order.split(" ")) {
             switch (event) {
                 case "query" -> client.write(query);
@@ -306,14 +311,15 @@
             assertEquals(CANCELLED, client.readAnswer());
         }
         SocketTestSupport.sleepMillis(100);
-        nothingGoesOn(engine.countCalls("POST"));
+        assertAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
         other.close();
     }
 
     /** Each attempt that there was is taken back, and none follows. */
-    private void nothingGoesOn(long begun) throws IOException {
-        SocketTestSupport.await(() -> engine.countCalls("DELETE") >= begun, NOTICED_MS);
+    private void assertAttemptsCancelledAndNoneStarted(long startedAttempts) throws IOException {
+        SocketTestSupport.await(
+                () -> engine.countCalls("DELETE") >= startedAttempts, DISCONNECT_DETECTION_MILLIS);
         SocketTestSupport.sleepMillis(300);
-        assertEquals(begun, engine.countCalls("POST"));
+        assertEquals(startedAttempts, engine.countCalls("POST"));
     }
 }
--- a/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
+++ b/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
@@ -20,42 +20,44 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 9, 10, 20})
-    void cutsMessagesFromAnyPieces(int piece)
+    void decodesMessagesSplitAtAnyPosition(int pieceLength)
             throws FrontendMessageDecoder.MalformedMessageException {
-        FrontendMessageDecoder in = new FrontendMessageDecoder();
-        List<FrontendMessageDecoder.Message> got = new ArrayList<>();
-        for (int at = 0; at < BYTES.length; at += piece) {
-            in.add(ByteBuffer.wrap(BYTES, at, Math.min(piece, BYTES.length - at)));
-            FrontendMessageDecoder.Message m = got.isEmpty() ? in.startup() : in.message();
-            while (m != null) {
-                got.add(m);
-                m = in.message();
+        FrontendMessageDecoder decoder = new FrontendMessageDecoder();
+        List<FrontendMessageDecoder.Message> messages = new ArrayList<>();
+        for (int offset = 0; offset < BYTES.length; offset += pieceLength) {
+            decoder.append(
+                    ByteBuffer.wrap(BYTES, offset, Math.min(pieceLength, BYTES.length - offset)));
+            FrontendMessageDecoder.Message message =
+                    messages.isEmpty() ? decoder.nextStartupPacket() : decoder.nextMessage();
+            while (message != null) {
+                messages.add(message);
+                message = decoder.nextMessage();
             }
         }
         assertEquals(
                 List.of((char) 0, 'Q', 'X'),
-                got.stream().map(FrontendMessageDecoder.Message::type).toList());
-        assertArrayEquals(new byte[] {0, 3, 0, 0, 0}, got.get(0).body());
-        assertEquals(0, in.held());
+                messages.stream().map(FrontendMessageDecoder.Message::type).toList());
+        assertArrayEquals(new byte[] {0, 3, 0, 0, 0}, messages.get(0).body());
+        assertEquals(0, decoder.bufferedBytes());
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {-1, 0, 3, FrontendMessageDecoder.MAX_MESSAGE + 1, Integer.MAX_VALUE})
-    void refusesLengthsOutOfRange(int length) {
-        FrontendMessageDecoder in = new FrontendMessageDecoder();
-        in.add(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
-        assertThrows(FrontendMessageDecoder.MalformedMessageException.class, in::message);
+    @ValueSource(ints = {-1, 0, 3, FrontendMessageDecoder.MAX_MESSAGE_BYTES + 1, Integer.MAX_VALUE})
+    void rejectsLengthsOutOfRange(int length) {
+        FrontendMessageDecoder decoder = new FrontendMessageDecoder();
+        decoder.append(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
+        assertThrows(FrontendMessageDecoder.MalformedMessageException.class, decoder::nextMessage);
     }
 
     @Test
-    void holdsALargeMessageUntilItIsWhole()
+    void buffersLargeMessageUntilComplete()
             throws FrontendMessageDecoder.MalformedMessageException {
-        FrontendMessageDecoder in = new FrontendMessageDecoder();
+        FrontendMessageDecoder decoder = new FrontendMessageDecoder();
         int length = 50_000;
-        in.add(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
-        in.add(ByteBuffer.allocate(length - 5));
-        assertNull(in.message());
-        in.add(ByteBuffer.allocate(1));
-        assertEquals(length - 4, in.message().body().length);
+        decoder.append(ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).flip());
+        decoder.append(ByteBuffer.allocate(length - 5));
+        assertNull(decoder.nextMessage());
+        decoder.append(ByteBuffer.allocate(1));
+        assertEquals(length - 4, decoder.nextMessage().body().length);
     }
 }
--- a/src/test/java/junipercourse/pg/QueryFieldParserTest.java
+++ b/src/test/java/junipercourse/pg/QueryFieldParserTest.java
@@ -14,16 +14,16 @@
 
 class QueryFieldParserTest {
     private static final String ID = "9b1f03aa5c7e2d41";
-    private final QueryFieldParser reader = new QueryFieldParser(SocketTestSupport.settings());
+    private final QueryFieldParser parser = new QueryFieldParser(SocketTestSupport.settings());
 
-    private Query read(String text) throws InvalidQueryFieldException {
-        return reader.read(text.getBytes(StandardCharsets.UTF_8), ArrivalInterval.exact(100));
+    private Query parse(String text) throws InvalidQueryFieldException {
+        return parser.parse(text.getBytes(StandardCharsets.UTF_8), ArrivalInterval.exact(100));
     }
 
     @Test
-    void readsAllFieldsAndLeavesTheStatementAsItIs() throws InvalidQueryFieldException {
-        Query q =
-                read(
+    void parsesAllFieldsAndKeepsStatementUnchanged() throws InvalidQueryFieldException {
+        Query query =
+                parse(
                         "/* kind=load,req="
                                 + ID
                                 + ",timeout=1500,owner=acme,resent=1,opkey=5c0f,"
@@ -42,12 +42,12 @@
                         0.82,
                         96,
                         true,
-                        q.statement(),
+                        query.statement(),
                         ArrivalInterval.exact(100)),
-                q);
+                query);
         assertEquals(
                 "INSERT INTO sales_17.orders  VALUES ('a, b=c\u00e9') ;",
-                new String(q.statement(), StandardCharsets.UTF_8));
+                new String(query.statement(), StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
@@ -79,9 +79,9 @@
                 "kind | /* kind=check,kind=load,req=9b1f03aa5c7e2d41,timeout=5,owner=acme */ SELECT"
                         + " 1"
             })
-    void namesTheFieldAtFault(String field, String text) {
+    void errorNamesTheInvalidField(String field, String text) {
         InvalidQueryFieldException e =
-                assertThrows(InvalidQueryFieldException.class, () -> read(text));
+                assertThrows(InvalidQueryFieldException.class, () -> parse(text));
         assertTrue(e.getMessage().startsWith(field + ": "), e.getMessage());
     }
 
@@ -106,7 +106,7 @@
                 "0 | SELECT 1",
                 "0 | SELECT * FROM orders_7"
             })
-    void findsTheGroupOfTables(float group, String sql) {
-        assertEquals(group, TableGroupExtractor.of(sql.replace("~", "\n")));
+    void extractsTableGroupFromStatement(float group, String sql) {
+        assertEquals(group, TableGroupExtractor.extractGroup(sql.replace("~", "\n")));
     }
 }
--- a/src/test/java/junipercourse/pg/SessionTest.java
+++ b/src/test/java/junipercourse/pg/SessionTest.java
@@ -19,26 +19,26 @@
 
 class SessionTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
-    private final SocketTestSupport bench;
+    private final SocketTestSupport support;
     private StubEngine engine;
 
     SessionTest() throws Exception {
-        bench = new SocketTestSupport();
+        support = new SocketTestSupport();
     }
 
     @BeforeEach
     void start() throws Exception {
-        engine = bench.startEngine(1, call -> SocketTestSupport.OK);
+        engine = support.startEngine(1, call -> SocketTestSupport.OK);
     }
 
     @AfterEach
     void close() throws Exception {
-        bench.close();
+        support.close();
     }
 
     @Test
-    void aQueryMayFollowTheStartAtOnceAndTheNextOneBeforeItsAnswer() throws Exception {
-        Client client = bench.connectClient();
+    void pipelinedStartupAndQueriesAreAnsweredInOrder() throws Exception {
+        Client client = support.connectClient();
         client.write(
                 Client.startupMessage(),
                 Client.queryMessage(query("check", 1, 5000)),
@@ -51,8 +51,8 @@
     }
 
     @Test
-    void bytesMayComeOneByOneAfterARefusedEncryption() throws Exception {
-        Client client = bench.connectClient();
+    void queryIsServedByteByByteAfterEncryptionIsRefused() throws Exception {
+        Client client = support.connectClient();
         client.write(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
         assertEquals('N', client.socket.getInputStream().read());
         for (byte[] part :
@@ -68,8 +68,8 @@
     }
 
     @Test
-    void countersAreShownOnRequest() throws Exception {
-        Client client = bench.connectClient().startSession();
+    void showCountersReturnsCounters() throws Exception {
+        Client client = support.connectClient().startSession();
         client.query(query("check", 1, 5000));
         String shown = client.query("show counters;");
         assertTrue(shown.contains("D(queries served 1)") && shown.contains("D(ends ok 1)"), shown);
@@ -79,19 +79,19 @@
      * A client that asks on and on and does not read is no longer read from; nobody else is harmed.
      */
     @Test
-    void aClientThatDoesNotReadIsHeldBack() throws Exception {
-        Client deaf = bench.connectClient().startSession();
-        deaf.socket.setSoTimeout(5000);
+    void readingPausesForClientThatDoesNotReadResults() throws Exception {
+        Client nonReadingClient = support.connectClient().startSession();
+        nonReadingClient.socket.setSoTimeout(5000);
         SocketTestSupport.startDaemon(
                 () -> {
                     for (int i = 0; i < 200_000; i++) {
-                        deaf.write(Client.queryMessage("SHOW COUNTERS"));
+                        nonReadingClient.write(Client.queryMessage("SHOW COUNTERS"));
                     }
                 });
         SocketTestSupport.sleepMillis(300);
-        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
+        assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
         for (int i = 0; i < 1000; i++) { // and once it reads, it gets what it asked for
-            assertTrue(deaf.readAnswer().startsWith("T D(clients accepted "));
+            assertTrue(nonReadingClient.readAnswer().startsWith("T D(clients accepted "));
         }
     }
 
@@ -111,8 +111,8 @@
                 "start 510000000d53454c45435420 3100 | E(22023 kind: missing; no comment with"
                         + " fields stands before the statement)"
             })
-    void badInputIsAnsweredAndReachesNoEngine(String hex, String expected) throws Exception {
-        Client client = bench.connectClient();
+    void invalidInputGetsErrorAndReachesNoEngine(String hex, String expected) throws Exception {
+        Client client = support.connectClient();
         String bytes = hex.replace(" ", "").replace("start", "");
         if (hex.startsWith("start")) {
             client.startSession();
@@ -120,7 +120,7 @@
         client.write(java.util.HexFormat.of().parseHex(bytes));
         assertEquals(expected, client.readAnswer());
         assertTrue(engine.calls.isEmpty());
-        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
+        assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /**
@@ -134,8 +134,8 @@
         "start 5100000010, E(08P01 a message without its end) closed=true",
         "asked 5100000010, E(08P01 a message without its end) closed=true"
     })
-    void whatDoesNotComeInTimeIsClosed(String sent, String expected) throws Exception {
-        Client client = bench.connectClient();
+    void connectionIsClosedAfterInputTimeout(String sent, String expected) throws Exception {
+        Client client = support.connectClient();
         if (!sent.isEmpty() && sent.charAt(0) != '0') {
             client.startSession();
         }
@@ -143,9 +143,9 @@
             assertEquals(SERVED, client.query(query("check", 1, 5000)));
         }
         client.write(java.util.HexFormat.of().parseHex(sent.replaceAll("[a-z]* ?(?=[0-9]|$)", "")));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertTrue(client.readAnswer().endsWith(expected));
-        assertTrue(System.nanoTime() - from < 2_900_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 2_900_000_000L);
     }
 
     /**
@@ -154,20 +154,20 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void connectionsThatAreOnlyHeldMakeRoom(boolean asked) throws Exception {
+    void idleConnectionsAreClosedForNewClients(boolean hasQueried) throws Exception {
         for (int i = 0; i < SocketTestSupport.MAX_CLIENTS; i++) {
-            Client holder = bench.connectClient();
-            if (asked) {
-                assertEquals(SERVED, holder.startSession().query(query("check", i, 5000)));
+            Client idleClient = support.connectClient();
+            if (hasQueried) {
+                assertEquals(SERVED, idleClient.startSession().query(query("check", i, 5000)));
             }
         }
         SocketTestSupport.sleepMillis(300);
         for (int i = 1; i <= 5; i++) {
             assertEquals(
                     SERVED,
-                    bench.connectClient().startSession().query(query("check", 1000 + i, 5000)));
+                    support.connectClient().startSession().query(query("check", 1000 + i, 5000)));
         }
-        assertEquals(0, bench.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
+        assertEquals(0, support.counters.get(Counters.Count.CLIENTS_TURNED_AWAY));
     }
 
     /**
@@ -176,27 +176,27 @@
      */
     @Test
     void idleConnectionsAreClosedEarlyWhileManyAreOpen() throws Exception {
-        Client first = bench.connectClient().startSession();
+        Client first = support.connectClient().startSession();
         assertEquals(SERVED, first.query(query("check", 1, 5000)));
         for (int i = 0; i < SocketTestSupport.MAX_CLIENTS / 2; i++) {
-            bench.connectClient().startSession();
+            support.connectClient().startSession();
         }
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals("E(57P05 closed after being idle) closed=true", first.readAnswer());
-        assertTrue(System.nanoTime() - from < 1_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
     }
 
     /** A query of which a part has come is not idle, however short the time that idle ones get. */
     @Test
-    void aSessionInTheMiddleOfAQueryIsNotClosedAsIdle() throws Exception {
-        Client slow = bench.connectClient().startSession();
+    void sessionWithIncompleteQueryIsNotClosedAsIdle() throws Exception {
+        Client slow = support.connectClient().startSession();
         assertEquals(SERVED, slow.query(query("check", 1, 5000)));
         byte[] query = Client.queryMessage(query("check", 2, 5000));
         slow.write(Arrays.copyOf(query, query.length / 2));
         for (int i = 0; i < SocketTestSupport.MAX_CLIENTS / 2; i++) {
-            bench.connectClient().startSession();
+            support.connectClient().startSession();
         }
-        Client idle = bench.connectClient().startSession();
+        Client idle = support.connectClient().startSession();
         assertEquals(SERVED, idle.query(query("check", 3, 5000)));
         assertEquals("E(57P05 closed after being idle) closed=true", idle.readAnswer());
         slow.write(Arrays.copyOfRange(query, query.length / 2, query.length));
@@ -208,20 +208,21 @@
      * on.
      */
     @Test
-    void unfinishedMessagesOfAllClientsAreBounded() throws Exception {
-        byte[] most = ByteBuffer.allocate(60_000).put((byte) 'Q').putInt(60_001).array();
+    void incompleteMessagesOfAllClientsAreBounded() throws Exception {
+        byte[] incompleteMessage =
+                ByteBuffer.allocate(60_000).put((byte) 'Q').putInt(60_001).array();
         Client last = null;
         for (int i = 0; i < 20; i++) { // 1.2 MB, of 1 MB that may be held
-            last = bench.connectClient().startSession();
-            last.write(most);
+            last = support.connectClient().startSession();
+            last.write(incompleteMessage);
         }
-        Client lastOne = last;
-        SocketTestSupport.await(() -> closed(lastOne));
-        assertEquals(SERVED, bench.connectClient().startSession().query(query("check", 1, 5000)));
+        Client lastClient = last;
+        SocketTestSupport.await(() -> isClosed(lastClient));
+        assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /** Closed in order or, with bytes of its own still unread, reset. */
-    private static boolean closed(Client client) {
+    private static boolean isClosed(Client client) {
         try {
             return client.readAnswer().endsWith("closed=true");
         } catch (java.io.IOException e) {
--- a/src/test/java/junipercourse/product/ProductReaderTest.java
+++ b/src/test/java/junipercourse/product/ProductReaderTest.java
@@ -14,7 +14,7 @@
 
 /** The product file: values with units, and faults with their place. */
 class ProductReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             <product>
               <fleet name="f" listen="127.0.0.1:7101" zone="east">
@@ -29,13 +29,13 @@
         return ProductReader.parse("p.xml", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static List<String> faults(String text) {
+    private static List<String> errors(String text) {
         return assertThrows(InvalidProductFileException.class, () -> read(text)).errors();
     }
 
     @Test
-    void valuesCarryTheirUnitsAndTheRestHasDefaults() throws Exception {
-        FleetConfig fleet = read(GOOD).fleet();
+    void unitsAreConvertedAndMissingValuesGetDefaults() throws Exception {
+        FleetConfig fleet = read(VALID).fleet();
         assertEquals("127.0.0.1:7101", fleet.advertisedAddress());
         assertEquals(List.of("127.0.0.2:7101"), fleet.seeds());
         assertEquals(1024, fleet.rateLimits().peerBytesPerSecond());
@@ -71,17 +71,20 @@
                         + " well-formed XML",
                 "</product> | </produce> | 7:3: product: no well-formed XML"
             })
-    void aFaultIsToldWithItsPlaceAndElement(String good, String bad, String fault) {
-        List<String> faults = faults(GOOD.replaceFirst(Pattern.quote(good.trim()), bad.trim()));
-        assertEquals(1, faults.size(), faults::toString);
-        assertTrue(faults.get(0).startsWith("p.xml:" + fault.trim()), faults::toString);
+    void errorIsReportedWithPositionAndElement(
+            String validText, String invalidText, String expectedError) {
+        List<String> errors =
+                errors(VALID.replaceFirst(Pattern.quote(validText.trim()), invalidText.trim()));
+        assertEquals(1, errors.size(), errors::toString);
+        assertTrue(errors.get(0).startsWith("p.xml:" + expectedError.trim()), errors::toString);
     }
 
     @Test
-    void allFaultsAreToldAtOnceUpToABound() {
-        String three = GOOD.replace("250ms", "x").replace("1KB/s", "y").replace("\"f\"", "\"\"");
-        assertEquals(3, faults(three).size());
+    void allErrorsAreReportedUpToLimit() {
+        String threeErrors =
+                VALID.replace("250ms", "x").replace("1KB/s", "y").replace("\"f\"", "\"\"");
+        assertEquals(3, errors(threeErrors).size());
         String seeds = "<seed address='x'/>".repeat(90);
-        assertEquals(51, faults(GOOD.replace("<bounds", seeds + "<bounds")).size());
+        assertEquals(51, errors(VALID.replace("<bounds", seeds + "<bounds")).size());
     }
 }
--- a/src/test/java/junipercourse/sim/SimHostTest.java
+++ b/src/test/java/junipercourse/sim/SimHostTest.java
@@ -29,7 +29,7 @@
                     + "family_info.size_cores=8";
 
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
     private static ByteBuffer buffer() {
         return ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN);
@@ -37,46 +37,52 @@
 
     private static byte[] frame(double now, int records, int batch, ByteBuffer body) {
         body.flip();
-        ByteBuffer out = ByteBuffer.allocate(20 + body.remaining()).order(ByteOrder.LITTLE_ENDIAN);
-        out.putInt(16 + body.remaining()).putDouble(now).putInt(records).putInt(batch).put(body);
-        return out.array();
+        ByteBuffer frame =
+                ByteBuffer.allocate(20 + body.remaining()).order(ByteOrder.LITTLE_ENDIAN);
+        frame.putInt(16 + body.remaining()).putDouble(now).putInt(records).putInt(batch).put(body);
+        return frame.array();
     }
 
     private int run(byte[]... frames) {
-        ByteArrayOutputStream in = new ByteArrayOutputStream();
-        for (byte[] f : frames) {
-            in.writeBytes(f);
+        ByteArrayOutputStream input = new ByteArrayOutputStream();
+        for (byte[] frame : frames) {
+            input.writeBytes(frame);
         }
         return new SimHost(new PrintStream(errors))
-                .run(new ByteArrayInputStream(in.toByteArray()), out);
+                .run(new ByteArrayInputStream(input.toByteArray()), output);
     }
 
-    private static ByteBuffer create(ByteBuffer b, int instance) {
+    private static ByteBuffer create(ByteBuffer body, int instance) {
         byte[] text = SETTINGS.getBytes(StandardCharsets.UTF_8);
-        b.putShort((short) 266).putInt(instance).putShort((short) 263).putInt(0).putInt(1);
-        b.putInt(77).put((byte) 0).putShort((short) 0).putShort((short) 0).put((byte) 1);
-        b.putFloat(1).putDouble(0);
-        b.putShort((short) 268).putLong(5).putInt(text.length).put(text);
-        return b.putShort((short) 264).put((byte) 2).putInt(1).putInt(0);
+        body.putShort((short) 266).putInt(instance).putShort((short) 263).putInt(0).putInt(1);
+        body.putInt(77).put((byte) 0).putShort((short) 0).putShort((short) 0).put((byte) 1);
+        body.putFloat(1).putDouble(0);
+        body.putShort((short) 268).putLong(5).putInt(text.length).put(text);
+        return body.putShort((short) 264).put((byte) 2).putInt(1).putInt(0);
     }
 
-    private static ByteBuffer ingress(ByteBuffer b, long id, double notAfter) {
-        b.putShort((short) 259).putLong(id).put((byte) 0).putInt(0).putFloat(3).putDouble(notAfter);
-        return b.putLong(0).putShort((short) 0).putFloat(0).putDouble(0);
+    private static ByteBuffer ingress(ByteBuffer body, long id, double deadline) {
+        body.putShort((short) 259)
+                .putLong(id)
+                .put((byte) 0)
+                .putInt(0)
+                .putFloat(3)
+                .putDouble(deadline);
+        return body.putLong(0).putShort((short) 0).putFloat(0).putDouble(0);
     }
 
     @Test
     void emptyBatchGetsAnEmptyReply() {
         assertEquals(0, run(frame(9, 0, 1, buffer())));
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0}, out.toByteArray());
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0}, output.toByteArray());
     }
 
     @Test
     void requestIsSentToTheOnlyEngine() {
         assertEquals(0, run(frame(9, 5, 4, ingress(create(buffer(), 3), 42, 13))));
-        ByteBuffer reply = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+        ByteBuffer reply = ByteBuffer.wrap(output.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(3, reply.getInt());
-        assertEquals(out.size() - 8, reply.getInt());
+        assertEquals(output.size() - 8, reply.getInt());
         assertEquals(4, reply.getInt());
         assertEquals(267, reply.getShort());
         assertEquals(3, reply.getInt());
@@ -91,63 +97,66 @@
     }
 
     @Test
-    void crashAndCreateInOneBatchStartAfresh() {
-        ByteBuffer again = buffer().putShort((short) 266).putInt(3).putShort((short) 258);
+    void crashAndCreateInOneBatchStartNewInstance() {
+        ByteBuffer secondBatch = buffer().putShort((short) 266).putInt(3).putShort((short) 258);
         assertEquals(
-                0, run(frame(9, 4, 1, create(buffer(), 3)), frame(10, 6, 2, create(again, 3))));
+                0,
+                run(frame(9, 4, 1, create(buffer(), 3)), frame(10, 6, 2, create(secondBatch, 3))));
         assertEquals("", errors.toString());
     }
 
     @Test
-    void unknownRecordIsNamed() {
+    void unknownRecordCodeIsReported() {
         assertEquals(1, run(frame(9, 1, 6, buffer().putShort((short) 999))));
         assertEquals("simhost: batch 6: unknown record code 999 at byte 16\n", errors.toString());
-        assertEquals(0, out.size());
+        assertEquals(0, output.size());
     }
 
     @Test
-    void unknownInstanceIsNamed() {
-        ByteBuffer b = buffer().putShort((short) 266).putInt(8).putShort((short) 256).putInt(1);
-        assertEquals(1, run(frame(9, 2, 6, b)));
+    void unknownInstanceIsReported() {
+        ByteBuffer body = buffer().putShort((short) 266).putInt(8).putShort((short) 256).putInt(1);
+        assertEquals(1, run(frame(9, 2, 6, body)));
         assertTrue(errors.toString().contains("unknown instance 8"));
     }
 
     @Test
-    void inputThatEndsInMidFrameFailsAfterWholeReplies() {
+    void truncatedInputFailsAfterCompleteReplies() {
         byte[] whole = frame(9, 0, 1, buffer());
         assertEquals(1, run(whole, new byte[] {16, 0, 0, 0, 1}));
         assertEquals("simhost: input ends in mid-frame: 1 of 16 bytes\n", errors.toString());
-        assertEquals(12, out.size());
+        assertEquals(12, output.size());
     }
 
     @Test
-    void shortRecordFails() {
+    void truncatedRecordFails() {
         assertEquals(1, run(frame(9, 1, 1, buffer().putShort((short) 266).put((byte) 1))));
         assertTrue(errors.toString().contains("ends inside a field"));
     }
 
     @Test
-    void settingsThatCannotWorkNameTheirKey() {
-        assertThrown("grades.count: missing", "a=b");
-        assertThrown(
+    void invalidSettingsAreReportedWithTheirKey() {
+        assertSettingsRejected("grades.count: missing", "a=b");
+        assertSettingsRejected(
                 "grades.0.deadline_s: not a number: x",
                 SETTINGS.replace("deadline_s=5", "deadline_s=x"));
-        assertThrown("grades.0.effect: unknown maybe", SETTINGS.replace("repeatable", "maybe"));
-        assertThrown("classes: none", SETTINGS.replace("grades.count=1", "grades.count=0"));
+        assertSettingsRejected(
+                "grades.0.effect: unknown maybe", SETTINGS.replace("repeatable", "maybe"));
+        assertSettingsRejected(
+                "classes: none", SETTINGS.replace("grades.count=1", "grades.count=0"));
     }
 
-    private static void assertThrown(String part, String text) {
+    private static void assertSettingsRejected(String expectedMessage, String text) {
         var e = assertThrows(IllegalArgumentException.class, () -> SettingsReader.read(text));
-        assertTrue(e.getMessage().contains(part), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
     void absentKeysTakeTheirDefaults() {
-        DecisionSettings s = SettingsReader.read(SETTINGS + "\ngrades.0.dcs_allowed=0,2");
-        assertEquals(Idempotency.IDEMPOTENT, s.queryClasses().get(0).idempotency());
-        assertEquals(Set.of(0, 2), s.queryClasses().get(0).allowedZones());
-        assertEquals(1, s.queryClasses().get(0).threads());
-        assertEquals(0, s.guarantees().retryBudgetWindowSeconds());
-        assertEquals(8, s.engineKinds().get(0).cores());
+        DecisionSettings settings = SettingsReader.read(SETTINGS + "\ngrades.0.dcs_allowed=0,2");
+        assertEquals(Idempotency.IDEMPOTENT, settings.queryClasses().get(0).idempotency());
+        assertEquals(Set.of(0, 2), settings.queryClasses().get(0).allowedZones());
+        assertEquals(1, settings.queryClasses().get(0).threads());
+        assertEquals(0, settings.guarantees().retryBudgetWindowSeconds());
+        assertEquals(8, settings.engineKinds().get(0).cores());
     }
 }
