--- a/src/main/java/junipercourse/pg/BackendMessageEncoder.java
+++ b/src/main/java/junipercourse/pg/BackendMessageEncoder.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Builds the messages that a server sends. */
+/** Encodes the protocol messages that a server sends. */
 final class BackendMessageEncoder {
     private static final int TEXT_OID = 25;
 
@@ -39,7 +39,7 @@
         return appendMessage('K', ByteBuffer.allocate(8).putInt(processId).putInt(secret).array());
     }
 
-    /** Says that only version 3.0 is spoken here, and which options are not known. */
+    /** Announces that only version 3.0 is supported, and which options are unknown. */
     BackendMessageEncoder negotiateProtocolVersion(List<String> unknownOptions) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         body.writeBytes(ByteBuffer.allocate(8).putInt(0).putInt(unknownOptions.size()).array());
@@ -65,7 +65,7 @@
         return appendMessage('E', body.toByteArray());
     }
 
-    /** A whole result of text columns: its description, its rows and its end. */
+    /** A complete result of text columns: row description, data rows and command completion. */
     BackendMessageEncoder resultSet(List<byte[]> pages, String... columnNames) {
         ByteArrayOutputStream description = new ByteArrayOutputStream();
         description.writeBytes(ByteBuffer.allocate(2).putShort((short) columnNames.length).array());
@@ -107,7 +107,7 @@
                 fieldEnd++;
             }
             body.putInt(fieldEnd - fieldStart).put(page, fieldStart, fieldEnd - fieldStart);
-            fieldStart = Math.min(fieldEnd + 1, rowEnd); // columns that are missing are empty
+            fieldStart = Math.min(fieldEnd + 1, rowEnd); // missing columns are empty
         }
         appendMessage('D', Arrays.copyOf(body.array(), body.position()));
     }
--- a/src/main/java/junipercourse/pg/CommentScanner.java
+++ b/src/main/java/junipercourse/pg/CommentScanner.java
@@ -1,12 +1,12 @@
 package junipercourse.pg;
 
-/** Where a statement's comments end. */
+/** Finds the ends of SQL comments. */
 final class CommentScanner {
     private CommentScanner() {}
 
     /**
-     * The place after the comment that opens here; comments nest. The end of the text if it stays
-     * open.
+     * Returns the index after the comment that starts at {@code commentStart}, or the length of the
+     * text if the comment is not closed. Comments nest.
      */
     static int endOfComment(String sql, int commentStart) {
         int depth = 0;
--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -11,18 +11,17 @@
 import junipercourse.net.LingeringClose;
 
 /**
- * The places that clients' connections hold: of sessions, and of those that we have ended and whose
- * clients have not. A place is given back in {@link #onConnectionClosing} alone, when its
- * descriptor is.
+ * The slots of client connections: of sessions, and of connections that this side has shut down and
+ * whose clients have not closed yet. A slot is released only in {@link #onConnectionClosing},
+ * together with its descriptor.
  */
 final class ConnectionSlots {
-    private static final int MAX_REJECTION_SLOTS =
-            24; // places from which clients are only told that there is none
-    private static final int REJECTION_SLOT_DIVISOR = 8; // of all places, where that is less
+    private static final int MAX_REJECTION_SLOTS = 24; // slots that only send a rejection
+    private static final int REJECTION_SLOT_DIVISOR = 8; // at most an eighth of all slots
     private static final double FIRST_QUERY_GRACE_SECONDS =
-            0.25; // a client that means to ask does so well within this
+            0.25; // active clients send their first query well within this
     private static final double IN_FLIGHT_GRACE_SECONDS =
-            0.06; // a query that crosses a close within 50 ms comes again
+            0.06; // clients resend a query that crossed a close within 50 ms
 
     private final EventLoop loop;
     private final DescriptorBudget.Share share;
@@ -47,7 +46,7 @@
         return sessions.all();
     }
 
-    /** How many sessions there are. */
+    /** Returns the number of sessions. */
     int sessionCount() {
         return sessions.size();
     }
@@ -56,28 +55,28 @@
         return sessions.findByLowerBits(processId);
     }
 
-    /** Whether all connections are closed. */
+    /** Returns whether all connections are closed. */
     boolean hasNoConnections() {
         return share.openCount() == 0;
     }
 
-    /** Whether a client whose connection we have ended has not been sent all that it was to get. */
+    /** Returns whether a lingering connection has bytes left that were not sent to its client. */
     boolean hasUnsentBytes() {
         return lingering.stream().anyMatch(LingeringClose::hasUnsentBytes);
     }
 
     /**
-     * Makes room for one that comes, if that can be; false if it is only to be told that there is
-     * none.
+     * Evicts sessions until a slot for a new session is free. Returns false if none can be freed
+     * and the client must be rejected.
      */
     boolean ensureSlotAvailable() {
         while (sessions.size() >= maxConnections - rejectionSlots && evictSession()) {
-            continue; // each round closes one, or finds that it has asked
+            continue; // each call closes a session or finds that it has sent a query
         }
         return sessions.size() < maxConnections - rejectionSlots;
     }
 
-    /** Takes one that has been accepted. */
+    /** Adds the session of an accepted connection. */
     void add(Session session) {
         session.slot = sessions.add(session);
         share.acquireUnconditionally();
@@ -86,9 +85,9 @@
     }
 
     /**
-     * Guards newcomers against those on their way out: the lobby's places are free of these. Were
-     * all places taken, some might wait unaccepted, and when what they have sent has come could not
-     * be told.
+     * Closes lingering connections that occupy rejection slots, so that new connections can be
+     * accepted. If all slots were taken, connections might wait unaccepted, and the arrival time of
+     * what their clients sent would be unknown.
      */
     private void freeRejectionSlots() {
         while (share.openCount() > maxConnections - rejectionSlots && !lingering.isEmpty()) {
@@ -97,18 +96,18 @@
     }
 
     /**
-     * While no more are accepted, others may have been there for long without being seen. The
-     * acceptor counts a connection until its descriptor is closed.
+     * Reports whether the acceptor has reached its limit: connections may then wait unaccepted for
+     * a long time. The acceptor counts a connection until its descriptor is closed.
      */
     private void updateBacklogged() {
         loop.setBacklogged(share.openCount() + share.closingCount() >= maxConnections);
     }
 
     /**
-     * Guards the clients that ask against those that only hold connections: closes the one that has
-     * been there for longest without ever asking, or else the one that has been idle for longest.
-     * False if there is none whose time is up: a client that waits for its answer is never closed
-     * for one that comes.
+     * Closes the session that has been connected for the longest time without any query, or else
+     * the one that has been idle for the longest time, so that clients that only hold connections
+     * do not keep out clients with queries. Returns false if no session is past its grace time. A
+     * session with an open query is never closed for a new connection.
      */
     private boolean evictSession() {
         double now = loop.responsiveSeconds();
@@ -118,14 +117,16 @@
                 && unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
             unusedSession.readPending();
             if (unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
-                unusedSession.closeWithError("57P05", "closed without a query, to make room");
+                unusedSession.closeWithError(
+                        "57P05", "closed without a query, to free a connection");
             }
             return true;
         }
         if (idleSession != null && idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
             idleSession.readPending();
             if (idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
-                idleSession.closeWithError("57P05", "closed after being idle, to make room");
+                idleSession.closeWithError(
+                        "57P05", "closed after being idle, to free a connection");
             }
             return true;
         }
@@ -136,14 +137,14 @@
         return sessions.all().stream().min(Comparator.comparingDouble(startSeconds)).orElse(null);
     }
 
-    /** The one place where a session's slot is given back. */
+    /** Removes a closed session. A session leaves the table only here. */
     void remove(Session session) {
         sessions.remove(session.slot);
     }
 
     /**
-     * Ends a session's connection in order. As many as the lobby holds may be on their way out at
-     * once.
+     * Closes a session's connection in an orderly way. At most as many connections as there are
+     * rejection slots may linger at once.
      */
     void closeLingering(Connection connection, byte[] finalMessage) {
         lingering.add(
@@ -159,11 +160,11 @@
         freeRejectionSlots();
     }
 
-    /** A connection's close is queued: the one place where its descriptor is given back. */
+    /** Releases the descriptor of a connection whose close is queued. Nothing else releases it. */
     void onConnectionClosing() {
         share.markClosing();
         loop.execute(
-                () -> { // the close has been queued before; the acceptor looks only after that
+                () -> { // runs after the queued close, before the acceptor's next check
                     share.markClosed();
                     updateBacklogged();
                 });
--- a/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
+++ b/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts a client's bytes, in whatever pieces they come, into start-up packets and messages. */
+/** Splits a client's byte stream into start-up packets and messages. */
 final class FrontendMessageDecoder {
-    static final int MAX_STARTUP_BYTES = 10_000; // what a PostgreSQL server takes
-    static final int MAX_MESSAGE_BYTES = 64 * 1024; // some hundred clients may send as much at once
+    static final int MAX_STARTUP_BYTES = 10_000; // as in a PostgreSQL server
+    static final int MAX_MESSAGE_BYTES = 64 * 1024; // for hundreds of clients at once
     private static final int MIN_BUFFER_BYTES = 512;
 
     private byte[] buffer = new byte[MIN_BUFFER_BYTES];
     private int readIndex;
     private int writeIndex;
 
-    /** Bytes that are no message. */
+    /** Thrown for bytes that are not a valid message. */
     static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /** A message: its type, or 0 for a start-up packet, and what follows the length. */
+    /** A message: its type, or 0 for a start-up packet, and the bytes after the length. */
     record Message(char type, byte[] body) {}
 
     void append(ByteBuffer bytes) {
@@ -42,17 +42,17 @@
         writeIndex += addedBytes;
     }
 
-    /** Bytes that no message has been cut from. */
+    /** Returns the number of bytes that are not yet part of a returned message. */
     int bufferedBytes() {
         return writeIndex - readIndex;
     }
 
-    /** The next start-up packet, or null if more bytes are needed. */
+    /** Returns the next start-up packet, or null if more bytes are needed. */
     Message nextStartupPacket() throws MalformedMessageException {
         return extract(0, MAX_STARTUP_BYTES, 8);
     }
 
-    /** The next message, or null if more bytes are needed. */
+    /** Returns the next message, or null if more bytes are needed. */
     Message nextMessage() throws MalformedMessageException {
         return extract(1, MAX_MESSAGE_BYTES, 4);
     }
@@ -64,7 +64,7 @@
         }
         long length = ByteBuffer.wrap(buffer).getInt(readIndex + typeBytes) & 0xffffffffL;
         if (length < minLength || length > maxLength) {
-            throw new MalformedMessageException("a message of " + length + " bytes");
+            throw new MalformedMessageException("invalid message length of " + length + " bytes");
         }
         int totalLength = typeBytes + (int) length;
         if (bufferedBytes() < totalLength) {
@@ -78,8 +78,7 @@
             readIndex = 0;
             writeIndex = 0;
             if (buffer.length > 16 * MIN_BUFFER_BYTES) {
-                buffer = new byte[MIN_BUFFER_BYTES]; // one large message is no reason to hold its
-                // room for good
+                buffer = new byte[MIN_BUFFER_BYTES]; // shrinks after a large message
             }
         }
         return new Message(type, body);
--- a/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
+++ b/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
@@ -1,6 +1,6 @@
 package junipercourse.pg;
 
-/** A query that cannot be taken as it is; the message names the field at fault. */
+/** Thrown for a query with an invalid field. The message names the field. */
 final class InvalidQueryFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/junipercourse/pg/PgProtocolHandler.java
+++ b/src/main/java/junipercourse/pg/PgProtocolHandler.java
@@ -11,8 +11,8 @@
 import junipercourse.core.StatusTables;
 
 /**
- * What one client says, message by message, and what it is told. It has one query open at most,
- * which is given up in {@link #onSessionClosed} or {@link #cancelQuery} and nowhere else.
+ * Handles the messages of one client and sends the replies. At most one query is open at a time;
+ * only {@link #onSessionClosed} and {@link #cancelQuery} abandon it.
  */
 final class PgProtocolHandler implements ResponseHandler {
     private static final Pattern SHOW_STATEMENT =
@@ -30,14 +30,12 @@
         this.session = session;
     }
 
-    /** Whether a query is open. */
+    /** Returns whether a query is open. */
     boolean hasOpenQuery() {
         return hasOpenQuery;
     }
 
-    // ---- what comes in ----
-
-    /** Takes one packet or message; false if more bytes are needed. */
+    /** Handles one packet or message. Returns false if more bytes are needed. */
     boolean handleNext(FrontendMessageDecoder decoder)
             throws FrontendMessageDecoder.MalformedMessageException {
         if (!started) {
@@ -70,7 +68,7 @@
 
     private void startSession(StartupPacket packet) {
         started = true;
-        if (session.isRejected()) { // what follows the start-up packet is answered by this, too
+        if (session.isRejected()) { // also answers a query right after the start-up packet
             server.counters().increment(Count.CLIENTS_TURNED_AWAY);
             session.closeWithError("53300", "too many clients" + server.holdoffSuffix());
             return;
@@ -93,7 +91,7 @@
                 server.counters().increment(Count.CLIENTS_GARBLED);
                 session.closeWithError(
                         "0A000",
-                        "only simple queries are taken here, no message of type "
+                        "only simple queries are supported, no message of type "
                                 + (int) message.type());
             }
         }
@@ -103,7 +101,7 @@
         session.onQueryReceived();
         if (body.length == 0 || body[body.length - 1] != 0) {
             server.counters().increment(Count.CLIENTS_GARBLED);
-            session.closeWithError("08P01", "a query without its end");
+            session.closeWithError("08P01", "query string is not null-terminated");
             return;
         }
         String text = new String(body, 0, body.length - 1, StandardCharsets.UTF_8);
@@ -119,9 +117,7 @@
                     new BackendMessageEncoder().resultSet(List.of(table.rows()), table.columns()));
             return;
         }
-        if (server
-                .isShuttingDown()) { // what comes this late may not be finished; elsewhere it does
-            // no harm
+        if (server.isShuttingDown()) { // might not finish; safe to retry elsewhere
             sendReply(errorResponse("57P03", PgServer.SHUTTING_DOWN));
             return;
         }
@@ -142,7 +138,7 @@
         }
     }
 
-    /** The client no longer wants its answer; it is told so, as a server would. */
+    /** Cancels the open query and reports this as a PostgreSQL server does. */
     void cancelQuery() {
         if (hasOpenQuery) {
             server.gateway().abandon(queryHandle);
@@ -150,8 +146,6 @@
         }
     }
 
-    // ---- what goes out ----
-
     @Override
     public boolean isClientWaiting() {
         session.readPending();
@@ -188,7 +182,7 @@
         return new BackendMessageEncoder().errorResponse("ERROR", code, reason);
     }
 
-    /** The session has ended: nobody waits for an answer any more. */
+    /** Abandons the open query, since its client has disconnected. */
     void onSessionClosed() {
         if (hasOpenQuery) {
             hasOpenQuery = false;
--- a/src/main/java/junipercourse/pg/PgServer.java
+++ b/src/main/java/junipercourse/pg/PgServer.java
@@ -14,18 +14,17 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** The front for clients that speak the PostgreSQL wire protocol. */
+/** Serves clients that speak the PostgreSQL wire protocol. */
 public final class PgServer {
-    private static final double SESSION_CHECK_INTERVAL_SECONDS =
-            0.1; // between looks for clients that have had their time
+    private static final double SESSION_CHECK_INTERVAL_SECONDS = 0.1;
     private static final double MAX_IDLE_SECONDS =
-            8.0; // clients close what is idle for half as long
+            8.0; // clients close connections that are idle for 4 s
     private static final double MAX_IDLE_WHEN_CROWDED_SECONDS =
-            0.5; // while clients have opened about all that they may
+            0.5; // over half of the slots are used: clients have few left to open
     private static final double MAX_IDLE_WITH_SIBLING_SECONDS =
-            0.25; // while another process shares what clients may open
+            0.25; // a sibling process shares the descriptors for clients
     private static final double IN_FLIGHT_GRACE_SECONDS =
-            0.06; // a query that crosses a close within 50 ms comes again
+            0.06; // clients resend a query that crossed a close within 50 ms
 
     static final String SHUTTING_DOWN = "the dispatcher is shutting down";
 
@@ -46,11 +45,11 @@
     private long bufferedBytes;
 
     /**
-     * @param share how many clients may be connected; the last few only to be told that there is no
-     *     place
-     * @param mostInput bounds the bytes that all clients together may have sent of unfinished
-     *     messages
-     * @param shows what operators may ask for on any session
+     * Creates a server that does not listen yet.
+     *
+     * @param share the number of clients that may be connected; the last slots only reject clients
+     * @param maxBufferedBytes maximum bytes of incomplete messages held for all clients together
+     * @param statusTables the tables that operators query with {@code SHOW} on any session
      */
     public PgServer(
             EventLoop loop,
@@ -75,12 +74,13 @@
         this.random = new SplittableRandom(seed);
     }
 
+    /** Opens the listening socket and starts the periodic check of sessions. */
     public void listen(InetSocketAddress address) throws IOException {
         listener = loop.listen(address, connectionSlots.maxConnections(), this::onAccepted);
         loop.scheduleAfter(SESSION_CHECK_INTERVAL_SECONDS, this::checkSessions);
     }
 
-    /** Listens on a socket that others accept from, too. */
+    /** Listens on a socket from which other processes accept as well. */
     public void listen(ServerSocketChannel sharedSocket) throws IOException {
         listener = loop.listen(sharedSocket, connectionSlots.maxConnections(), this::onAccepted);
         sharesSocket = true;
@@ -88,34 +88,34 @@
     }
 
     /**
-     * Another process runs beside this one: clients hold at most a third of all descriptors with
-     * both, and connections that rest here keep queries out there.
+     * Sets whether a sibling process runs. Clients hold at most a third of all descriptors with
+     * both processes together, so idle connections here prevent queries there.
      */
     public void setSiblingRunning(boolean running) {
         siblingRunning = running;
     }
 
-    /** Whether a client whose session has ended has not been sent all that it was to get. */
+    /** Returns whether a closed session has bytes left that were not sent to its client. */
     public boolean hasUnsentBytes() {
         return connectionSlots.hasUnsentBytes();
     }
 
-    /** Whether all connections of clients are closed. */
+    /** Returns whether all client connections are closed. */
     public boolean hasNoConnections() {
         return connectionSlots.hasNoConnections();
     }
 
-    /** Whether other processes accept from the same socket. */
+    /** Returns whether other processes accept from the same listening socket. */
     public boolean sharesSocket() {
         return sharesSocket;
     }
 
     /**
-     * Leaves all newcomers to the other processes that accept from the socket: what waits in the
-     * kernel's queue is theirs, what was accepted is ours. Clients of ours that rest are sent to
-     * them, those that have not asked yet get their time to.
+     * Stops accepting and leaves the kernel's accept queue to the other processes on this socket.
+     * Connections accepted before stay here. Idle ones are closed so that their clients reconnect
+     * to the other processes; those without a first query keep their time for it.
      *
-     * @param empty runs once no client is left, which takes as long as their queries do
+     * @param onIdle runs once no session is left, which takes as long as their queries do
      */
     public void stopAccepting(Runnable onIdle) {
         listener.suspendAccepts();
@@ -123,8 +123,8 @@
     }
 
     /**
-     * One look at all sessions in place of a deadline for each, which would keep those that have
-     * left.
+     * Checks the timeouts of all sessions. A timer for each session would keep closed sessions
+     * reachable until it fires.
      */
     private void checkSessions() {
         if (idleCallback != null && connectionSlots.sessionCount() == 0) {
@@ -133,13 +133,11 @@
         }
         loop.scheduleAfter(
                 SESSION_CHECK_INTERVAL_SECONDS,
-                this::checkSessions); // first of all, so that no fault in this look makes it
-        // the last
+                this::checkSessions); // first, so that an exception below does not end the checks
         double now = loop.responsiveSeconds();
         for (Session session : connectionSlots.sessions()) {
-            // Guards clients, which open no more than a third of the descriptors, against running
-            // out of
-            // connections because some hold theirs for good: what is idle gives way in time.
+            // Clients open at most a third of the descriptors. Closing idle sessions early keeps
+            // clients that hold their connections from using all of them.
             boolean crowded = connectionSlots.sessionCount() > connectionSlots.maxConnections() / 2;
             session.closeIfExpired(
                     now,
@@ -151,6 +149,7 @@
         }
     }
 
+    /** Returns the local address of the listening socket. */
     public InetSocketAddress address() {
         return listener.getLocalAddress(InetSocketAddress.class);
     }
@@ -166,21 +165,21 @@
     }
 
     /**
-     * From now on queries are refused. The task runs once all that have connected are sessions of
-     * ours.
+     * Starts to reject new queries. The task runs once all connections that are waiting on the
+     * listening socket have been accepted.
      */
     public void beginShutdown(Runnable onAllAccepted) {
         isShuttingDown = true;
-        if (sharesSocket) { // see InheritedSocket: that one is not closed
+        if (sharesSocket) { // an inherited socket stays open, see InheritedSocket
             onAllAccepted.run();
-        } else { // whoever the system has let in would be reset by the close
+        } else { // closing would reset connections that are not accepted yet
             loop.drainAndClose(listener, onAllAccepted);
         }
     }
 
     /**
-     * Ends all sessions in order; a query that lies unread on one is refused before, after {@link
-     * #end}.
+     * Closes all sessions with an orderly close. Unread queries are read first and rejected, if
+     * {@link #beginShutdown} was called before.
      */
     public void closeSessions() {
         for (Session session : connectionSlots.sessions()) {
@@ -193,25 +192,24 @@
         return isShuttingDown;
     }
 
-    /** What a refusal of this front's adds on when to come back. */
+    /** Returns the suffix of a rejection that tells the client when to reconnect, or "". */
     String holdoffSuffix() {
         return maxRetryAfterSeconds > 0
                 ? "; holdoff=" + Math.round(maxRetryAfterSeconds * 1000)
                 : "";
     }
 
-    /** A CancelRequest: the session's number and its secret must both be right. */
+    /** Handles a CancelRequest. Both the process id and the secret must match. */
     void cancel(int processId, int secret) {
         counters.increment(Count.CLIENTS_CANCELLED);
         Session session = connectionSlots.findByProcessId(processId);
         if (session != null && session.secret == secret) {
-            session.readPending(); // after a pause of ours, the query that it is for may lie there
-            // unread
+            session.readPending(); // after a stall, the query to cancel may still be unread
             session.cancelQuery();
         }
     }
 
-    /** Counts what a session holds of its client's bytes; false if all hold too much by now. */
+    /** Adds to the bytes held for all sessions. Returns false if they exceed the limit. */
     boolean addBufferedBytes(int delta) {
         bufferedBytes += delta;
         return bufferedBytes <= maxBufferedBytes;
--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -12,17 +12,16 @@
 import junipercourse.decision.api.QueryClass;
 import junipercourse.liveness.ArrivalInterval;
 
-/** Reads a query's fields from the comment before its statement. */
+/** Parses the query fields in the comment before a statement. */
 final class QueryFieldParser {
-    /**
-     * The statement is passed on unchanged, whatever its encoding: all that is read here is ASCII.
-     */
+    /** Keeps the statement's bytes in any encoding. Everything that is parsed here is ASCII. */
     private static final Charset BYTE_PRESERVING = StandardCharsets.ISO_8859_1;
 
-    private static final double TIMEOUT_ROUNDING_FACTOR = 1.02; // clients round their times
+    private static final double TIMEOUT_ROUNDING_FACTOR = 1.02; // clients round their timeouts
     private static final double MAX_WORK_DEADLINES =
-            100; // deadlines of work in a query: beyond, it is no estimate
-    private static final double MAX_MEMORY_MULTIPLE = 16; // engines' memory, likewise
+            100; // deadlines of work; more is not a plausible estimate
+    private static final double MAX_MEMORY_MULTIPLE =
+            16; // times the memory of the largest engine, likewise
 
     private final List<QueryClass> classes;
     private final Map<String, Integer> classIndexes = new HashMap<>();
@@ -45,7 +44,7 @@
         }
     }
 
-    /** Reads a query; {@code arrived} is when its last byte came. */
+    /** Parses a query; {@code arrival} is the arrival of its last byte. */
     Query parse(byte[] sql, ArrivalInterval arrival) throws InvalidQueryFieldException {
         String text = new String(sql, BYTE_PRESERVING);
         int commentStart = 0;
@@ -54,12 +53,12 @@
         }
         if (!text.startsWith("/*", commentStart)) {
             throw new InvalidQueryFieldException(
-                    "kind", "missing; no comment with fields stands before the statement");
+                    "kind", "missing; there is no comment with fields before the statement");
         }
         int commentEnd = CommentScanner.endOfComment(text, commentStart);
         if (!text.startsWith("*/", commentEnd - 2) || commentEnd - 4 < commentStart) {
             throw new InvalidQueryFieldException(
-                    "kind", "missing; the comment with the fields stays open");
+                    "kind", "missing; the comment with the fields is not closed");
         }
         Map<String, String> fields = parseFields(text.substring(commentStart + 2, commentEnd - 2));
         int statementStart = commentEnd;
@@ -96,8 +95,7 @@
         String id = requireField(fields, "req");
         parseHex("req", id, 16);
         double timeoutMillis = parseNumber("timeout", requireField(fields, "timeout"));
-        // Figures that cannot be meant are told rather than taken: they would mislead the module's
-        // means.
+        // Rejects implausible values, which would distort the averages of the decision module.
         requireInRange(
                 "timeout",
                 timeoutMillis,
@@ -191,7 +189,7 @@
         return Double.parseDouble(text);
     }
 
-    /** Short enough for a message, whatever the client sent. */
+    /** Quotes a value and shortens it for an error message. */
     private static String quote(String text) {
         return "'" + (text.length() > 40 ? text.substring(0, 40) + "…" : text) + "'";
     }
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -7,34 +7,27 @@
 import org.xnio.StreamConnection;
 
 /**
- * One client's connection: bounds what it holds of its client's bytes and for how long it waits for
- * them, and closes it, which always ends in {@link #release}. What the bytes say is the {@link
- * PgProtocolHandler}'s. The front owns the session and its slot.
+ * One client's connection: limits the bytes held for the client and the time to wait for them, and
+ * closes the connection, always through {@link #release}. {@link PgProtocolHandler} interprets the
+ * bytes. The server owns the session and its slot.
  */
 final class Session implements Connection.Handler {
-    private static final int TYPICAL_QUERY_BYTES =
-            4 * 1024; // a usual query: never closed for what others send
-    private static final int MAX_PIPELINED_BYTES =
-            16 * 1024; // held of a client that writes on while it waits
-    private static final int MAX_DISCARDED_BYTES =
-            1 << 20; // thrown away of what it writes beyond that
-    private static final int MAX_UNSENT_BYTES = 64 * 1024; // of answers that a client does not read
-    private static final double REJECTION_TIMEOUT_SECONDS =
-            0.3; // for one that finds no place, until its start-up packet
-    private static final double FIRST_QUERY_TIMEOUT_SECONDS =
-            2.4; // from connecting until the first query is whole
-    private static final double MESSAGE_TIMEOUT_SECONDS =
-            2.0; // from a later message's first byte to its last
-    private static final double WRITE_TIMEOUT_SECONDS =
-            3.0; // for a client to take some of what is sent to it
+    private static final int TYPICAL_QUERY_BYTES = 4 * 1024; // exempt from the shared limit
+    private static final int MAX_PIPELINED_BYTES = 16 * 1024; // sent during a query
+    private static final int MAX_DISCARDED_BYTES = 1 << 20; // sent beyond those
+    private static final int MAX_UNSENT_BYTES = 64 * 1024; // of unread results
+    private static final double REJECTION_TIMEOUT_SECONDS = 0.3; // until start-up
+    private static final double FIRST_QUERY_TIMEOUT_SECONDS = 2.4; // from connecting
+    private static final double MESSAGE_TIMEOUT_SECONDS = 2.0; // first to last byte
+    private static final double WRITE_TIMEOUT_SECONDS = 3.0; // without any progress
 
     private final PgServer server;
-    private final PgProtocolHandler protocolHandler;
+    private final PgProtocolHandler protocol;
     private final FrontendMessageDecoder decoder = new FrontendMessageDecoder();
     private final Connection connection;
     final int secret;
     long slot;
-    // Seconds attended: no gap of our own is held against the client.
+    // In responsive seconds, so that a stall of this process does not count against the client.
     private final double connectedAt;
     private double idleSince;
     private double incompleteSince = Double.POSITIVE_INFINITY;
@@ -50,14 +43,14 @@
     Session(StreamConnection streamConnection, PgServer server, int secret) {
         this.server = server;
         this.secret = secret;
-        this.protocolHandler = new PgProtocolHandler(server, this);
+        this.protocol = new PgProtocolHandler(server, this);
         connectedAt = server.loop().responsiveSeconds();
         idleSince = connectedAt;
         lastWriteProgress = connectedAt;
         this.connection = new Connection(server.loop(), streamConnection, this);
     }
 
-    /** There is no place for it: it is told so once it has said what it wants. */
+    /** No slot is free: rejects the client after its start-up packet. */
     void rejectAfterStartup() {
         isRejected = true;
     }
@@ -66,54 +59,47 @@
         return isRejected;
     }
 
-    /** Since when no query is open, for one that has asked before; never, as long as one is. */
+    /** Returns when the last query ended, or infinity before the first and during a query. */
     double idleSince() {
-        return protocolHandler.hasOpenQuery() || !hasQueried || closed
+        return protocol.hasOpenQuery() || !hasQueried || closed
                 ? Double.POSITIVE_INFINITY
                 : idleSince;
     }
 
-    /** Since when it is connected without having asked anything; never, once it has. */
+    /** Returns when a client without any query connected, or infinity after a query. */
     double unusedSince() {
         return hasQueried || closed ? Double.POSITIVE_INFINITY : connectedAt;
     }
 
-    /**
-     * Closes a session whose client has had its time: to ask, to end what it began, or to read.
-     * {@code now} is in seconds attended, as are all times here.
-     */
+    /** Closes the session if its client did not query, finish a message or read in time. */
     void closeIfExpired(double now, double maxIdleSeconds) {
         if (connection.unsentBytes() == 0 || connection.unsentBytes() != previousUnsentBytes) {
             lastWriteProgress = now;
             previousUnsentBytes = connection.unsentBytes();
         }
         if (now > lastWriteProgress + WRITE_TIMEOUT_SECONDS) {
-            closeImmediately(); // it would not read the reason either
+            closeImmediately(); // it would not read the error either
         } else if (isRejected && now > connectedAt + REJECTION_TIMEOUT_SECONDS) {
             closeWithError("53300", "too many clients");
         } else if (now > unusedSince() + FIRST_QUERY_TIMEOUT_SECONDS) {
-            closeWithError("57014", "no query came in time");
-        } else if (!protocolHandler.hasOpenQuery()
-                && now > incompleteSince + MESSAGE_TIMEOUT_SECONDS) {
-            closeWithError("08P01", "a message without its end");
+            closeWithError("57014", "no query was received in time");
+        } else if (!protocol.hasOpenQuery() && now > incompleteSince + MESSAGE_TIMEOUT_SECONDS) {
+            closeWithError("08P01", "message was not completed in time");
         } else if (now > idleSince() + maxIdleSeconds) {
             connection.readNow();
             boolean hasPartialMessage =
-                    connection.unsentBytes() > 0
-                            || decoder.bufferedBytes() > 0; // of an answer, or of a query
+                    connection.unsentBytes() > 0 || decoder.bufferedBytes() > 0; // result or query
             if (now > idleSince() + maxIdleSeconds && !hasPartialMessage) {
                 closeWithError("57P05", "closed after being idle");
             }
         }
     }
 
-    /** Guards a query that has come and was not read yet against the close of its idle session. */
+    /** Reads a query that has arrived, so that the session is not closed as idle before it. */
     void readPending() {
         connection.readNow();
     }
 
-    // ---- what comes in ----
-
     @Override
     public void received(ByteBuffer bytes) {
         idleSince = server.loop().responsiveSeconds();
@@ -127,12 +113,11 @@
     }
 
     /**
-     * Of bytes that come while a query is open, those that are held. Reading goes on beyond them,
-     * since only so the client's end is seen and its query given up; what is thrown away costs the
-     * session, later.
+     * Discards what exceeds the limit for bytes sent during a query. Reading goes on, since only
+     * that detects a disconnect and cancels the query. After a discard the session is closed later.
      */
     private ByteBuffer discardExcess(ByteBuffer bytes) {
-        if (discardedBytes > 0 || protocolHandler.hasOpenQuery()) {
+        if (discardedBytes > 0 || protocol.hasOpenQuery()) {
             int capacity =
                     discardedBytes > 0
                             ? 0
@@ -146,37 +131,37 @@
 
     private void closeForExcessInput() {
         server.counters().increment(Count.CLIENTS_GARBLED);
-        closeWithError("08P01", "too much was sent ahead of an answer");
+        closeWithError("08P01", "too much input was sent during a query");
     }
 
     private void processInput() {
         try {
             boolean progressed = true;
             while (progressed
-                    && !protocolHandler.hasOpenQuery()
+                    && !protocol.hasOpenQuery()
                     && !closed
                     && connection.unsentBytes() <= MAX_UNSENT_BYTES) {
-                progressed = protocolHandler.handleNext(decoder);
+                progressed = protocol.handleNext(decoder);
             }
             incompleteSince =
-                    decoder.bufferedBytes() == 0 || protocolHandler.hasOpenQuery()
+                    decoder.bufferedBytes() == 0 || protocol.hasOpenQuery()
                             ? Double.POSITIVE_INFINITY
                             : Math.min(incompleteSince, server.loop().responsiveSeconds());
             int growth = decoder.bufferedBytes() - reportedBufferedBytes;
             reportedBufferedBytes = decoder.bufferedBytes();
-            // Guards memory against many who each send the better part of a large message.
+            // Limits memory if many clients each send most of a large message.
             if (!closed
                     && !server.addBufferedBytes(growth)
                     && decoder.bufferedBytes() > TYPICAL_QUERY_BYTES) {
-                closeWithError("53200", "too much is held for unfinished messages");
+                closeWithError("53200", "too many bytes of incomplete messages are held");
                 return;
             }
-            if (discardedBytes > 0 && !progressed && !protocolHandler.hasOpenQuery() && !closed) {
-                closeForExcessInput(); // all that was held whole has been answered
+            if (discardedBytes > 0 && !progressed && !protocol.hasOpenQuery() && !closed) {
+                closeForExcessInput(); // all complete messages have been answered
                 return;
             }
             connection.setReadingEnabled(
-                    protocolHandler.hasOpenQuery()
+                    protocol.hasOpenQuery()
                             || discardedBytes > 0
                             || decoder.bufferedBytes()
                                     < FrontendMessageDecoder.MAX_MESSAGE_BYTES + 5);
@@ -186,42 +171,39 @@
         }
     }
 
-    /** A client that did not read its answers has caught up. */
+    /** Resumes processing after the client has read its results. */
     @Override
     public void flushed() {
         processInput();
     }
 
-    /** When the bytes that were taken last have come. */
+    /** Returns the arrival of the bytes received last. */
     ArrivalInterval arrival() {
         return arrival;
     }
 
-    /** A query is whole: what is held from now on is a part of the next. */
+    /** A query is complete: bytes held from now on belong to the next message. */
     void onQueryReceived() {
         hasQueried = true;
         incompleteSince = Double.POSITIVE_INFINITY;
     }
 
-    /** The client no longer wants the answer to what it has asked. */
     void cancelQuery() {
-        protocolHandler.cancelQuery();
+        protocol.cancelQuery();
     }
 
-    // ---- what goes out ----
-
     void write(byte[] bytes) {
         connection.write(bytes);
     }
 
-    /** Sends the answer to the query that was open. */
+    /** Sends the result of the query that was open. */
     void sendResponse(byte[] bytes) {
         idleSince = server.loop().responsiveSeconds();
         connection.write(bytes);
-        server.loop().execute(this::processInput); // a next query may have come already
+        server.loop().execute(this::processInput); // the next query may have arrived already
     }
 
-    /** Says why, and ends the session. */
+    /** Sends an error with the reason and closes the session. */
     void closeWithError(String code, String reason) {
         closeLingering(fatalMessage(code, reason));
     }
@@ -230,12 +212,10 @@
         return new BackendMessageEncoder().errorResponse("FATAL", code, reason).bytes();
     }
 
-    // ---- the end ----
-
     /**
-     * Ends the session by us, in order: last words, the end of what we send, and what the client
-     * sends until it has ended, too, is thrown away. That comes first of all, so that nothing lies
-     * between the last look for a query ({@link #readPending}) and this.
+     * Closes the session in an orderly way: sends a final message, shuts down the output and
+     * discards input until the client closes. The connection is closed before anything else, so
+     * that no query can arrive between the last read ({@link #readPending}) and this.
      */
     void closeLingering(byte[] finalMessage) {
         if (!closed) {
@@ -258,17 +238,17 @@
         }
     }
 
-    /** Closes at once, for a client that takes nothing any more. */
+    /** Closes at once, for a client that has stopped reading. */
     private void closeImmediately() {
         connection.close();
         disconnected();
     }
 
-    /** The one way out: gives back what is held, the open query and the slot, once. */
+    /** Releases the held bytes, the open query and the slot, once. Every close ends here. */
     private void release() {
         closed = true;
         server.addBufferedBytes(-reportedBufferedBytes);
-        protocolHandler.onSessionClosed();
+        protocol.onSessionClosed();
         server.connectionSlots().remove(this);
     }
 }
--- a/src/main/java/junipercourse/pg/StartupPacket.java
+++ b/src/main/java/junipercourse/pg/StartupPacket.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * What a client's start-up packet wants. It comes without a type, before any message, and more than
- * once where encryption is asked for first.
+ * A client's start-up packet. It has no type byte and precedes all messages. A client that requests
+ * encryption first sends more than one.
  *
- * @param minor of the protocol's version
- * @param unknown options of the protocol that are not known here
- * @param cancelled whose query is to be cancelled; null if the packet does not say it as it should
+ * @param minorVersion of the protocol
+ * @param unknownOptions protocol options that this server does not know
+ * @param cancelTarget the session whose query is to be cancelled; null if the packet is invalid
  */
 record StartupPacket(Kind kind, int minorVersion, List<String> unknownOptions, Key cancelTarget) {
     private static final int PROTOCOL_MAJOR = 3;
@@ -19,17 +19,17 @@
     private static final int SSL_REQUEST_CODE = 80877103;
     private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
 
-    /** To go on encrypted, to cancel another session's query, or to start this session. */
+    /** Requests encryption, cancels another session's query, or starts this session. */
     enum Kind {
         ENCRYPTION,
         CANCEL,
         START
     }
 
-    /** A session's number and its secret. */
+    /** A session's process id and its secret. */
     record Key(int processId, int secret) {}
 
-    /** Reads what follows the packet's length, four bytes or more. */
+    /** Parses the bytes after the packet's length; there are at least four. */
     static StartupPacket parse(byte[] body)
             throws FrontendMessageDecoder.MalformedMessageException {
         ByteBuffer packet = ByteBuffer.wrap(body);
@@ -43,11 +43,7 @@
             return parseStart(code & 0xffff, packet);
         }
         throw new FrontendMessageDecoder.MalformedMessageException(
-                "protocol version "
-                        + (code >>> 16)
-                        + "."
-                        + (code & 0xffff)
-                        + " is not spoken here");
+                "protocol version " + (code >>> 16) + "." + (code & 0xffff) + " is not supported");
     }
 
     private static StartupPacket parseStart(int minorVersion, ByteBuffer packet)
@@ -74,7 +70,7 @@
         return new StartupPacket(Kind.START, minorVersion, unknownOptions, null);
     }
 
-    /** What a session that starts is told, with the key that its query can be cancelled by. */
+    /** Returns the messages that start a session, with the key to cancel its queries. */
     BackendMessageEncoder greetingMessages(Key key) {
         BackendMessageEncoder encoder = new BackendMessageEncoder();
         if (minorVersion > 0 || !unknownOptions.isEmpty()) {
--- a/src/main/java/junipercourse/pg/TableGroupExtractor.java
+++ b/src/main/java/junipercourse/pg/TableGroupExtractor.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Finds a statement's group of tables: the number after the underscore in the name of the schema
- * that it reads or writes, as 17 in {@code sales_17.orders}. Comments, strings and the schema
- * {@code staging} do not count, nor do columns written with the name of their table.
+ * Extracts a statement's table group: the number after the last underscore in the name of the
+ * schema that it reads or writes, such as 17 in {@code sales_17.orders}. Comments, strings, the
+ * schema {@code staging} and columns qualified with a table name are ignored.
  */
 final class TableGroupExtractor {
     private static final Set<String> TABLE_KEYWORDS =
@@ -22,7 +22,7 @@
         this.sql = sql;
     }
 
-    /** The group, or 0 if the statement names none. */
+    /** Returns the group, or 0 if the statement names none. */
     static float extractGroup(String sql) {
         TableGroupExtractor extractor = new TableGroupExtractor(sql);
         extractor.tokenize();
@@ -32,7 +32,7 @@
     }
 
     private Float findGroup(boolean afterKeyword) {
-        boolean inTableList = false; // a comma goes on with a list of tables
+        boolean inTableList = false; // a comma continues a table list
         for (int i = 0; i + 2 < tokens.size(); i++) {
             boolean qualified =
                     isIdentifier(i)
@@ -44,7 +44,7 @@
                     TABLE_KEYWORDS.contains(previousToken.toLowerCase(Locale.ROOT))
                             || previousToken.equals(",") && inTableList;
             if (qualified && (isTablePosition || !afterKeyword)) {
-                // of three parts the first names the database
+                // the first of three parts is the database
                 boolean hasDatabaseName =
                         i + 4 < tokens.size()
                                 && tokens.get(i + 3).equals(".")
@@ -135,13 +135,13 @@
                 if (position >= sql.length() || sql.charAt(position) != quote) {
                     return;
                 }
-                position++; // doubled: part of the text
+                position++; // a doubled quote is part of the text
             }
         }
         position = sql.length();
     }
 
-    /** Passes a text quoted as {@code $tag$…$tag$}; false if a dollar sign begins none. */
+    /** Skips a text quoted as {@code $tag$…$tag$}. Returns false if none starts here. */
     private boolean skipDollarQuoted() {
         int i = position + 1;
         while (i < sql.length() && isWordPart(sql.charAt(i)) && sql.charAt(i) != '$') {
--- a/src/main/java/junipercourse/product/FleetConfigReader.java
+++ b/src/main/java/junipercourse/product/FleetConfigReader.java
@@ -14,8 +14,8 @@
 import org.xml.sax.helpers.DefaultHandler;
 
 /**
- * Makes the fleet's part from the elements that the schema has let through; defaults are given
- * here.
+ * Builds the fleet configuration from the elements of a file that the schema has validated, and
+ * supplies the defaults.
  */
 final class FleetConfigReader extends DefaultHandler {
     private static final RateLimits DEFAULT_RATE_LIMITS =
@@ -30,7 +30,7 @@
         this.errors = errors;
     }
 
-    /** The part, or null if the file has none. */
+    /** Returns the fleet configuration, or null if the file has none. */
     FleetConfig fleet() {
         return fleet;
     }
--- a/src/main/java/junipercourse/product/InvalidProductFileException.java
+++ b/src/main/java/junipercourse/product/InvalidProductFileException.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A product file that cannot be used, with all that is wrong in it: {@code file:line:column:
- * element: what}.
+ * Thrown for an invalid product file, with all of its errors: {@code file:line:column: element:
+ * problem}.
  */
 public final class InvalidProductFileException extends Exception {
     private static final long serialVersionUID = 1;
@@ -15,7 +15,7 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** One line each, in the file's order. */
+    /** Returns the errors in file order, one line each. */
     public List<String> errors() {
         return errors;
     }
--- a/src/main/java/junipercourse/product/Product.java
+++ b/src/main/java/junipercourse/product/Product.java
@@ -3,8 +3,8 @@
 import junipercourse.fleet.FleetConfig;
 
 /**
- * What is set in the product file: what the platform's configuration does not know of.
+ * The settings of the product file, which the platform's configuration does not contain.
  *
- * @param fleet null if this dispatcher is to know of no others
+ * @param fleet null if this dispatcher runs without a fleet
  */
 public record Product(FleetConfig fleet) {}
--- a/src/main/java/junipercourse/product/ProductReader.java
+++ b/src/main/java/junipercourse/product/ProductReader.java
@@ -20,12 +20,12 @@
 import org.xml.sax.XMLReader;
 
 /**
- * Reads a product file with the JDK's parser and the schema in the jar. No document type, no
- * outside entity and no more than {@link #MAX_BYTES} are taken. All faults are told at once; of a
- * file with any, nothing is used.
+ * Reads a product file with the JDK's XML parser and the schema in the jar. Rejects document types,
+ * external entities and files of more than {@link #MAX_BYTES}. All errors are reported together,
+ * and nothing of an invalid file is used.
  */
 public final class ProductReader {
-    /** Longest file that is read. */
+    /** Maximum size of a product file. */
     public static final int MAX_BYTES = 1 << 20;
 
     private static final String SCHEMA = "product.xsd";
@@ -35,9 +35,9 @@
     private ProductReader() {}
 
     /**
-     * Reads and checks it.
+     * Reads and validates a product file.
      *
-     * @throws InvalidProductFileException with all that is wrong
+     * @throws InvalidProductFileException with all errors in the file
      */
     public static Product read(String file) throws InvalidProductFileException {
         byte[] bytes;
@@ -68,7 +68,8 @@
             reader.parse(new InputSource(new ByteArrayInputStream(bytes)));
         } catch (SAXParseException e) {
             if (errors.errors().isEmpty()) {
-                throw new IllegalStateException(e); // each is told before it is thrown
+                throw new IllegalStateException(
+                        e); // the error handler records each before it is thrown
             }
         } catch (SAXException | ParserConfigurationException | IOException e) {
             throw new InvalidProductFileException(
@@ -95,8 +96,7 @@
         factory.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
         URL schema = ProductReader.class.getResource(SCHEMA);
         ValidatorHandler validator = factory.newSchema(schema).newValidatorHandler();
-        validator.setProperty(
-                LOCALE, Locale.ENGLISH); // the messages are read by SchemaErrorCollector
+        validator.setProperty(LOCALE, Locale.ENGLISH); // SchemaErrorCollector parses the messages
         return validator;
     }
 }
--- a/src/main/java/junipercourse/product/SchemaErrorCollector.java
+++ b/src/main/java/junipercourse/product/SchemaErrorCollector.java
@@ -15,9 +15,9 @@
 import org.xml.sax.helpers.XMLFilterImpl;
 
 /**
- * Stands before the schema's validator, so that a fault is told with the element it stands in, and
- * gathers faults up to a bound. The validator tells one wrong value twice: as a value of its type,
- * then as that attribute's; only the second is told, with what would be right.
+ * Collects errors up to a limit. It filters the events before the schema's validator, so that it
+ * can name the element of each error. The validator reports an invalid value twice: as a value of
+ * its type, then as the attribute's value. Only the second is collected, with the expected format.
  */
 final class SchemaErrorCollector extends XMLFilterImpl implements ErrorHandler {
     private static final int MAX_ERRORS = 50;
@@ -69,7 +69,7 @@
         openElements.pop();
     }
 
-    /** Adds a fault at the place being read. */
+    /** Adds an error at the current position of the parser. */
     void add(String problem) {
         add(locator.getLineNumber(), locator.getColumnNumber(), problem);
     }
@@ -87,7 +87,7 @@
                             + ": "
                             + problem);
         } else if (errors.size() == MAX_ERRORS) {
-            errors.add(file + ": there are more faults than these " + MAX_ERRORS);
+            errors.add(file + ": there are more errors than these " + MAX_ERRORS);
         }
     }
 
@@ -115,7 +115,7 @@
         add(
                 e.getLineNumber(),
                 e.getColumnNumber(),
-                "no well-formed XML, or more than is allowed: " + e.getMessage());
+                "not well-formed XML, or not allowed: " + e.getMessage());
         throw e;
     }
 
@@ -124,7 +124,7 @@
         error(e);
     }
 
-    /** All in the file's order. */
+    /** Returns all errors in file order. */
     List<String> errors() {
         return errors;
     }
--- a/src/main/java/junipercourse/product/UnitParser.java
+++ b/src/main/java/junipercourse/product/UnitParser.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Values with their units, such as {@code 250ms}, {@code 64KB/s} and {@code 2000/s}. */
+/** Parses values with units, such as {@code 250ms}, {@code 64KB/s} and {@code 2000/s}. */
 final class UnitParser {
     private static final Map<String, Double> SECONDS_PER_UNIT =
             Map.of("ms", 1e-3, "s", 1.0, "min", 60.0, "h", 3600.0);
@@ -11,17 +11,17 @@
 
     private UnitParser() {}
 
-    /** A time in seconds; an IllegalArgumentException says what would be right. */
+    /** Returns a time in seconds. The message of an IllegalArgumentException names the format. */
     static double seconds(String text) {
         return parse(text, SECONDS_PER_UNIT, "a time, such as 250ms, 1.5s, 2min or 1h");
     }
 
-    /** Bytes a second. */
+    /** Returns a rate in bytes per second. */
     static double bytesPerSecond(String text) {
         return parse(text, BYTES_PER_UNIT, "a rate, such as 900B/s, 64KB/s or 1MB/s");
     }
 
-    /** A count a second. */
+    /** Returns a rate per second. */
     static double perSecond(String text) {
         return parse(text, Map.of("/s", 1.0), "a rate, such as 2000/s");
     }
@@ -39,7 +39,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // falls through to the message below, which says what was expected
+            // reported below together with the expected format
         }
         throw new IllegalArgumentException(
                 "'" + text + "' is not above 0 or has no unit; right would be " + expected);
--- a/src/main/java/junipercourse/sim/SimHost.java
+++ b/src/main/java/junipercourse/sim/SimHost.java
@@ -25,9 +25,7 @@
 import junipercourse.decision.api.RequestId;
 import junipercourse.sim.Wire.WireException;
 
-/**
- * Hosts instances of the module on the simulator's wire: frames in, calls; calls back, frames out.
- */
+/** Runs instances of the decision module for the simulator, over its wire protocol. */
 public final class SimHost {
     private static final int HEADER_BYTES = 16;
 
@@ -42,7 +40,7 @@
         this.errors = errors;
     }
 
-    /** Answers batches until the input ends; returns the exit code. */
+    /** Processes batches until the input ends. Returns the exit code. */
     public int run(InputStream input, OutputStream output) {
         try {
             ByteArrayOutputStream replyFrame = new ByteArrayOutputStream(4096);
@@ -62,15 +60,14 @@
     }
 
     private static byte[] readFrame(InputStream input) throws IOException {
-        byte[] lengthBytes = input.readNBytes(4);
-        if (lengthBytes.length == 0) {
+        byte[] header = input.readNBytes(4);
+        if (header.length == 0) {
             return null;
         }
-        if (lengthBytes.length < 4) {
+        if (header.length < 4) {
             throw new WireException("input ends inside a frame's length");
         }
-        long length =
-                ByteBuffer.wrap(lengthBytes).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
+        long length = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
         if (length < HEADER_BYTES || length > Integer.MAX_VALUE - 16) {
             throw new WireException("frame length " + length + " is out of range");
         }
@@ -82,24 +79,20 @@
         return body;
     }
 
-    private void processBatch(WireReader reader, ByteArrayOutputStream replyFrame) {
-        double now = reader.f64();
-        long recordCount = reader.u32();
-        long batch = reader.u32();
+    private void processBatch(WireReader in, ByteArrayOutputStream replyFrame) {
+        double now = in.f64();
+        long recordCount = in.u32();
+        long batch = in.u32();
         reply.begin();
         changedInstances.clear();
         targetInstance = -1;
         try {
             for (long i = 0; i < recordCount; i++) {
-                handleRecord(reader, now, batch);
+                handleRecord(in, now, batch);
             }
-            if (reader.remaining() > 0) {
+            if (in.remaining() > 0) {
                 throw new WireException(
-                        "batch "
-                                + batch
-                                + ": "
-                                + reader.remaining()
-                                + " bytes after the last record");
+                        "batch " + batch + ": " + in.remaining() + " bytes after the last record");
             }
             for (long id : changedInstances) {
                 TagsDispatcher dispatcher = instances.get(id);
@@ -117,18 +110,18 @@
         reply.finish(batch, replyFrame);
     }
 
-    private void handleRecord(WireReader reader, double now, long batch) {
-        int offset = reader.position();
-        int code = reader.u16();
+    private void handleRecord(WireReader in, double now, long batch) {
+        int pos = in.position();
+        int code = in.u16();
         switch (code) {
             case Wire.TARGET_INSTANCE -> {
-                targetInstance = reader.u32();
+                targetInstance = in.u32();
                 reply.selectInstance(targetInstance);
             }
-            case Wire.LEDGER -> endpointLists.put((int) reader.u32(), reader.endpointList());
-            case Wire.CREATE -> createInstance(reader);
+            case Wire.LEDGER -> endpointLists.put((int) in.u32(), in.endpointList());
+            case Wire.CREATE -> createInstance(in);
             case Wire.CRASH_NOW -> {
-                requireInstance(code, offset, batch);
+                requireInstance(code, pos, batch);
                 instances.remove(targetInstance);
             }
             case Wire.FIRED,
@@ -140,31 +133,24 @@
                     Wire.ROSTER_CHANGE,
                     Wire.NOTICE,
                     Wire.ABANDONED ->
-                    handleEvent(code, reader, now, requireInstance(code, offset, batch));
+                    handleEvent(code, in, now, requireInstance(code, pos, batch));
             default ->
                     throw new WireException(
-                            "batch "
-                                    + batch
-                                    + ": unknown record code "
-                                    + code
-                                    + " at byte "
-                                    + offset);
+                            "batch " + batch + ": unknown record code " + code + " at byte " + pos);
         }
     }
 
-    private void createInstance(WireReader reader) {
+    private void createInstance(WireReader in) {
         if (targetInstance < 0) {
-            throw new WireException(
-                    "Create before any TargetInstance at byte " + reader.position());
+            throw new WireException("Create before any TargetInstance at byte " + in.position());
         }
-        long seed = reader.u64();
-        String settingsText = new String(reader.bytes(), StandardCharsets.UTF_8);
+        long seed = in.u64();
+        String text = new String(in.bytes(), StandardCharsets.UTF_8);
         markChanged();
-        instances.put(
-                targetInstance, new TagsDispatcher(SettingsReader.read(settingsText), seed, reply));
+        instances.put(targetInstance, new TagsDispatcher(SettingsReader.read(text), seed, reply));
     }
 
-    private TagsDispatcher requireInstance(int code, int offset, long batch) {
+    private TagsDispatcher requireInstance(int code, int pos, long batch) {
         TagsDispatcher dispatcher = instances.get(targetInstance);
         if (dispatcher == null) {
             throw new WireException(
@@ -173,7 +159,7 @@
                             + ": record "
                             + code
                             + " at byte "
-                            + offset
+                            + pos
                             + " for unknown instance "
                             + targetInstance);
         }
@@ -185,48 +171,48 @@
         changedInstances.add(targetInstance);
     }
 
-    private void handleEvent(int code, WireReader reader, double now, TagsDispatcher dispatcher) {
+    private void handleEvent(int code, WireReader in, double now, TagsDispatcher dispatcher) {
         switch (code) {
-            case Wire.FIRED -> dispatcher.timerFired(now, reader.u32());
+            case Wire.FIRED -> dispatcher.timerFired(now, in.u32());
             case Wire.FIRST_BYTE -> {
-                RequestId id = new RequestId(reader.u64());
-                int attempt = reader.u8();
-                EngineId engine = new EngineId(reader.u32());
-                reader.f64();
+                RequestId id = new RequestId(in.u64());
+                int attempt = in.u8();
+                EngineId engine = new EngineId(in.u32());
+                in.f64();
                 dispatcher.responseStarted(now, id, attempt, engine);
             }
-            case Wire.INGRESS -> dispatcher.requestReceived(now, readRequest(reader));
+            case Wire.INGRESS -> dispatcher.requestReceived(now, readRequest(in));
             case Wire.PROBE_DONE -> {
-                AttemptOutcome outcome = Wire.outcome(reader.u16());
-                double seconds = reader.f64();
+                AttemptOutcome outcome = Wire.outcome(in.u16());
+                double seconds = in.f64();
                 dispatcher.probeCompleted(
-                        now, new EngineId(reader.u32()), outcome, seconds, reader.loadReport());
+                        now, new EngineId(in.u32()), outcome, seconds, in.loadReport());
             }
-            case Wire.ATTEMPT_END -> dispatcher.attemptEnded(now, readAttemptResult(reader));
+            case Wire.ATTEMPT_END -> dispatcher.attemptEnded(now, readAttemptResult(in));
             case Wire.PEER_DATA ->
-                    dispatcher.peerMessageReceived(now, (int) reader.u32(), reader.shortBytes());
-            case Wire.ROSTER_CHANGE -> handleEndpointUpdate(reader, now, dispatcher);
-            case Wire.NOTICE -> handleProgress(reader, now, dispatcher);
-            case Wire.ABANDONED -> dispatcher.requestAbandoned(now, new RequestId(reader.u64()));
+                    dispatcher.peerMessageReceived(now, (int) in.u32(), in.shortBytes());
+            case Wire.ROSTER_CHANGE -> handleEndpointUpdate(in, now, dispatcher);
+            case Wire.NOTICE -> handleProgress(in, now, dispatcher);
+            case Wire.ABANDONED -> dispatcher.requestAbandoned(now, new RequestId(in.u64()));
             default -> throw new IllegalStateException("record " + code);
         }
     }
 
-    private static QueryRequest readRequest(WireReader reader) {
-        RequestId id = new RequestId(reader.u64());
-        int flags = reader.u8();
-        int tenant = (int) reader.u32();
-        float group = reader.f32();
-        double deadline = reader.f64();
-        long key = reader.u64();
-        int queryClass = reader.u16();
-        double memoryMb = reader.f32();
-        double costSeconds = reader.f64();
+    private static QueryRequest readRequest(WireReader in) {
+        RequestId id = new RequestId(in.u64());
+        int flags = in.u8();
+        int tenant = (int) in.u32();
+        float group = in.f32();
+        double deadlineAt = in.f64();
+        long key = in.u64();
+        int queryClass = in.u16();
+        double memoryMb = in.f32();
+        double costSeconds = in.f64();
         return new QueryRequest(
                 id,
                 queryClass,
                 tenant,
-                deadline,
+                deadlineAt,
                 key,
                 group,
                 (flags & 1) != 0 ? costSeconds : Double.NaN,
@@ -234,14 +220,14 @@
                 (flags & 2) != 0);
     }
 
-    private static AttemptResult readAttemptResult(WireReader reader) {
-        RequestId id = new RequestId(reader.u64());
-        int attempt = reader.u8();
-        EngineId engine = new EngineId(reader.u32());
-        AttemptOutcome outcome = Wire.outcome(reader.u16());
-        double seconds = reader.f64();
-        boolean requestCompleted = reader.flag();
-        long note = reader.u32();
+    private static AttemptResult readAttemptResult(WireReader in) {
+        RequestId id = new RequestId(in.u64());
+        int attempt = in.u8();
+        EngineId engine = new EngineId(in.u32());
+        AttemptOutcome outcome = Wire.outcome(in.u16());
+        double seconds = in.f64();
+        boolean requestCompleted = in.flag();
+        long note = in.u32();
         return new AttemptResult(
                 id,
                 attempt,
@@ -251,13 +237,13 @@
                 requestCompleted,
                 Wire.costSeconds(note),
                 Wire.memoryMb(note),
-                reader.loadReport());
+                in.loadReport());
     }
 
-    private void handleEndpointUpdate(WireReader reader, double now, TagsDispatcher dispatcher) {
-        int mode = reader.u8();
-        reader.u32();
-        int listId = (int) reader.u32();
+    private void handleEndpointUpdate(WireReader in, double now, TagsDispatcher dispatcher) {
+        int mode = in.u8();
+        in.u32();
+        int listId = (int) in.u32();
         EndpointUpdateKind kind =
                 switch (mode) {
                     case 0 -> EndpointUpdateKind.FULL;
@@ -274,12 +260,12 @@
         dispatcher.endpointsChanged(now, kind, entries);
     }
 
-    private static void handleProgress(WireReader reader, double now, TagsDispatcher dispatcher) {
-        RequestId id = new RequestId(reader.u64());
-        int attempt = reader.u8();
-        reader.u32();
-        int kind = reader.u8();
-        double value = reader.f32();
+    private static void handleProgress(WireReader in, double now, TagsDispatcher dispatcher) {
+        RequestId id = new RequestId(in.u64());
+        int attempt = in.u8();
+        in.u32();
+        int kind = in.u8();
+        double value = in.f32();
         if (kind >= 1 && kind <= 3) {
             dispatcher.attemptProgressed(now, id, attempt, ProgressKind.values()[kind - 1], value);
         }
--- a/src/main/java/junipercourse/sim/Wire.java
+++ b/src/main/java/junipercourse/sim/Wire.java
@@ -4,8 +4,8 @@
 import junipercourse.decision.api.EngineStage;
 
 /**
- * The wire's numbers and what they stand for. {@link WireReader} reads its bytes, {@link
- * WireWriter} writes them.
+ * Codes of the simulator's wire protocol and their meanings. {@link WireReader} reads the fields,
+ * {@link WireWriter} writes them.
  */
 final class Wire {
     static final int FIRED = 256;
@@ -26,7 +26,7 @@
 
     private Wire() {}
 
-    /** Input that is not what the wire allows; the text says what and where. */
+    /** Thrown for invalid input. The message names the problem and its position. */
     static final class WireException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/junipercourse/sim/WireReader.java
+++ b/src/main/java/junipercourse/sim/WireReader.java
@@ -7,7 +7,7 @@
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.EngineListing;
 
-/** Reads the fields of one batch's body, past the length. */
+/** Reads the fields of one batch, after its length. */
 final class WireReader {
     private final ByteBuffer buffer;
 
--- a/src/main/java/junipercourse/sim/WireWriter.java
+++ b/src/main/java/junipercourse/sim/WireWriter.java
@@ -8,7 +8,7 @@
 import junipercourse.decision.api.EngineId;
 import junipercourse.decision.api.RequestId;
 
-/** Collects one reply. Actions are written for the instance named by {@link #selectInstance}. */
+/** Writes one reply. Actions belong to the instance selected by {@link #selectInstance}. */
 final class WireWriter implements DispatcherActions {
     private static final int MAX_TEXT_BYTES = 65535;
 
--- a/src/test/java/junipercourse/pg/BackendMessageBytesTest.java
+++ b/src/test/java/junipercourse/pg/BackendMessageBytesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Holds the bytes of each message that is sent to clients. */
+/** Fixes the bytes of each message that is sent to clients. */
 class BackendMessageBytesTest {
     private static String hex(BackendMessageEncoder messages) {
         return HexFormat.of().formatHex(messages.bytes());
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Closes by either side that cross something else; the dispatcher's thread is held to force it. */
+/** Closes by either side that cross queries or cancels. Blocking the event loop forces the race. */
 class ConnectionCloseTest {
     private static final String SERVED = "T D(a b c) C(SELECT 1)";
     private static final String SHUTTING_DOWN = "E(57P03 the dispatcher is shutting down)";
     private static final String CANCELLED = "E(57014 canceling statement due to user request)";
 
-    /** A client that has left is given this long to be noticed, on a busy machine. */
+    /** Time in which a disconnected client is detected, on a busy machine. */
     private static final long DISCONNECT_DETECTION_MILLIS = 1000;
 
     private final SocketTestSupport support;
@@ -57,9 +57,7 @@
 
     // ---- the listening socket ----
 
-    /**
-     * Those that the system let in before the listening socket closed are ours: refused, not reset.
-     */
+    /** Connections that the kernel accepted before the close get an error, not a reset. */
     @Test
     void clientsInListenBacklogAreRefusedOnShutdown() throws Exception {
         Runnable release = support.blockLoop();
@@ -78,7 +76,7 @@
         assertEquals(0, engine.countCalls("POST"));
     }
 
-    /** At the end all sessions are ended in order, after a look for what came on them meanwhile. */
+    /** Shutdown reads each session once more before its orderly close and rejects late queries. */
     @Test
     void queryUnreadWhenSessionsCloseIsRefused() throws Exception {
         Client querying = support.connectClient().startSession();
@@ -98,19 +96,16 @@
         assertEquals(0, engine.countCalls("POST"));
     }
 
-    // ---- closes of ours ----
+    // ---- closes by the server ----
 
-    /**
-     * No message, an over-long one, one of a kind that is not spoken, from a client that only
-     * writes.
-     */
+    /** Invalid, oversized and unsupported messages, from a client that writes without reading. */
     @ParameterizedTest
     @CsvSource({
-        "start 51ffffffff, 08P01 a message of 4294967295 bytes",
-        "start 0000000000, 08P01 a message of 0 bytes",
-        "start 5000000004, '0A000 only simple queries are taken here, no message of type 80'",
-        "7fffffff00030000, 08P01 a message of 2147483647 bytes",
-        "474554202f20485454502f312e31, 08P01 a message of 1195725856 bytes"
+        "start 51ffffffff, 08P01 invalid message length of 4294967295 bytes",
+        "start 0000000000, 08P01 invalid message length of 0 bytes",
+        "start 5000000004, '0A000 only simple queries are supported, no message of type 80'",
+        "7fffffff00030000, 08P01 invalid message length of 2147483647 bytes",
+        "474554202f20485454502f312e31, 08P01 invalid message length of 1195725856 bytes"
     })
     void clientSendingInvalidMessageGetsErrorAndOrderlyClose(String hex, String error)
             throws Exception {
@@ -124,15 +119,15 @@
                         client.write(
                                 HexFormat.of().parseHex(hex.replace("start ", "")),
                                 new byte[300_000]));
-        SocketTestSupport.sleepMillis(50); // more than one read's worth lies there
+        SocketTestSupport.sleepMillis(50); // more than one read is pending
         release.run();
         assertEquals("E(" + error + ") closed=true", client.readAnswer());
         assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
     /**
-     * What comes after our end of the connection is thrown away, and holds one descriptor for a
-     * second.
+     * Input after the server's shutdown of the connection is discarded, and occupies one descriptor
+     * for a second.
      */
     @Test
     void queryAfterServerCloseReachesNoEngine() throws Exception {
@@ -144,15 +139,15 @@
         assertEquals(
                 usedBefore + 1,
                 support.descriptorBudget.used(),
-                "it counts as a client's until it is closed");
+                "the connection counts as a client's until it is closed");
         assertEquals(-1, client.socket.getInputStream().read(), "no reset");
         SocketTestSupport.await(() -> support.descriptorBudget.used() == usedBefore, 3000);
         assertEquals(0, engine.countCalls("POST"));
     }
 
     /**
-     * An end without a word of ours is told at once, too: of three, none waits for the bound of a
-     * second.
+     * A close without a final message takes effect at once: none of three waits for the linger
+     * timeout of a second.
      */
     @Test
     void cancelRequestConnectionIsClosedImmediately() throws Exception {
@@ -164,7 +159,7 @@
         assertTrue(System.nanoTime() - startNanos < 2_500_000_000L);
     }
 
-    /** One that sends on and on costs bounded bytes: it is cut off. */
+    /** The bytes that are read from a closed session are limited; then the connection is closed. */
     @Test
     void clientSendingEndlesslyAfterErrorIsDisconnected() throws Exception {
         int usedBefore = support.descriptorBudget.used();
@@ -179,7 +174,7 @@
         SocketTestSupport.await(() -> support.descriptorBudget.used() == usedBefore);
     }
 
-    /** Connections that we have ended and their clients keep open leave room for those that ask. */
+    /** Connections that the server has shut down and clients keep open do not block new clients. */
     @Test
     void lingeringConnectionsAreClosedForNewClients() throws Exception {
         for (int i = 0; i < SocketTestSupport.MAX_CLIENTS * 2; i++) {
@@ -199,11 +194,11 @@
                 support.descriptorBudget.toString());
     }
 
-    // ---- closes of the client's ----
+    // ---- closes by the client ----
 
     /**
-     * A client that sends much while its query is open and goes is seen to go: its query ends with
-     * it.
+     * The disconnection of a client that sent much input during its query is detected, and the
+     * query is cancelled.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -222,7 +217,9 @@
         assertEquals(1, engine.countCalls("POST"));
     }
 
-    /** What lies whole before the overrun is answered, then the session ends with an error. */
+    /**
+     * Queries that arrived completely before the excess are answered, then the session is closed.
+     */
     @Test
     void pipelinedQueriesAreAnsweredBeforeExcessClosesSession() throws Exception {
         engineResponse = SocketTestSupport.RUNNING;
@@ -236,10 +233,10 @@
         assertEquals(SERVED, client.readAnswer());
         assertEquals(SERVED, client.readAnswer());
         assertEquals(
-                "E(08P01 too much was sent ahead of an answer) closed=true", client.readAnswer());
+                "E(08P01 too much input was sent during a query) closed=true", client.readAnswer());
     }
 
-    /** One that never stops sending loses its query, and is told why. */
+    /** Input without end during a query cancels the query and closes the session. */
     @Test
     void queryIsCancelledWhenClientSendsEndlessly() throws Exception {
         engineResponse = SocketTestSupport.RUNNING;
@@ -256,12 +253,14 @@
         SocketTestSupport.await(
                 () -> engine.countCalls("DELETE") == 1, DISCONNECT_DETECTION_MILLIS);
         SocketTestSupport.await(
-                () -> support.descriptorBudget.used() <= usedBefore + 1); // the engine's stays
+                () ->
+                        support.descriptorBudget.used()
+                                <= usedBefore + 1); // the engine's connection stays open
     }
 
     // ---- cancels ----
 
-    /** The cancel is read first, while the query that it is for still lies unread. */
+    /** The cancel request is handled while its query is still unread. */
     @Test
     void cancelReadBeforeItsQueryCancelsTheQuery() throws Exception {
         engineResponse = SocketTestSupport.RUNNING;
@@ -276,7 +275,7 @@
     }
 
     /**
-     * An open or an unread query, its cancel and its client's close, in each order and in one pass.
+     * An open or unread query, its cancel and its client's close, in each order in one iteration.
      */
     @ParameterizedTest
     @CsvSource({
@@ -292,7 +291,7 @@
         engineResponse = SocketTestSupport.RUNNING;
         Client client = support.connectClient().startSession();
         byte[] query = Client.queryMessage(query("check", 1, 7000));
-        Socket other = new Socket(client.socket.getInetAddress(), client.socket.getPort());
+        Socket cancelSocket = new Socket(client.socket.getInetAddress(), client.socket.getPort());
         if (order.startsWith("open")) {
             client.write(query);
             SocketTestSupport.await(() -> engine.countCalls("POST") == 1);
@@ -301,7 +300,7 @@
         for (String event : order.split(" ")) {
             switch (event) {
                 case "query" -> client.write(query);
-                case "cancel" -> other.getOutputStream().write(client.cancelRequest());
+                case "cancel" -> cancelSocket.getOutputStream().write(client.cancelRequest());
                 case "close" -> client.close();
                 default -> {}
             }
@@ -312,10 +311,10 @@
         }
         SocketTestSupport.sleepMillis(100);
         assertAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
-        other.close();
+        cancelSocket.close();
     }
 
-    /** Each attempt that there was is taken back, and none follows. */
+    /** Checks that each started attempt is cancelled and that none follows. */
     private void assertAttemptsCancelledAndNoneStarted(long startedAttempts) throws IOException {
         SocketTestSupport.await(
                 () -> engine.countCalls("DELETE") >= startedAttempts, DISCONNECT_DETECTION_MILLIS);
--- a/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
+++ b/src/test/java/junipercourse/pg/FrontendMessageDecoderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class FrontendMessageDecoderTest {
-    /** A start-up packet, an empty query and the goodbye, as they may come in one piece. */
+    /** A start-up packet, an empty query and a Terminate message, sent in one piece. */
     private static final byte[] BYTES = {
         0, 0, 0, 9, 0, 3, 0, 0, 0, 'Q', 0, 0, 0, 5, 0, 'X', 0, 0, 0, 4
     };
--- a/src/test/java/junipercourse/pg/SessionTest.java
+++ b/src/test/java/junipercourse/pg/SessionTest.java
@@ -75,9 +75,7 @@
         assertTrue(shown.contains("D(queries served 1)") && shown.contains("D(ends ok 1)"), shown);
     }
 
-    /**
-     * A client that asks on and on and does not read is no longer read from; nobody else is harmed.
-     */
+    /** The server stops reading from a client that does not read; other clients are served. */
     @Test
     void readingPausesForClientThatDoesNotReadResults() throws Exception {
         Client nonReadingClient = support.connectClient().startSession();
@@ -90,23 +88,25 @@
                 });
         SocketTestSupport.sleepMillis(300);
         assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
-        for (int i = 0; i < 1000; i++) { // and once it reads, it gets what it asked for
+        for (int i = 0; i < 1000; i++) { // once the client reads, it gets all results
             assertTrue(nonReadingClient.readAnswer().startsWith("T D(clients accepted "));
         }
     }
 
-    /** What cannot be taken is answered or closed, reaches no engine and harms nobody else. */
+    /** Invalid input gets an error or a close, reaches no engine and does not affect others. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "00000008ffffffff | E(08P01 protocol version 65535.65535 is not spoken here)"
+                "00000008ffffffff | E(08P01 protocol version 65535.65535 is not supported)"
+                        + " closed=true",
+                "7fffffff00030000 | E(08P01 invalid message length of 2147483647 bytes)"
                         + " closed=true",
-                "7fffffff00030000 | E(08P01 a message of 2147483647 bytes) closed=true",
                 "0000000900030000 00 | E(08P01 the start-up packet names no user) closed=true",
-                "start 51ffffffff | E(08P01 a message of 4294967295 bytes) closed=true",
-                "start 510000000541 | E(08P01 a query without its end) closed=true",
-                "start 5000000004 | E(0A000 only simple queries are taken here, no message of type"
+                "start 51ffffffff | E(08P01 invalid message length of 4294967295 bytes)"
+                        + " closed=true",
+                "start 510000000541 | E(08P01 query string is not null-terminated) closed=true",
+                "start 5000000004 | E(0A000 only simple queries are supported, no message of type"
                         + " 80) closed=true",
                 "start 510000000d53454c45435420 3100 | E(22023 kind: missing; no comment with"
                         + " fields stands before the statement)"
@@ -123,23 +123,21 @@
         assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
-    /**
-     * Whoever connects and never asks, or begins a message and never ends it, is closed within 3 s.
-     */
+    /** A client that never sends a query, or does not complete a message, is closed within 3 s. */
     @ParameterizedTest
     @CsvSource({
         "'', closed=true",
         "0000, closed=true",
-        "start, E(57014 no query came in time) closed=true",
-        "start 5100000010, E(08P01 a message without its end) closed=true",
-        "asked 5100000010, E(08P01 a message without its end) closed=true"
+        "start, E(57014 no query was received in time) closed=true",
+        "start 5100000010, E(08P01 message was not completed in time) closed=true",
+        "queried 5100000010, E(08P01 message was not completed in time) closed=true"
     })
     void connectionIsClosedAfterInputTimeout(String sent, String expected) throws Exception {
         Client client = support.connectClient();
         if (!sent.isEmpty() && sent.charAt(0) != '0') {
             client.startSession();
         }
-        if (sent.startsWith("asked")) {
+        if (sent.startsWith("queried")) {
             assertEquals(SERVED, client.query(query("check", 1, 5000)));
         }
         client.write(java.util.HexFormat.of().parseHex(sent.replaceAll("[a-z]* ?(?=[0-9]|$)", "")));
@@ -149,8 +147,8 @@
     }
 
     /**
-     * Clients that hold their connections, whether they ever asked or not, leave room for those
-     * that ask.
+     * Connections that clients only hold, with or without an earlier query, do not block clients
+     * with queries.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -171,8 +169,8 @@
     }
 
     /**
-     * Clients may not open more than so many: what is idle is closed early once they come near
-     * that.
+     * The number of connections of all clients is limited: idle ones are closed earlier while many
+     * are open.
      */
     @Test
     void idleConnectionsAreClosedEarlyWhileManyAreOpen() throws Exception {
@@ -186,7 +184,9 @@
         assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
     }
 
-    /** A query of which a part has come is not idle, however short the time that idle ones get. */
+    /**
+     * A session that has received a part of a query is not idle, however short the idle timeout.
+     */
     @Test
     void sessionWithIncompleteQueryIsNotClosedAsIdle() throws Exception {
         Client slow = support.connectClient().startSession();
@@ -204,15 +204,15 @@
     }
 
     /**
-     * Many that each send most of a large message are turned away before memory runs out; others go
-     * on.
+     * Clients that each send most of a large message are closed before memory runs out; others are
+     * served.
      */
     @Test
     void incompleteMessagesOfAllClientsAreBounded() throws Exception {
         byte[] incompleteMessage =
                 ByteBuffer.allocate(60_000).put((byte) 'Q').putInt(60_001).array();
         Client last = null;
-        for (int i = 0; i < 20; i++) { // 1.2 MB, of 1 MB that may be held
+        for (int i = 0; i < 20; i++) { // 1.2 MB, with a limit of 1 MB
             last = support.connectClient().startSession();
             last.write(incompleteMessage);
         }
@@ -221,7 +221,7 @@
         assertEquals(SERVED, support.connectClient().startSession().query(query("check", 1, 5000)));
     }
 
-    /** Closed in order or, with bytes of its own still unread, reset. */
+    /** Returns whether the connection was closed or, if it had unread bytes, reset. */
     private static boolean isClosed(Client client) {
         try {
             return client.readAnswer().endsWith("closed=true");
--- a/src/test/java/junipercourse/product/ProductReaderTest.java
+++ b/src/test/java/junipercourse/product/ProductReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The product file: values with units, and faults with their place. */
+/** The product file: values with units, and errors with their positions. */
 class ProductReaderTest {
     private static final String VALID =
             """
@@ -67,9 +67,9 @@
                 "250ms | 0ms | 6:11: fleet: times: probe-interval: '0ms' is not above 0",
                 "forget-left | suspicion-max=\"1s\" forget-left | 6:11: fleet: suspicionMax: 1.0 is"
                         + " not above",
-                "<product> | <!DOCTYPE product SYSTEM \"x\"><product> | 1:10: document: no"
+                "<product> | <!DOCTYPE product SYSTEM \"x\"><product> | 1:10: document: not"
                         + " well-formed XML",
-                "</product> | </produce> | 7:3: product: no well-formed XML"
+                "</product> | </produce> | 7:3: product: not well-formed XML"
             })
     void errorIsReportedWithPositionAndElement(
             String validText, String invalidText, String expectedError) {
