--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -53,7 +53,7 @@
         }
         if (!text.startsWith("/*", commentStart)) {
             throw new InvalidQueryFieldException(
-                    "kind", "missing; there is no comment with fields before the statement");
+                    "kind", "missing; no comment with fields stands before the statement");
         }
         int commentEnd = CommentScanner.endOfComment(text, commentStart);
         if (!text.startsWith("*/", commentEnd - 2) || commentEnd - 4 < commentStart) {
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -66,7 +66,7 @@
                 : idleSince;
     }
 
-    /** Returns when a client without any query connected, or infinity after a query. */
+    /** Returns when the client connected, or infinity after its first query. */
     double unusedSince() {
         return hasQueried || closed ? Double.POSITIVE_INFINITY : connectedAt;
     }
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -271,7 +271,7 @@
         client.write(Client.queryMessage(query("check", 1, 1000)));
         release.run();
         assertEquals(CANCELLED, client.readAnswer());
-        assertAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
+        expectAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
     }
 
     /**
@@ -310,12 +310,12 @@
             assertEquals(CANCELLED, client.readAnswer());
         }
         SocketTestSupport.sleepMillis(100);
-        assertAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
+        expectAttemptsCancelledAndNoneStarted(engine.countCalls("POST"));
         cancelSocket.close();
     }
 
     /** Checks that each started attempt is cancelled and that none follows. */
-    private void assertAttemptsCancelledAndNoneStarted(long startedAttempts) throws IOException {
+    private void expectAttemptsCancelledAndNoneStarted(long startedAttempts) throws IOException {
         SocketTestSupport.await(
                 () -> engine.countCalls("DELETE") >= startedAttempts, DISCONNECT_DETECTION_MILLIS);
         SocketTestSupport.sleepMillis(300);
--- a/src/test/java/junipercourse/sim/SimHostTest.java
+++ b/src/test/java/junipercourse/sim/SimHostTest.java
@@ -121,8 +121,8 @@
 
     @Test
     void truncatedInputFailsAfterCompleteReplies() {
-        byte[] whole = frame(9, 0, 1, buffer());
-        assertEquals(1, run(whole, new byte[] {16, 0, 0, 0, 1}));
+        byte[] completeFrame = frame(9, 0, 1, buffer());
+        assertEquals(1, run(completeFrame, new byte[] {16, 0, 0, 0, 1}));
         assertEquals("simhost: input ends in mid-frame: 1 of 16 bytes\n", errors.toString());
         assertEquals(12, output.size());
     }
@@ -135,17 +135,15 @@
 
     @Test
     void invalidSettingsAreReportedWithTheirKey() {
-        assertSettingsRejected("grades.count: missing", "a=b");
-        assertSettingsRejected(
+        assertThrown("grades.count: missing", "a=b");
+        assertThrown(
                 "grades.0.deadline_s: not a number: x",
                 SETTINGS.replace("deadline_s=5", "deadline_s=x"));
-        assertSettingsRejected(
-                "grades.0.effect: unknown maybe", SETTINGS.replace("repeatable", "maybe"));
-        assertSettingsRejected(
-                "classes: none", SETTINGS.replace("grades.count=1", "grades.count=0"));
+        assertThrown("grades.0.effect: unknown maybe", SETTINGS.replace("repeatable", "maybe"));
+        assertThrown("classes: none", SETTINGS.replace("grades.count=1", "grades.count=0"));
     }
 
-    private static void assertSettingsRejected(String expectedMessage, String text) {
+    private static void assertThrown(String expectedMessage, String text) {
         var e = assertThrows(IllegalArgumentException.class, () -> SettingsReader.read(text));
         assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
