--- a/src/main/java/junipercourse/decision/selection/EngineSelection.java
+++ b/src/main/java/junipercourse/decision/selection/EngineSelection.java
@@ -6,9 +6,9 @@
 import junipercourse.decision.state.DispatchState;
 
 /**
- * The parts that select engines and send attempts.
+ * The components that select engines and send attempts.
  *
- * @param sampler draws candidates
+ * @param sampler samples candidates
  * @param grants sizes memory grants
  * @param capacity checks the capacity of engines
  * @param selector selects an engine
@@ -21,23 +21,27 @@
         EngineSelector selector,
         AttemptLauncher launcher) {
 
-    /** Creates the parts of one module. */
+    /** Creates the components of one decision module. */
     public static EngineSelection create(
             DispatchState state,
             Estimators estimators,
             SendConstraints constraints,
-            LoadTracking load) {
+            LoadTracking loadTracking) {
         CandidateSampler sampler = new CandidateSampler(state);
         MemoryGrants grants = new MemoryGrants(state.settings());
         EngineCapacity capacity =
                 new EngineCapacity(
                         estimators,
                         constraints.slowStart(),
-                        load.estimator(),
-                        load.gossip(),
+                        loadTracking.estimator(),
+                        loadTracking.gossip(),
                         grants);
         FairShareLimiter fairShare =
-                new FairShareLimiter(estimators, load.estimator(), load.gossip(), load.capacity());
+                new FairShareLimiter(
+                        estimators,
+                        loadTracking.estimator(),
+                        loadTracking.gossip(),
+                        loadTracking.capacity());
         return new EngineSelection(
                 sampler,
                 grants,
@@ -46,11 +50,11 @@
                         state,
                         constraints,
                         estimators.congestion(),
-                        load.gossip(),
+                        loadTracking.gossip(),
                         sampler,
                         capacity,
                         fairShare),
                 new AttemptLauncher(
-                        state, estimators.latency(), constraints, grants, load.capacity()));
+                        state, estimators.latency(), constraints, grants, loadTracking.capacity()));
     }
 }
--- a/src/main/java/junipercourse/engine/AttemptConnections.java
+++ b/src/main/java/junipercourse/engine/AttemptConnections.java
@@ -6,207 +6,203 @@
 import junipercourse.net.EventLoop;
 
 /**
- * The calls of one attempt, one after the other, each with the time it has for its answer, and
- * their connections: at most two, the second one for a DELETE beside a call that the engine holds.
- * No other attempt ever uses them, so that all that comes there is about this query; its end closes
- * them.
+ * Makes the calls of one attempt one after the other, each with a response timeout, and owns their
+ * connections: at most two, the second one for a DELETE beside a call that the engine holds. No
+ * other attempt uses them, so that everything received on them concerns this query. They are closed
+ * when the attempt completes.
  */
 final class AttemptConnections implements EngineConnection.Owner {
-    /** The engine answers each call within a quarter of a second; one this late is lost. */
-    static final double ANSWER_S = 0.6;
+    /** The engine answers each call within 0.25 s; one unanswered after this time is lost. */
+    static final double RESPONSE_TIMEOUT_SECONDS = 0.6;
 
     /**
-     * Before a connection is used again: what an engine sends right behind an answer has come by
-     * then.
+     * Delay before a connection is reused: bytes that an engine sends right behind a response have
+     * arrived by then.
      */
-    static final double REST_S = 0.002;
+    static final double REUSE_DELAY_SECONDS = 0.002;
 
     private final EventLoop loop;
     private final EnginePool pool;
-    private final AttemptLiveness evidence;
+    private final AttemptLiveness liveness;
     private HttpCall call;
-    private CallListener waiting;
-    private HttpCall ignored;
-    private EngineConnection kept;
-    private boolean ended;
+    private CallListener listener;
+    private HttpCall ignoredCall;
+    private EngineConnection idleConnection;
+    private boolean isClosed;
     private DeadlineQueue.Entry timer;
 
-    AttemptConnections(EventLoop loop, EnginePool pool, AttemptLiveness evidence) {
+    AttemptConnections(EventLoop loop, EnginePool pool, AttemptLiveness liveness) {
         this.loop = loop;
         this.pool = pool;
-        this.evidence = evidence;
+        this.liveness = liveness;
     }
 
-    /** Makes a call on the connection that is kept, if that is usable, or on a new one. */
-    void run(byte[] request, CallListener step, boolean starts) {
-        run(() -> request, step, starts);
+    /** Makes a call on the idle connection if that can be reused, otherwise on a new one. */
+    void makeCall(byte[] request, CallListener callListener, boolean startsQuery) {
+        makeCall(() -> request, callListener, startsQuery);
     }
 
     /**
-     * Makes the call that starts the query, whose bytes tell of the moment when the first of them
-     * leaves.
+     * Makes the call that starts the query. Its bytes are created when the first one is written,
+     * since they contain the time left.
      */
-    void start(Supplier<byte[]> request, CallListener step) {
-        run(request, step, true);
+    void makeStartCall(Supplier<byte[]> request, CallListener callListener) {
+        makeCall(request, callListener, true);
     }
 
-    private void run(Supplier<byte[]> request, CallListener step, boolean starts) {
-        HttpCall mine = new HttpCall(request, step);
-        call = mine;
-        waiting = step;
-        // A new query's connection comes up within the settings' time or never; then it goes
-        // elsewhere.
-        await(starts ? ANSWER_S + pool.dialTimeout() : ANSWER_S);
-        EngineConnection reused = kept;
-        kept = null;
-        if (reused != null && reused.usable()) {
-            mine.run(reused);
+    private void makeCall(
+            Supplier<byte[]> request, CallListener callListener, boolean startsQuery) {
+        HttpCall newCall = new HttpCall(request, callListener);
+        call = newCall;
+        listener = callListener;
+        // A connection for a new query is established within the configured timeout, or the query
+        // goes to another engine.
+        armResponseTimer(
+                startsQuery
+                        ? RESPONSE_TIMEOUT_SECONDS + pool.dialTimeoutSeconds()
+                        : RESPONSE_TIMEOUT_SECONDS);
+        EngineConnection reusable = idleConnection;
+        idleConnection = null;
+        if (reusable != null && reusable.checkReusable()) {
+            newCall.writeOn(reusable);
         } else {
-            pool.call(mine, starts, this);
+            pool.callOnNewConnection(newCall, startsQuery, this);
         }
     }
 
     /**
-     * Waits so long for the call that is out; its first byte begins that anew, as its answer's
-     * time.
+     * Limits the time until the current call has a response; restarted when its first byte is
+     * written.
      */
-    private void await(double seconds) {
-        HttpCall mine = call;
-        CallListener step = waiting;
-        later(
+    private void armResponseTimer(double seconds) {
+        HttpCall timedCall = call;
+        CallListener timedListener = listener;
+        schedule(
                 seconds,
                 () -> {
-                    mine.drop();
-                    step.failed();
+                    timedCall.abort();
+                    timedListener.handleFailure();
                 });
     }
 
     @Override
-    public void free(EngineConnection connection) {
-        if (ended || kept != null) {
+    public void onReusable(EngineConnection connection) {
+        if (isClosed || idleConnection != null) {
             connection.close();
         } else {
-            kept = connection;
+            idleConnection = connection;
         }
     }
 
-    /**
-     * Resets the connection that is kept: what came there last may be no answer to the last call.
-     */
-    void reset() {
-        if (kept != null) {
-            kept.abort();
-            kept = null;
+    /** Resets the idle connection: the last response on it may not belong to the last call. */
+    void resetIdle() {
+        if (idleConnection != null) {
+            idleConnection.abort();
+            idleConnection = null;
         }
     }
 
-    /** Does something later instead of waiting for an answer. */
-    void later(double delay, Runnable task) {
+    /** Schedules a task in place of the response timer. */
+    void schedule(double delaySeconds, Runnable task) {
         loop.cancel(timer);
-        timer = loop.scheduleAfter(delay, task);
+        timer = loop.scheduleAfter(delaySeconds, task);
     }
 
-    /** Waits for nothing any more; the last call, if there was one, hears no more of its answer. */
+    /** Stops the timer and ignores the response to the last call, if there was one. */
     void ignore() {
         loop.cancel(timer);
         if (call != null) {
             call.ignore();
-            ignored = call;
+            ignoredCall = call;
         }
     }
 
-    /** Resets the connection of the ignored call, after a delay only if it has no answer then. */
-    void dropIgnored(double delay) {
-        if (delay > 0) {
-            loop.scheduleAfter(delay, ignored::drop);
+    /** Resets the connection of the ignored call; after a delay, only if it is unanswered then. */
+    void abortIgnored(double delaySeconds) {
+        if (delaySeconds > 0) {
+            loop.scheduleAfter(delaySeconds, ignoredCall::abort);
         } else {
-            ignored.drop();
+            ignoredCall.abort();
         }
     }
 
-    /** Whether a call was ever made. */
-    boolean began() {
+    boolean hasMadeCall() {
         return call != null;
     }
 
-    /**
-     * The attempt is over: closes its connections, with a reset where a call may still be on its
-     * way.
-     */
-    void end() {
-        ended = true;
+    /** Closes all connections, with a reset where a call may still be in transit. */
+    void close() {
+        isClosed = true;
         loop.cancel(timer);
-        if (ignored != null) {
-            ignored.drop();
+        if (ignoredCall != null) {
+            ignoredCall.abort();
         }
         if (call != null) {
-            call.drop();
+            call.abort();
         }
-        if (kept != null) {
-            kept.close();
+        if (idleConnection != null) {
+            idleConnection.close();
         }
     }
 
-    /** What all calls have in common. */
+    /** Restarts the response timer and records in the liveness when a call is in transit. */
     abstract static class CallListener implements HttpCall.Listener {
-        private final AttemptConnections calls;
-        private boolean onTheWay;
-        private double writtenAt;
+        private final AttemptConnections connections;
+        private boolean isInTransit;
+        private double writeStartedAt;
 
-        CallListener(AttemptConnections calls) {
-            this.calls = calls;
+        CallListener(AttemptConnections connections) {
+            this.connections = connections;
         }
 
         @Override
         public boolean mayWrite() {
-            begins();
-            onTheWay = true;
-            calls.evidence.recordCallStarted(writtenAt, calls.loop.responsiveSeconds());
+            markWriteStarted();
+            isInTransit = true;
+            connections.liveness.recordCallStarted(
+                    writeStartedAt, connections.loop.responsiveSeconds());
             return true;
         }
 
-        /**
-         * Its first byte is written now: the time that its connection took to come up was none of
-         * its.
-         */
-        final void begins() {
-            writtenAt = calls.loop.now();
-            calls.await(ANSWER_S);
+        /** Restarts the response timer, which so excludes the time taken to connect. */
+        final void markWriteStarted() {
+            writeStartedAt = connections.loop.now();
+            connections.armResponseTimer(RESPONSE_TIMEOUT_SECONDS);
         }
 
-        /** Seconds since its first byte. */
-        final double age() {
-            return calls.loop.now() - writtenAt;
+        /** Seconds since the first byte of the call was written. */
+        final double secondsSinceWrite() {
+            return connections.loop.now() - writeStartedAt;
         }
 
         @Override
-        public final void over() {
-            if (onTheWay) {
-                onTheWay = false;
-                calls.evidence.recordCallCompleted(calls.loop.now());
+        public final void onDeliveryEnded() {
+            if (isInTransit) {
+                isInTransit = false;
+                connections.liveness.recordCallCompleted(connections.loop.now());
             }
         }
 
         @Override
-        public final void answered(HttpResponse response, boolean sure) {
-            told(response, sure);
+        public final void onResponse(HttpResponse response, boolean isUnambiguous) {
+            handleResponse(response, isUnambiguous);
         }
 
         @Override
-        public final void broken() {
-            failed();
+        public final void onConnectionBroken() {
+            handleFailure();
         }
 
-        /** The engine has answered; {@code sure} as in {@link HttpCall.Listener#answered}. */
-        abstract void told(HttpResponse response, boolean sure);
+        /** Handles a response; parameters as in {@link HttpCall.Listener#onResponse}. */
+        abstract void handleResponse(HttpResponse response, boolean isUnambiguous);
 
-        /** The call brought nothing readable, and brings nothing more. */
-        abstract void failed();
+        /** Handles a call that ended without a readable response. */
+        abstract void handleFailure();
 
-        /** No room for a connection: like one that broke. */
+        /** No connection was available: handled like a broken one. */
         @Override
-        public void takenBack() {
-            failed();
+        public void onWithdrawn() {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/HttpCall.java
+++ b/src/main/java/junipercourse/engine/HttpCall.java
@@ -3,147 +3,149 @@
 import java.util.function.Supplier;
 
 /**
- * One call to an engine, from the moment a connection is wanted for it until its answer is there or
- * it failed. Exactly one of the listener's methods that tell how it went is called, unless it is
- * dropped.
+ * One call to an engine, from the request for a connection until its response or failure. Exactly
+ * one of the listener's outcome methods is called, unless the call is ignored or aborted.
  */
 final class HttpCall {
-    /** Is told how a call went. */
+    /** Receives the progress and outcome of a call. */
     interface Listener {
-        /** Asked right before the first byte: false takes the call back unwritten. */
+        /** Called right before the first byte is written; false withdraws the call unwritten. */
         boolean mayWrite();
 
         /**
-         * Whether an answer can be to this call alone, although its connection has brought others
-         * before, of which it may be a late second copy.
+         * Whether a response can belong to this call only, rather than being a late duplicate of an
+         * earlier response on the same connection.
          */
-        boolean proves(HttpResponse response);
+        boolean matchesOnlyThisCall(HttpResponse response);
 
         /**
-         * Nothing more of the call arrives: it is answered for sure, or reset. May be said twice.
+         * No more bytes of the call can reach the engine: it has certainly been answered, or its
+         * connection is reset. May be called twice.
          */
-        void over();
+        void onDeliveryEnded();
 
-        /** {@code sure} unless the answer may be a copy of an earlier one on its connection. */
-        void answered(HttpResponse response, boolean sure);
+        /**
+         * The call was answered; {@code isUnambiguous} unless the response may be a duplicate of an
+         * earlier one on the connection.
+         */
+        void onResponse(HttpResponse response, boolean isUnambiguous);
 
-        /** All of the call has been handed to the system. */
-        default void written() {}
+        /** The whole request has been handed to the operating system. */
+        default void onWritten() {}
 
-        /** The connection broke with the call on it. */
-        void broken();
+        /** The connection broke before the call was answered. */
+        void onConnectionBroken();
 
-        /** No connection came up, and nothing was written. */
-        void unreachable(boolean refused);
+        /** No connection was established, and nothing was written. */
+        void onUnreachable(boolean refused);
 
         /**
-         * {@link #mayWrite} said no, or a later call found no room for a connection; nothing was
-         * written.
+         * Nothing was written: {@link #mayWrite} returned false, or no connection was available for
+         * a call after the one that starts the query.
          */
-        void takenBack();
+        void onWithdrawn();
     }
 
     private final Supplier<byte[]> request;
     private final Listener listener;
-    private boolean wanted = true;
-    private EngineConnection on;
-    private Runnable stopDialing;
+    private boolean isPending = true;
+    private EngineConnection activeConnection;
+    private Runnable connectCanceller;
 
-    /** {@code request} is asked for right before its first byte. */
+    /** {@code request} is called right before the first byte is written. */
     HttpCall(Supplier<byte[]> request, Listener listener) {
         this.request = request;
         this.listener = listener;
     }
 
-    /** Until its first byte it is given up by this. */
-    void dialing(Runnable stop) {
-        stopDialing = stop;
+    /** Sets what cancels the call until its first byte is written. */
+    void setConnectCanceller(Runnable canceller) {
+        connectCanceller = canceller;
     }
 
-    /** Writes the call on a connection, or closes that. */
-    void run(EngineConnection connection) {
-        stopDialing = connection::close;
-        if (!wanted || !connection.isOpen() || !listener.mayWrite()) {
+    /** Writes the call on a connection, or closes the connection if it may not be written. */
+    void writeOn(EngineConnection connection) {
+        connectCanceller = connection::close;
+        if (!isPending || !connection.isOpen() || !listener.mayWrite()) {
             connection.close();
-            takenBack();
+            withdraw();
             return;
         }
-        stopDialing = null;
-        on = connection;
+        connectCanceller = null;
+        activeConnection = connection;
         connection.write(this, request.get());
     }
 
-    void written() {
-        listener.written();
+    void markWritten() {
+        listener.onWritten();
     }
 
-    boolean proves(HttpResponse response) {
-        return listener.proves(response);
+    boolean matchesOnlyThisCall(HttpResponse response) {
+        return listener.matchesOnlyThisCall(response);
     }
 
     /**
-     * Told of ignored calls, too: what is still on its way may arrive although nobody waits for it.
+     * Also reported for ignored calls: bytes in transit may arrive although the response is not
+     * awaited.
      */
-    void nothingMore() {
-        listener.over();
+    void endDelivery() {
+        listener.onDeliveryEnded();
     }
 
-    void answered(HttpResponse response, boolean sure) {
-        if (done()) {
-            listener.answered(response, sure);
+    void complete(HttpResponse response, boolean isUnambiguous) {
+        if (finish()) {
+            listener.onResponse(response, isUnambiguous);
         }
     }
 
-    void broken() {
-        if (done()) {
-            listener.broken();
+    void failBroken() {
+        if (finish()) {
+            listener.onConnectionBroken();
         }
     }
 
-    /** Nothing was written, and nothing is to be. */
-    void takenBack() {
-        if (done()) {
-            listener.takenBack();
+    /** Ends the call unwritten. */
+    void withdraw() {
+        if (finish()) {
+            listener.onWithdrawn();
         }
     }
 
-    void unreachable(boolean refused) {
-        if (done()) {
-            listener.unreachable(refused);
+    void failUnreachable(boolean refused) {
+        if (finish()) {
+            listener.onUnreachable(refused);
         }
     }
 
-    private boolean done() {
-        boolean told = wanted;
-        wanted = false;
-        stopDialing = null;
-        on = null;
-        return told;
+    /** Ends the call; returns whether its outcome was still awaited. */
+    private boolean finish() {
+        boolean wasPending = isPending;
+        isPending = false;
+        connectCanceller = null;
+        activeConnection = null;
+        return wasPending;
     }
 
-    /** Whether somebody still waits for how it goes. */
-    boolean wanted() {
-        return wanted;
+    /** Whether the outcome is still awaited. */
+    boolean isPending() {
+        return isPending;
     }
 
-    /** The listener hears nothing more but {@link Listener#over}. */
+    /** From now on only {@link Listener#onDeliveryEnded} of the listener is called. */
     void ignore() {
-        wanted = false;
-        if (stopDialing != null) {
-            stopDialing.run();
-            stopDialing = null;
+        isPending = false;
+        if (connectCanceller != null) {
+            connectCanceller.run();
+            connectCanceller = null;
         }
     }
 
-    /**
-     * Ignores the call and, unless it is answered, resets its connection: then no more of it
-     * arrives.
-     */
-    void drop() {
-        EngineConnection c = on;
+    /** Ignores the call and, unless it is answered, resets its connection to stop its delivery. */
+    void abort() {
+        EngineConnection connection = activeConnection;
         ignore();
-        if (c != null) {
-            c.abort();
+        if (connection != null) {
+            connection.abort();
         }
     }
 }
--- a/src/test/java/junipercourse/ScriptedBus.java
+++ b/src/test/java/junipercourse/ScriptedBus.java
@@ -18,11 +18,11 @@
 import junipercourse.discovery.EndpointWatcher;
 import junipercourse.net.EventLoop;
 
-/** An event bus that a test plays by hand, one connection after the other. */
+/** An event bus that a test controls step by step, one connection after the other. */
 public final class ScriptedBus implements Closeable {
     public static final String EMPTY_FRAME = "00000009%016x00";
 
-    /** A change of one engine, whose id is the number of the event. */
+    /** A watch event for one engine, whose id is the number of the event. */
     public static final String DELTA_FRAME =
             "00000024%1$016x02%1$08x0a0100091b59010000000200000fa00000000000001388";
 
@@ -32,7 +32,7 @@
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final List<Socket> queueFillers = new CopyOnWriteArrayList<>();
 
-    /** The numbers that connections asked from. */
+    /** The event numbers from which connections requested events. */
     public final List<Long> requestedOffsets = new CopyOnWriteArrayList<>();
 
     public volatile double lastFrameAt;
@@ -41,7 +41,7 @@
         this(0);
     }
 
-    /** One that comes back at the port of an earlier one. */
+    /** Creates a bus that reopens the port of an earlier one. */
     public ScriptedBus(int port) throws IOException {
         server = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
         server.setSoTimeout(20_000);
@@ -51,11 +51,20 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** A frame with one ready or draining engine at an address of this machine. */
+    /** A frame with one ready or draining engine at a local address. */
     public static String endpointFrame(
-            boolean whole, int number, int id, InetSocketAddress at, boolean draining) {
+            boolean fullList,
+            int eventNumber,
+            int engineId,
+            InetSocketAddress address,
+            boolean draining) {
         return "00000024%016x%02x%08x7f000001%04x%02x00000000000003e80000000000000000"
-                .formatted(number, whole ? 1 : 2, id, at.getPort(), draining ? 1 : 0);
+                .formatted(
+                        eventNumber,
+                        fullList ? 1 : 2,
+                        engineId,
+                        address.getPort(),
+                        draining ? 1 : 0);
     }
 
     public static double nowSeconds() {
@@ -63,78 +72,79 @@
     }
 
     /**
-     * Takes the next connection that asks, and what it asks from: one may come up just as it is
-     * given up.
+     * Accepts the next connection that sends a request, and records its event number; skips one
+     * that is closed by the client before that, since it may be established just as the client
+     * cancels it.
      */
     public Socket acceptSubscription() throws IOException {
         while (true) {
-            Socket s = server.accept();
-            connections.add(s);
-            s.setTcpNoDelay(true);
-            s.setSoTimeout(20_000);
+            Socket connection = server.accept();
+            connections.add(connection);
+            connection.setTcpNoDelay(true);
+            connection.setSoTimeout(20_000);
             try {
-                requestedOffsets.add(new DataInputStream(s.getInputStream()).readLong());
-                return s;
+                requestedOffsets.add(new DataInputStream(connection.getInputStream()).readLong());
+                return connection;
             } catch (EOFException e) {
-                s.close();
+                connection.close();
             }
         }
     }
 
-    /** Takes a connection that ends without asking anything. */
+    /** Accepts a connection that is closed without a request. */
     public void awaitConnectionWithoutRequest() throws IOException {
-        try (Socket s = server.accept()) {
-            s.setSoTimeout(5000);
-            awaitDisconnect(s);
+        try (Socket connection = server.accept()) {
+            connection.setSoTimeout(5000);
+            awaitDisconnect(connection);
         }
     }
 
-    /** Writes frames, such as {@code CHANGE.formatted(2)}, in one write. */
-    public void sendFrames(Socket s, String hex) throws IOException {
+    /** Writes frames, such as {@code DELTA_FRAME.formatted(2)}, in one write. */
+    public void sendFrames(Socket connection, String hex) throws IOException {
         lastFrameAt = nowSeconds();
-        sendBytes(s, hex);
+        sendBytes(connection, hex);
     }
 
-    public static void sendBytes(Socket s, String hex) throws IOException {
-        s.getOutputStream().write(HexFormat.of().parseHex(hex));
+    public static void sendBytes(Socket connection, String hex) throws IOException {
+        connection.getOutputStream().write(HexFormat.of().parseHex(hex));
     }
 
-    /** Waits until the other side has left a connection. */
-    public static void awaitDisconnect(Socket s) throws IOException {
+    /** Waits until the peer has closed a connection. */
+    public static void awaitDisconnect(Socket connection) throws IOException {
         try {
-            if (s.getInputStream().read() >= 0) {
-                throw new AssertionError("more was asked");
+            if (connection.getInputStream().read() >= 0) {
+                throw new AssertionError("the client sent more bytes");
             }
         } catch (SocketException e) {
-            return; // it was reset, for what it had not read
+            return; // reset, as it had unread bytes
         }
     }
 
-    /** From now on no connection comes up: the system's queue is full. */
+    /** Makes connects fail from now on: the accept queue of the system is full. */
     public void stopAccepting() throws IOException {
         try {
             for (int i = 0; i < 10; i++) {
-                Socket s = new Socket();
-                queueFillers.add(s);
-                s.connect(address(), 300);
+                Socket filler = new Socket();
+                queueFillers.add(filler);
+                filler.connect(address(), 300);
             }
         } catch (SocketTimeoutException e) {
             return;
         }
-        throw new AssertionError("the queue takes all");
+        throw new AssertionError("the accept queue did not fill up");
     }
 
-    /** Connections come up again; what came up by now is left. */
+    /** Lets connects succeed again; closes the connections that waited. */
     public void resumeAccepting() throws IOException {
-        for (Socket s : queueFillers.subList(0, queueFillers.size() - 1)) {
+        for (Socket filler : queueFillers.subList(0, queueFillers.size() - 1)) {
             server.accept().close();
-            s.close();
+            filler.close();
         }
         queueFillers.get(queueFillers.size() - 1).close();
         queueFillers.clear();
     }
 
-    /** A client of this bus that tells a list, such as {@code [FULL 1, DELTA 2]}. */
+    /** Creates a client of this bus with an empty endpoint list; its updates go to the listener. */
     public EndpointWatcher createWatcher(EventLoop loop, EndpointWatcher.Listener listener) {
         return new EndpointWatcher(
                 loop,
@@ -146,19 +156,19 @@
                 new Counters());
     }
 
-    /** A listener that notes each list as its kind and its engine. */
-    public static EndpointWatcher.Listener recordingListener(List<String> told) {
-        return (kind, members) -> told.add(kind + " " + members.get(0).engine().id().value());
+    /** A listener that records each update as its kind and its engine, such as {@code FULL 1}. */
+    public static EndpointWatcher.Listener recordingListener(List<String> updates) {
+        return (kind, members) -> updates.add(kind + " " + members.get(0).engine().id().value());
     }
 
-    /** Plays a script on a thread of its own; what fails in it is noted. */
-    public void runScript(SocketTestSupport.IoTask script, List<Throwable> faults) {
+    /** Runs a script on a thread of its own; its exceptions are recorded. */
+    public void runScript(SocketTestSupport.IoTask script, List<Throwable> failures) {
         SocketTestSupport.startDaemon(
                 () -> {
                     try {
                         script.run();
                     } catch (IOException | RuntimeException | Error e) {
-                        faults.add(e);
+                        failures.add(e);
                     }
                 });
     }
@@ -166,11 +176,11 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : connections) {
-            s.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
-        for (Socket s : queueFillers) {
-            s.close();
+        for (Socket socket : queueFillers) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -64,10 +64,12 @@
             "HTTP/1.1 503 Full\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
     public static final String FAILED = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
-    /** Scripts' words for an engine that breaks the connection, and for one that says nothing. */
+    /** Result of a script: the engine closes the connection without an answer. */
     public static final String CLOSE_CONNECTION = "break";
 
+    /** Result of a script: the engine does not answer. */
     public static final String NO_RESPONSE = "silence";
+
     public static final int MAX_CLIENTS = 100;
     private static final long AWAIT_TIMEOUT_MILLIS = 5000;
 
@@ -77,20 +79,20 @@
     private final EventLoop loop;
     private final Gateway gateway;
     private final PgServer pgServer;
-    private volatile LoopPause pauseLoop;
+    private volatile LoopPause pause;
 
     public SocketTestSupport() throws IOException {
         this(512);
     }
 
-    /** A dispatcher that may hold so many connections to engines. */
+    /** Starts a dispatcher with a limit of connections to engines. */
     public SocketTestSupport(int engineConnections) throws IOException {
         this(CONFIG, engineConnections);
     }
 
-    /** The same by a configuration of the caller's. */
-    public SocketTestSupport(String text, int engineConnections) throws IOException {
-        Config config = Config.parse(text, Map.of());
+    /** Starts a dispatcher with another configuration. */
+    public SocketTestSupport(String configJson, int engineConnections) throws IOException {
+        Config config = Config.parse(configJson, Map.of());
         loop =
                 new EventLoop(
                         () -> counters.increment(Counters.Count.INTERNAL_ERRORS),
@@ -102,8 +104,8 @@
                         config.settings(),
                         descriptorBudget.allocateShare("engines", engineConnections, 4),
                         counters);
-        StatusTables shows = new StatusTables();
-        counters.addTable(shows);
+        StatusTables statusTables = new StatusTables();
+        counters.addTable(statusTables);
         gateway =
                 new Gateway(loop, config.settings(), 7, 50, new PausingBackend(engines), counters);
         pgServer =
@@ -115,7 +117,7 @@
                         1 << 20,
                         7,
                         counters,
-                        shows);
+                        statusTables);
         pgServer.listen(config.listenAddress());
         loop.execute(loop::startStallDetection);
     }
@@ -124,7 +126,7 @@
         return Config.parse(CONFIG, Map.of()).settings();
     }
 
-    /** A query of a class with fresh fields around a statement. */
+    /** A query of a class whose id and keys derive from a number. */
     public static String query(String queryClass, int number, long timeoutMillis) {
         return "/* kind=%s,req=%016x,timeout=%d,owner=acme,opkey=k%d,subject=00000000000000aa */ SELECT 1"
                 .formatted(queryClass, number, timeoutMillis, number);
@@ -134,104 +136,109 @@
         await(condition, AWAIT_TIMEOUT_MILLIS);
     }
 
-    /** The same with a patience in ms, such as a process needs on a busy machine. */
+    /**
+     * Waits for a condition with a timeout of its own, such as a process needs on a busy machine.
+     */
     public static void await(BooleanSupplier condition, long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("not within " + timeoutMillis + " ms");
+                throw new AssertionError("condition not met within " + timeoutMillis + " ms");
             }
             sleepMillis(2);
         }
     }
 
-    public static void sleepMillis(long ms) {
+    public static void sleepMillis(long millis) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(millis);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Starts an engine and puts it on the list. */
+    /** Starts an engine and adds it to the endpoint list. */
     public StubEngine startEngine(int id, Function<String, String> script) throws IOException {
-        StubEngine e = new StubEngine(script);
-        resources.add(e);
-        updateEndpointAndWait(id, e, EngineStage.READY);
-        return e;
+        StubEngine engine = new StubEngine(script);
+        resources.add(engine);
+        updateEndpointAndWait(id, engine, EngineStage.READY);
+        return engine;
     }
 
-    /** Tells a change of the list and returns once it has been taken in. */
-    public void updateEndpointAndWait(int id, StubEngine e, EngineStage stage) {
-        updateEndpointAndWait(id, e.address(), stage);
+    /** Updates one engine of the endpoint list and waits until the update has been applied. */
+    public void updateEndpointAndWait(int id, StubEngine engine, EngineStage stage) {
+        updateEndpointAndWait(id, engine.address(), stage);
     }
 
-    /** The same for whatever listens there. */
+    /** Updates the endpoint list with any address, whatever listens there. */
     public void updateEndpointAndWait(int id, InetSocketAddress address, EngineStage stage) {
         CountDownLatch done = new CountDownLatch(1);
-        EngineListing entry = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
+        EngineListing listing = new EngineListing(new EngineId(id), 0, 0, 0, stage, 1, 0);
         loop.execute(
                 () -> {
                     gateway.updateEndpoints(
-                            EndpointUpdateKind.DELTA, List.of(new EngineEndpoint(entry, address)));
+                            EndpointUpdateKind.DELTA,
+                            List.of(new EngineEndpoint(listing, address)));
                     loop.execute(done::countDown);
                 });
         await(() -> done.getCount() == 0);
     }
 
-    /** Begins the end, as after SIGTERM; {@code idle} runs once all that was taken is answered. */
-    public void shutDownGracefully(Runnable idle) {
+    /**
+     * Begins a graceful shutdown, as after SIGTERM; {@code onIdle} runs once all accepted queries
+     * have been answered.
+     */
+    public void shutDownGracefully(Runnable onIdle) {
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    pgServer.beginShutdown(() -> gateway.runWhenIdle(idle));
+                    pgServer.beginShutdown(() -> gateway.runWhenIdle(onIdle));
                     begun.countDown();
                 });
         await(() -> begun.getCount() == 0);
     }
 
-    /**
-     * Holds the dispatcher's thread, as a long turn of its own does; the task returned lets it go.
-     */
+    /** Blocks the event loop, as a long task does, until the returned task is run. */
     public Runnable blockLoop() {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     await(() -> release.getCount() == 0);
                 });
-        await(() -> held.getCount() == 0);
+        await(() -> blocked.getCount() == 0);
         return release::countDown;
     }
 
     /**
-     * Runs a task on the dispatcher's thread, right behind what is held there, before sockets are
-     * read.
+     * Runs a task on the event loop right after the tasks queued there, before sockets are read.
      */
     public void executeOnLoop(Consumer<PgServer> task) {
         loop.execute(() -> task.accept(pgServer));
     }
 
     public Client connectClient() throws IOException {
-        Client c = new Client(pgServer.address());
-        resources.add(c);
-        return c;
+        Client client = new Client(pgServer.address());
+        resources.add(client);
+        return client;
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable part : resources) {
-            part.close();
+        for (Closeable resource : resources) {
+            resource.close();
         }
         loop.stop();
     }
 
-    /** An engine that answers each call, such as {@code POST /fetch ID}, as its script says. */
+    /**
+     * An engine that answers each call, such as {@code POST /fetch ID}, with its script's result.
+     */
     public static class StubEngine implements Closeable {
         public final List<String> calls = new CopyOnWriteArrayList<>();
 
-        /** How long the dispatcher would wait, in ms, by each POST. */
+        /** How long the dispatcher would wait, in milliseconds, as each POST states. */
         public final List<Integer> limitsMillis = new CopyOnWriteArrayList<>();
 
         private final ServerSocket server =
@@ -243,16 +250,16 @@
 
         public StubEngine(Function<String, String> script) throws IOException {
             this.script = script;
-            server.setReceiveBufferSize(4096); // so that what is not read lies with the sender
+            server.setReceiveBufferSize(4096); // so that unread bytes stay with the sender
             startDaemon(
                     () -> {
                         while (true) {
-                            Socket s = server.accept();
-                            connections.add(s);
+                            Socket connection = server.accept();
+                            connections.add(connection);
                             startDaemon(
                                     () -> {
                                         try {
-                                            serve(s);
+                                            serve(connection);
                                         } finally {
                                             closedConnections.incrementAndGet();
                                         }
@@ -265,81 +272,83 @@
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        public long countCalls(String start) {
-            return calls.stream().filter(c -> c.startsWith(start)).count();
+        public long countCalls(String prefix) {
+            return calls.stream().filter(call -> call.startsWith(prefix)).count();
         }
 
-        /**
-         * Cuts the network to this engine until the latch opens: calls lie in buffers on the way.
-         */
+        /** Cuts the network to this engine until the latch opens: calls wait in socket buffers. */
         public void partitionUntil(CountDownLatch healed) {
             partitionHealed = healed;
         }
 
-        /** Refuses new connections and goes on serving the open ones. */
+        /** Refuses new connections and keeps serving the open ones. */
         public void stopAccepting() throws IOException {
             server.close();
         }
 
-        private void serve(Socket s) throws IOException {
-            InputStream in = s.getInputStream();
-            for (String first = readLine(in); !first.isEmpty(); first = readLine(in)) {
+        private void serve(Socket connection) throws IOException {
+            InputStream in = connection.getInputStream();
+            for (String requestLine = readLine(in);
+                    !requestLine.isEmpty();
+                    requestLine = readLine(in)) {
                 try {
                     partitionHealed.await();
                 } catch (InterruptedException e) {
                     return;
                 }
-                int body = 0;
+                int bodyLength = 0;
                 String id = "";
-                for (String h = readLine(in); !h.isEmpty(); h = readLine(in)) {
-                    body =
-                            h.startsWith("Content-Length: ")
-                                    ? Integer.parseInt(h.substring(16))
-                                    : body;
-                    if (h.startsWith("X-Limit-Ms: ")) {
-                        limitsMillis.add(Integer.parseInt(h.substring(12)));
+                for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
+                    bodyLength =
+                            header.startsWith("Content-Length: ")
+                                    ? Integer.parseInt(header.substring(16))
+                                    : bodyLength;
+                    if (header.startsWith("X-Limit-Ms: ")) {
+                        limitsMillis.add(Integer.parseInt(header.substring(12)));
                     }
-                    id = h.startsWith("X-Txn: ") ? " " + h.substring(7) : id;
+                    id = header.startsWith("X-Txn: ") ? " " + header.substring(7) : id;
                 }
-                if (in.readNBytes(body).length < body) {
-                    return; // not whole: no call
+                if (in.readNBytes(bodyLength).length < bodyLength) {
+                    return; // incomplete: not a call
                 }
-                String call = first.replace(" HTTP/1.1", "") + id;
+                String call = requestLine.replace(" HTTP/1.1", "") + id;
                 calls.add(call);
                 String answer = script.apply(call);
                 if (answer.equals(CLOSE_CONNECTION)) {
-                    s.close();
+                    connection.close();
                     return;
                 }
                 if (!answer.equals(NO_RESPONSE)) {
-                    send(s, call, answer);
+                    send(connection, call, answer);
                 }
             }
         }
 
-        protected void send(Socket s, String call, String answer) throws IOException {
-            s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+        protected void send(Socket connection, String call, String answer) throws IOException {
+            connection.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         private static String readLine(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
-                line.append((char) c);
+            for (int character = in.read();
+                    character >= 0 && character != '\n';
+                    character = in.read()) {
+                line.append((char) character);
             }
             return line.toString().trim();
         }
 
-        /** Ends as a process does: its connections break and new ones are refused. */
+        /** Stops as a killed process does: its connections break and new ones are refused. */
         @Override
         public void close() throws IOException {
             server.close();
-            for (Socket s : connections) {
-                s.close();
+            for (Socket connection : connections) {
+                connection.close();
             }
         }
     }
 
-    /** A client of the PostgreSQL front. */
+    /** A client of the PostgreSQL server. */
     public static final class Client implements Closeable {
         public final Socket socket;
         private final InetSocketAddress front;
@@ -354,11 +363,12 @@
         }
 
         public static byte[] startupMessage() {
-            byte[] words = "user\0app\0database\0analytics\0\0".getBytes(StandardCharsets.UTF_8);
-            return ByteBuffer.allocate(8 + words.length)
-                    .putInt(8 + words.length)
+            byte[] parameters =
+                    "user\0app\0database\0analytics\0\0".getBytes(StandardCharsets.UTF_8);
+            return ByteBuffer.allocate(8 + parameters.length)
+                    .putInt(8 + parameters.length)
                     .putInt(196608)
-                    .put(words)
+                    .put(parameters)
                     .array();
         }
 
@@ -391,24 +401,25 @@
         }
 
         /**
-         * What comes until the server is ready or closes, such as {@code T D(a b c) C(SELECT 1)}.
+         * Reads messages until the server is ready or closes, and formats them, such as {@code T
+         * D(a b c) C(SELECT 1)}.
          */
         public String readAnswer() throws IOException {
-            StringBuilder out = new StringBuilder();
+            StringBuilder answer = new StringBuilder();
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - 4);
                 cancelKey = type == 'K' ? body : cancelKey;
                 if ("TDCEI".indexOf(type) >= 0) {
-                    out.append(out.isEmpty() ? "" : " ")
+                    answer.append(answer.isEmpty() ? "" : " ")
                             .append((char) type)
                             .append(format((char) type, body));
                 }
                 if (type == 'E' && new String(body, StandardCharsets.UTF_8).contains("FATAL")) {
-                    return out.append(" closed=").append(in.read() < 0).toString();
+                    return answer.append(" closed=").append(in.read() < 0).toString();
                 }
             }
             in.skipBytes(5);
-            return out.toString();
+            return answer.toString();
         }
 
         private static String format(char type, byte[] body) {
@@ -418,11 +429,11 @@
                 case 'E' ->
                         "(" + text.split("\0C")[1].replaceFirst("\0M", " ").split("\0")[0] + ")";
                 case 'D' -> {
-                    ByteBuffer b = ByteBuffer.wrap(body);
+                    ByteBuffer buffer = ByteBuffer.wrap(body);
                     List<String> columns = new ArrayList<>();
-                    for (int n = b.getShort(); n > 0; n--) {
-                        byte[] column = new byte[b.getInt()];
-                        b.get(column);
+                    for (int n = buffer.getShort(); n > 0; n--) {
+                        byte[] column = new byte[buffer.getInt()];
+                        buffer.get(column);
                         columns.add(new String(column, StandardCharsets.UTF_8));
                     }
                     yield "(" + String.join(" ", columns) + ")";
@@ -431,16 +442,16 @@
             };
         }
 
-        /** The session's number and its secret, by which it is cancelled. */
+        /** The process id and secret key of the session, which a cancel request carries. */
         public ByteBuffer cancelKey() {
             return ByteBuffer.wrap(cancelKey);
         }
 
         /** Sends a CancelRequest with this session's key over a connection of its own. */
         public void cancel() throws IOException {
-            try (Socket s = new Socket(front.getAddress(), front.getPort())) {
-                s.getOutputStream().write(cancelRequest());
-                s.getInputStream().read();
+            try (Socket connection = new Socket(front.getAddress(), front.getPort())) {
+                connection.getOutputStream().write(cancelRequest());
+                connection.getInputStream().read();
             }
         }
 
@@ -454,13 +465,13 @@
         }
     }
 
-    /** Work that may end with its socket. */
+    /** A task that may end with an exception of its socket. */
     public interface IoTask {
         void run() throws IOException;
     }
 
     public static void startDaemon(IoTask task) {
-        Thread t =
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
@@ -469,46 +480,46 @@
                                 return; // the socket was closed
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /**
-     * Stops the loop's turn right after the dials of so many attempts from now on have begun, and
-     * before it looks for connections that came up.
+     * Pauses the event loop right after the connects of the given number of attempts from now on
+     * have begun, and before it looks for connections that were established.
      */
     public LoopPause pauseAfterDials(int attempts) {
-        pauseLoop = new LoopPause(attempts);
-        return pauseLoop;
+        pause = new LoopPause(attempts);
+        return pause;
     }
 
-    /** Stops the loop's turn now: what comes meanwhile is found in one pass. */
+    /** Pauses the event loop now: events that arrive meanwhile are found in one pass. */
     public LoopPause pauseLoop() {
-        LoopPause now = new LoopPause(1);
-        loop.execute(now::reachPause);
-        return now.awaitPaused();
+        LoopPause pause = new LoopPause(1);
+        loop.execute(pause::reachPause);
+        return pause.awaitPaused();
     }
 
-    /** A place where the loop's turn is held until {@link #goOn}. */
+    /** A point at which the event loop pauses until {@link #resume}. */
     public static final class LoopPause {
-        private final CountDownLatch awaitPaused = new CountDownLatch(1);
+        private final CountDownLatch paused = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
         private int remainingAttempts;
 
-        private LoopPause(int attempts) {
-            remainingAttempts = attempts;
+        private LoopPause(int afterAttempts) {
+            remainingAttempts = afterAttempts;
         }
 
         private void reachPause() {
             if (--remainingAttempts == 0) {
-                awaitPaused.countDown();
+                paused.countDown();
                 await(() -> resumed.getCount() == 0, 4 * AWAIT_TIMEOUT_MILLIS);
             }
         }
 
-        /** Waits until the turn is held. */
+        /** Waits until the event loop has paused. */
         public LoopPause awaitPaused() {
-            await(() -> awaitPaused.getCount() == 0);
+            await(() -> paused.getCount() == 0);
             return this;
         }
 
@@ -517,7 +528,7 @@
         }
     }
 
-    /** The engines, with a place to stop at. */
+    /** The engines, with a point at which the event loop can be paused. */
     private final class PausingBackend implements Backend {
         private final Backend engines;
 
@@ -532,40 +543,36 @@
 
         @Override
         public Attempt startAttempt(
-                EngineId engine, Query query, double giveUpAt, AttemptListener ending) {
-            Attempt attempt = engines.startAttempt(engine, query, giveUpAt, ending);
-            LoopPause here = pauseLoop;
-            if (here != null) {
-                loop.execute(here::reachPause); // the dial is begun by a task that stands before
-                // this one
+                EngineId engine, Query query, double giveUpAt, AttemptListener listener) {
+            Attempt attempt = engines.startAttempt(engine, query, giveUpAt, listener);
+            LoopPause currentPause = pause;
+            if (currentPause != null) {
+                loop.execute(currentPause::reachPause); // after the task that begins the connect
             }
             return attempt;
         }
     }
 
-    /**
-     * Tells a change of the list, in which engines were started at that Unix second, and returns at
-     * once.
-     */
+    /** Updates engines of the endpoint list, all with the given start time, and returns at once. */
     public void updateEndpoints(
             EndpointUpdateKind kind,
-            double startedAt,
+            double startedAtUnixSeconds,
             EngineStage stage,
             Map<Integer, StubEngine> engines) {
         List<EngineEndpoint> members =
                 engines.entrySet().stream()
                         .map(
-                                e ->
+                                idAndEngine ->
                                         new EngineEndpoint(
                                                 new EngineListing(
-                                                        new EngineId(e.getKey()),
+                                                        new EngineId(idAndEngine.getKey()),
                                                         0,
                                                         0,
                                                         0,
                                                         stage,
                                                         1,
-                                                        startedAt),
-                                                e.getValue().address()))
+                                                        startedAtUnixSeconds),
+                                                idAndEngine.getValue().address()))
                         .toList();
         loop.execute(() -> gateway.updateEndpoints(kind, members));
     }
--- a/src/test/java/junipercourse/engine/FullAcceptQueue.java
+++ b/src/test/java/junipercourse/engine/FullAcceptQueue.java
@@ -13,14 +13,14 @@
 import junipercourse.SocketTestSupport.StubEngine;
 
 /**
- * An engine's address at which no connection comes up until it is opened: its accept queue is full,
- * and the system answers no further SYN. A client's system tries again a second after its first.
+ * An engine address at which no connection is established until {@link #drainAndAccept}: the accept
+ * queue is full, so the system answers no further SYN. A client's system repeats its SYN after 1 s.
  */
 final class FullAcceptQueue implements Closeable {
-    private static final int FILL_MS = 100;
+    private static final int CONNECT_TIMEOUT_MILLIS = 100;
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> parked = new ArrayList<>();
-    private final StubEngine listed =
+    private final List<Socket> queuedSockets = new ArrayList<>();
+    private final StubEngine endpoint =
             new StubEngine(call -> SocketTestSupport.NO_RESPONSE) {
                 @Override
                 public InetSocketAddress address() {
@@ -30,38 +30,38 @@
 
     FullAcceptQueue() throws IOException {
         while (true) {
-            Socket s = new Socket();
+            Socket socket = new Socket();
             try {
-                s.connect(server.getLocalSocketAddress(), FILL_MS);
-                parked.add(s);
-            } catch (SocketTimeoutException full) {
-                s.close();
+                socket.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MILLIS);
+                queuedSockets.add(socket);
+            } catch (SocketTimeoutException queueFull) {
+                socket.close();
                 return;
             }
         }
     }
 
-    /** For the list of engines. */
-    StubEngine listed() {
-        return listed;
+    /** A stub engine with this address, for the endpoint list. */
+    StubEngine endpoint() {
+        return endpoint;
     }
 
-    /** Takes what was parked out of the queue and gives the next connection that comes up. */
-    Socket open() throws IOException {
-        for (Socket s : parked) {
-            s.close();
+    /** Empties the accept queue and returns the next connection established. */
+    Socket drainAndAccept() throws IOException {
+        for (Socket socket : queuedSockets) {
+            socket.close();
             server.accept().close();
         }
-        parked.clear();
+        queuedSockets.clear();
         return server.accept();
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        listed.close();
-        for (Socket s : parked) {
-            s.close();
+        endpoint.close();
+        for (Socket socket : queuedSockets) {
+            socket.close();
         }
     }
 }
