--- a/src/main/java/junipercourse/product/ProductReader.java
+++ b/src/main/java/junipercourse/product/ProductReader.java
@@ -68,7 +68,7 @@
             reader.parse(new InputSource(new ByteArrayInputStream(bytes)));
         } catch (SAXParseException e) {
             if (errors.errors().isEmpty()) {
-                throw new IllegalStateException(e); // the error handler records each before
+                throw new IllegalStateException(e); // the error handler records them all
             }
         } catch (SAXException | ParserConfigurationException | IOException e) {
             throw new InvalidProductFileException(
--- a/src/test/java/junipercourse/sim/SimHostTest.java
+++ b/src/test/java/junipercourse/sim/SimHostTest.java
@@ -140,7 +140,9 @@
                 "grades.0.deadline_s: not a number: x",
                 SETTINGS.replace("deadline_s=5", "deadline_s=x"));
         assertThrown("grades.0.effect: unknown maybe", SETTINGS.replace("repeatable", "maybe"));
-        assertThrown("classes: none", SETTINGS.replace("grades.count=1", "grades.count=0"));
+        assertThrown(
+                "classes: must contain at least one query class",
+                SETTINGS.replace("grades.count=1", "grades.count=0"));
     }
 
     private static void assertThrown(String expectedMessage, String text) {
