--- a/src/main/java/junipercourse/pg/ConnectionSlots.java
+++ b/src/main/java/junipercourse/pg/ConnectionSlots.java
@@ -117,16 +117,14 @@
                 && unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
             unusedSession.readPending();
             if (unusedSession.unusedSince() < now - FIRST_QUERY_GRACE_SECONDS) {
-                unusedSession.closeWithError(
-                        "57P05", "closed without a query, to free a connection");
+                unusedSession.closeWithError("57P05", "closed without a query, to make room");
             }
             return true;
         }
         if (idleSession != null && idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
             idleSession.readPending();
             if (idleSession.idleSince() < now - IN_FLIGHT_GRACE_SECONDS) {
-                idleSession.closeWithError(
-                        "57P05", "closed after being idle, to free a connection");
+                idleSession.closeWithError("57P05", "closed after being idle, to make room");
             }
             return true;
         }
--- a/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
+++ b/src/main/java/junipercourse/pg/FrontendMessageDecoder.java
@@ -64,7 +64,7 @@
         }
         long length = ByteBuffer.wrap(buffer).getInt(readIndex + typeBytes) & 0xffffffffL;
         if (length < minLength || length > maxLength) {
-            throw new MalformedMessageException("invalid message length of " + length + " bytes");
+            throw new MalformedMessageException("a message of " + length + " bytes");
         }
         int totalLength = typeBytes + (int) length;
         if (bufferedBytes() < totalLength) {
--- a/src/main/java/junipercourse/pg/PgProtocolHandler.java
+++ b/src/main/java/junipercourse/pg/PgProtocolHandler.java
@@ -91,7 +91,7 @@
                 server.counters().increment(Count.CLIENTS_GARBLED);
                 session.closeWithError(
                         "0A000",
-                        "only simple queries are supported, no message of type "
+                        "only simple queries are taken here, no message of type "
                                 + (int) message.type());
             }
         }
@@ -101,7 +101,7 @@
         session.onQueryReceived();
         if (body.length == 0 || body[body.length - 1] != 0) {
             server.counters().increment(Count.CLIENTS_GARBLED);
-            session.closeWithError("08P01", "query string is not null-terminated");
+            session.closeWithError("08P01", "a query without its end");
             return;
         }
         String text = new String(body, 0, body.length - 1, StandardCharsets.UTF_8);
--- a/src/main/java/junipercourse/pg/QueryFieldParser.java
+++ b/src/main/java/junipercourse/pg/QueryFieldParser.java
@@ -58,7 +58,7 @@
         int commentEnd = CommentScanner.endOfComment(text, commentStart);
         if (!text.startsWith("*/", commentEnd - 2) || commentEnd - 4 < commentStart) {
             throw new InvalidQueryFieldException(
-                    "kind", "missing; the comment with the fields is not closed");
+                    "kind", "missing; the comment with the fields stays open");
         }
         Map<String, String> fields = parseFields(text.substring(commentStart + 2, commentEnd - 2));
         int statementStart = commentEnd;
--- a/src/main/java/junipercourse/pg/Session.java
+++ b/src/main/java/junipercourse/pg/Session.java
@@ -82,9 +82,9 @@
         } else if (isRejected && now > connectedAt + REJECTION_TIMEOUT_SECONDS) {
             closeWithError("53300", "too many clients");
         } else if (now > unusedSince() + FIRST_QUERY_TIMEOUT_SECONDS) {
-            closeWithError("57014", "no query was received in time");
+            closeWithError("57014", "no query came in time");
         } else if (!protocol.hasOpenQuery() && now > incompleteSince + MESSAGE_TIMEOUT_SECONDS) {
-            closeWithError("08P01", "message was not completed in time");
+            closeWithError("08P01", "a message without its end");
         } else if (now > idleSince() + maxIdleSeconds) {
             connection.readNow();
             boolean hasPartialMessage =
@@ -131,7 +131,7 @@
 
     private void closeForExcessInput() {
         server.counters().increment(Count.CLIENTS_GARBLED);
-        closeWithError("08P01", "too much input was sent during a query");
+        closeWithError("08P01", "too much was sent ahead of an answer");
     }
 
     private void processInput() {
@@ -153,7 +153,7 @@
             if (!closed
                     && !server.addBufferedBytes(growth)
                     && decoder.bufferedBytes() > TYPICAL_QUERY_BYTES) {
-                closeWithError("53200", "too many bytes of incomplete messages are held");
+                closeWithError("53200", "too much is held for unfinished messages");
                 return;
             }
             if (discardedBytes > 0 && !progressed && !protocol.hasOpenQuery() && !closed) {
--- a/src/main/java/junipercourse/pg/StartupPacket.java
+++ b/src/main/java/junipercourse/pg/StartupPacket.java
@@ -43,7 +43,11 @@
             return parseStart(code & 0xffff, packet);
         }
         throw new FrontendMessageDecoder.MalformedMessageException(
-                "protocol version " + (code >>> 16) + "." + (code & 0xffff) + " is not supported");
+                "protocol version "
+                        + (code >>> 16)
+                        + "."
+                        + (code & 0xffff)
+                        + " is not spoken here");
     }
 
     private static StartupPacket parseStart(int minorVersion, ByteBuffer packet)
--- a/src/test/java/junipercourse/pg/ConnectionCloseTest.java
+++ b/src/test/java/junipercourse/pg/ConnectionCloseTest.java
@@ -101,11 +101,11 @@
     /** Invalid, oversized and unsupported messages, from a client that writes without reading. */
     @ParameterizedTest
     @CsvSource({
-        "start 51ffffffff, 08P01 invalid message length of 4294967295 bytes",
-        "start 0000000000, 08P01 invalid message length of 0 bytes",
-        "start 5000000004, '0A000 only simple queries are supported, no message of type 80'",
-        "7fffffff00030000, 08P01 invalid message length of 2147483647 bytes",
-        "474554202f20485454502f312e31, 08P01 invalid message length of 1195725856 bytes"
+        "start 51ffffffff, 08P01 a message of 4294967295 bytes",
+        "start 0000000000, 08P01 a message of 0 bytes",
+        "start 5000000004, '0A000 only simple queries are taken here, no message of type 80'",
+        "7fffffff00030000, 08P01 a message of 2147483647 bytes",
+        "474554202f20485454502f312e31, 08P01 a message of 1195725856 bytes"
     })
     void clientSendingInvalidMessageGetsErrorAndOrderlyClose(String hex, String error)
             throws Exception {
@@ -233,7 +233,7 @@
         assertEquals(SERVED, client.readAnswer());
         assertEquals(SERVED, client.readAnswer());
         assertEquals(
-                "E(08P01 too much input was sent during a query) closed=true", client.readAnswer());
+                "E(08P01 too much was sent ahead of an answer) closed=true", client.readAnswer());
     }
 
     /** Input without end during a query cancels the query and closes the session. */
--- a/src/test/java/junipercourse/pg/SessionTest.java
+++ b/src/test/java/junipercourse/pg/SessionTest.java
@@ -98,15 +98,13 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "00000008ffffffff | E(08P01 protocol version 65535.65535 is not supported)"
-                        + " closed=true",
-                "7fffffff00030000 | E(08P01 invalid message length of 2147483647 bytes)"
+                "00000008ffffffff | E(08P01 protocol version 65535.65535 is not spoken here)"
                         + " closed=true",
+                "7fffffff00030000 | E(08P01 a message of 2147483647 bytes)" + " closed=true",
                 "0000000900030000 00 | E(08P01 the start-up packet names no user) closed=true",
-                "start 51ffffffff | E(08P01 invalid message length of 4294967295 bytes)"
-                        + " closed=true",
-                "start 510000000541 | E(08P01 query string is not null-terminated) closed=true",
-                "start 5000000004 | E(0A000 only simple queries are supported, no message of type"
+                "start 51ffffffff | E(08P01 a message of 4294967295 bytes)" + " closed=true",
+                "start 510000000541 | E(08P01 a query without its end) closed=true",
+                "start 5000000004 | E(0A000 only simple queries are taken here, no message of type"
                         + " 80) closed=true",
                 "start 510000000d53454c45435420 3100 | E(22023 kind: missing; no comment with"
                         + " fields stands before the statement)"
@@ -128,9 +126,9 @@
     @CsvSource({
         "'', closed=true",
         "0000, closed=true",
-        "start, E(57014 no query was received in time) closed=true",
-        "start 5100000010, E(08P01 message was not completed in time) closed=true",
-        "queried 5100000010, E(08P01 message was not completed in time) closed=true"
+        "start, E(57014 no query came in time) closed=true",
+        "start 5100000010, E(08P01 a message without its end) closed=true",
+        "queried 5100000010, E(08P01 a message without its end) closed=true"
     })
     void connectionIsClosedAfterInputTimeout(String sent, String expected) throws Exception {
         Client client = support.connectClient();
