--- a/src/test/java/junipercourse/cli/SettingsIsolationTest.java
+++ b/src/test/java/junipercourse/cli/SettingsIsolationTest.java
@@ -12,72 +12,76 @@
 import junipercourse.config.Config;
 import org.junit.jupiter.api.Test;
 
-/** Two customers' dispatchers in one JVM, at the same time and one after the other. */
+/** Runs two customers' dispatchers in one JVM, at the same time and one after the other. */
 class SettingsIsolationTest {
-    private static final String SHORT = "deadline_s\":0.4";
+    private static final String SHORT_DEADLINE = "deadline_s\":0.4";
 
-    private static String script(String call) {
+    private static String answer(String call) {
         return call.startsWith("DELETE") ? SocketTestSupport.CANCELLED : SocketTestSupport.OK;
     }
 
-    private static DispatcherServer server(String config) throws IOException {
-        DispatcherServer s = new DispatcherServer(Config.parse(config, Map.of()));
-        s.start();
-        return s;
+    private static DispatcherServer startServer(String config) throws IOException {
+        DispatcherServer server = new DispatcherServer(Config.parse(config, Map.of()));
+        server.start();
+        return server;
     }
 
-    private static String ask(DispatcherServer s, String kind, String owner, int timeoutMs)
+    private static String query(
+            DispatcherServer server, String kind, String owner, int timeoutMillis)
             throws IOException {
-        InetSocketAddress at = s.address();
+        InetSocketAddress address = server.address();
         return QueryStream.queryOnce(
-                at,
+                address,
                 QueryStream.query(kind)
                         .replace("acme", owner)
-                        .replace("timeout=7000", "timeout=" + timeoutMs));
+                        .replace("timeout=7000", "timeout=" + timeoutMillis));
     }
 
-    private static void refuses(
-            DispatcherServer s, String kind, String owner, int timeoutMs, String why)
+    private static void assertRejected(
+            DispatcherServer server, String kind, String owner, int timeoutMillis, String reason)
             throws IOException {
-        String answer = ask(s, kind, owner, timeoutMs);
-        assertTrue(answer.startsWith("E(") && answer.contains(why), answer);
+        String answer = query(server, kind, owner, timeoutMillis);
+        assertTrue(answer.startsWith("E(") && answer.contains(reason), answer);
     }
 
     /**
-     * Classes, tenants, deadlines and engines are those of the one that is asked, whoever came
+     * Each dispatcher uses its own classes, tenants, deadlines and engines, whichever started
      * first.
      */
     @Test
-    void eachAnswersByItsOwnSettings() throws Exception {
-        try (StubEngines ours = new StubEngines(1, SettingsIsolationTest::script);
-                StubEngines theirs = new StubEngines(1, SettingsIsolationTest::script)) {
-            String other =
-                    theirs.dispatcherConfig()
+    void eachDispatcherUsesItsOwnSettings() throws Exception {
+        try (StubEngines firstEngines = new StubEngines(1, SettingsIsolationTest::answer);
+                StubEngines secondEngines = new StubEngines(1, SettingsIsolationTest::answer)) {
+            String secondConfig =
+                    secondEngines
+                            .dispatcherConfig()
                             .replace("\"check\"", "\"audit\"")
                             .replace("\"acme\"", "\"umbrella\"")
-                            .replace("deadline_s\":7.5", SHORT)
+                            .replace("deadline_s\":7.5", SHORT_DEADLINE)
                             .replace("\"n1\"", "\"n2\"")
                             .replace("\"goal_time_s\":1.5", "\"goal_time_s\":0.2")
                             .replace("\"east\"", "\"west\"");
-            DispatcherServer first = server(ours.dispatcherConfig());
-            DispatcherServer second = server(other);
+            DispatcherServer first = startServer(firstEngines.dispatcherConfig());
+            DispatcherServer second = startServer(secondConfig);
             DispatcherServer third = null;
             try {
-                assertEquals(QueryStream.EXPECTED_ANSWER, ask(first, "check", "acme", 7000));
-                assertEquals(QueryStream.EXPECTED_ANSWER, ask(second, "audit", "umbrella", 400));
-                refuses(first, "audit", "acme", 400, "unknown class");
-                refuses(second, "check", "umbrella", 400, "unknown class");
-                refuses(first, "check", "umbrella", 400, "unknown tenant");
-                refuses(second, "audit", "acme", 400, "unknown tenant");
-                refuses(second, "audit", "umbrella", 7000, "timeout");
-                assertEquals(QueryStream.EXPECTED_ANSWER, ask(first, "check", "acme", 7000));
-                assertEquals(2, ours.countAttempts(""));
-                assertEquals(1, theirs.countAttempts(""));
+                assertEquals(QueryStream.EXPECTED_ANSWER, query(first, "check", "acme", 7000));
+                assertEquals(QueryStream.EXPECTED_ANSWER, query(second, "audit", "umbrella", 400));
+                assertRejected(first, "audit", "acme", 400, "unknown class");
+                assertRejected(second, "check", "umbrella", 400, "unknown class");
+                assertRejected(first, "check", "umbrella", 400, "unknown tenant");
+                assertRejected(second, "audit", "acme", 400, "unknown tenant");
+                assertRejected(second, "audit", "umbrella", 7000, "timeout");
+                assertEquals(QueryStream.EXPECTED_ANSWER, query(first, "check", "acme", 7000));
+                assertEquals(2, firstEngines.countAttempts(""));
+                assertEquals(1, secondEngines.countAttempts(""));
                 first.stop();
-                third = server(ours.dispatcherConfig().replace("\"check\"", "\"third\""));
-                refuses(third, "check", "acme", 7000, "unknown class");
-                assertEquals(QueryStream.EXPECTED_ANSWER, ask(third, "third", "acme", 7000));
-                assertEquals(QueryStream.EXPECTED_ANSWER, ask(second, "audit", "umbrella", 400));
+                third =
+                        startServer(
+                                firstEngines.dispatcherConfig().replace("\"check\"", "\"third\""));
+                assertRejected(third, "check", "acme", 7000, "unknown class");
+                assertEquals(QueryStream.EXPECTED_ANSWER, query(third, "third", "acme", 7000));
+                assertEquals(QueryStream.EXPECTED_ANSWER, query(second, "audit", "umbrella", 400));
             } finally {
                 first.stop();
                 second.stop();
--- a/src/test/java/junipercourse/cli/ShutdownTest.java
+++ b/src/test/java/junipercourse/cli/ShutdownTest.java
@@ -16,16 +16,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What clients see of a whole process that ends; its engines never do, its longest deadline is 1.5
- * s.
+ * Checks what clients see of a process that shuts down; its engines never answer, and its longest
+ * deadline is 1.5 s.
  */
 class ShutdownTest {
-    private static final double KILL_S = 1.5 + 0.7;
-    private static final String GONE = "E(57P03 the dispatcher is shutting down) closed=true";
+    private static final double KILL_SECONDS = 1.5 + 0.7;
+    private static final String SHUTDOWN_ANSWER =
+            "E(57P03 the dispatcher is shutting down) closed=true";
     @TempDir private Path folder;
     private StubEngines engines;
     private DispatcherProcess process;
-    private InetSocketAddress front;
+    private InetSocketAddress frontAddress;
 
     @BeforeEach
     void start() throws IOException {
@@ -48,74 +49,73 @@
                                 "\"goal_time_s\":3.0,\"deadline_s\":20.0",
                                 "\"goal_time_s\":1.0,\"deadline_s\":1.5"));
         process = new DispatcherProcess(folder, 1024);
-        front = process.address();
+        frontAddress = process.address();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         process.close();
         engines.close();
     }
 
     /**
-     * SIGKILL comes 0.7 s and the longest deadline after SIGTERM: that much earlier all are
-     * answered.
+     * SIGKILL follows SIGTERM after 0.7 s and the longest deadline; every query is answered before
+     * it.
      */
     @Test
-    void withShortDeadlinesAllIsAnsweredBeforeTheKill() throws Exception {
-        try (Client late = new Client(front)) {
-            late.startSession();
+    void shortDeadlineQueriesAreAnsweredBeforeSigkill() throws Exception {
+        try (Client client = new Client(frontAddress)) {
+            client.startSession();
             process.signal("TERM");
-            long from = System.nanoTime();
-            SocketTestSupport.await(() -> process.log().contains("asked to end"));
-            SocketTestSupport.sleepMillis(450); // a query in its last moments of being taken
-            late.write(Client.queryMessage(SocketTestSupport.query("check", 1, 1500)));
-            assertEquals("E(53300 the dispatcher is shutting down)", late.readAnswer());
-            double took = (System.nanoTime() - from) / 1e9;
-            assertTrue(took < KILL_S, took + " s");
+            long startNanos = System.nanoTime();
+            SocketTestSupport.await(() -> process.log().contains("shutdown requested"));
+            SocketTestSupport.sleepMillis(450); // the last moment at which a query is admitted
+            client.write(Client.queryMessage(SocketTestSupport.query("check", 1, 1500)));
+            assertEquals("E(53300 the dispatcher is shutting down)", client.readAnswer());
+            double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+            assertTrue(elapsedSeconds < KILL_SECONDS, elapsedSeconds + " s");
             assertTrue(process.exitsWithin(1), process.log());
         }
     }
 
     /**
-     * One that rests, one that never asked, and one in the middle of a query: told, and ended in
-     * order.
+     * An idle session, one without a query, and one with a partial message get an error and an
+     * orderly close.
      */
     @Test
-    void sessionsWithoutAnOpenQueryAreEndedInOrder() throws Exception {
-        try (Client rests = new Client(front);
-                Client silent = new Client(front);
-                Client half = new Client(front)) {
-            assertEquals("I", rests.startSession().query(" "));
+    void sessionsWithoutOpenQueryAreClosedOnShutdown() throws Exception {
+        try (Client idle = new Client(frontAddress);
+                Client silent = new Client(frontAddress);
+                Client partial = new Client(frontAddress)) {
+            assertEquals("I", idle.startSession().query(" "));
             silent.startSession();
-            half.startSession().write(new byte[] {'Q', 0, 0, 0, 99, 'S'});
+            partial.startSession().write(new byte[] {'Q', 0, 0, 0, 99, 'S'});
             process.signal("TERM");
-            assertEquals(GONE, rests.readAnswer());
-            assertEquals(GONE, silent.readAnswer());
-            assertEquals(GONE, half.readAnswer());
+            assertEquals(SHUTDOWN_ANSWER, idle.readAnswer());
+            assertEquals(SHUTDOWN_ANSWER, silent.readAnswer());
+            assertEquals(SHUTDOWN_ANSWER, partial.readAnswer());
             assertTrue(process.exitsWithin(1), process.log());
         }
     }
 
     /**
-     * Bytes that a client sends while its query is open are no reason to cut its answer short by a
-     * reset.
+     * Bytes that a client sends while its query is open must not cut its answer short by a reset.
      */
     @Test
-    void aClientThatSentMoreThanItsQueryReadsItsAnswerAndAnEnd() throws Exception {
-        try (Client busy = new Client(front)) {
+    void clientThatSendsMoreDuringItsQueryIsNotReset() throws Exception {
+        try (Client busy = new Client(frontAddress)) {
             busy.startSession()
                     .write(Client.queryMessage(SocketTestSupport.query("check", 1, 1500)));
             SocketTestSupport.await(() -> engines.countAttempts("") == 1);
             process.signal("TERM");
-            SocketTestSupport.await(() -> process.log().contains("asked to end"));
+            SocketTestSupport.await(() -> process.log().contains("shutdown requested"));
             SocketTestSupport.sleepMillis(450);
             busy.write(
                     Client.queryMessage(SocketTestSupport.query("check", 2, 1500)),
                     new byte[30_000]);
             String first = busy.readAnswer();
             assertTrue(first.startsWith("E(5"), first);
-            String next = busy.readAnswer(); // the second query, refused before any row
+            String next = busy.readAnswer(); // the second query, rejected before any row
             assertEquals("E(57P03 the dispatcher is shutting down)", next);
             String last = busy.readAnswer();
             assertTrue(last.endsWith("closed=true"), last);
--- a/src/test/java/junipercourse/cli/SignalsTest.java
+++ b/src/test/java/junipercourse/cli/SignalsTest.java
@@ -20,13 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Signals that come where they are least awaited: before the start is over, twice, within each
- * other.
- */
+/** Sends signals at awkward times: during startup, twice, and while another signal is handled. */
 class SignalsTest {
-    private static final String IN_USE = " is in use; trying again";
-    private static final String READ_AGAIN = "the configuration has been read again";
+    private static final String IN_USE = " is in use; retrying";
+    private static final String RELOADED = "configuration reloaded";
     @TempDir private Path folder;
     private StubEngines engines;
     private Path config;
@@ -47,7 +44,7 @@
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         if (process != null) {
             process.close();
         }
@@ -55,94 +52,96 @@
         engines.close();
     }
 
-    private String at(int port) {
+    private String configWithPort(int port) {
         return engines.dispatcherConfig().replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
     }
 
-    /** Starts it at an address that is taken, so that it is held in the middle of its start. */
-    private void startHeld() throws IOException {
-        Files.writeString(config, at(holder.getLocalPort()));
+    /** Starts the process at an address in use, so that it stays in startup. */
+    private void startWithPortInUse() throws IOException {
+        Files.writeString(config, configWithPort(holder.getLocalPort()));
         process = new DispatcherProcess(folder, 1024);
-        logs(IN_USE);
+        awaitLog(IN_USE);
     }
 
-    private void logs(String text) {
+    private void awaitLog(String text) {
         SocketTestSupport.await(
                 () -> process.log().contains(text) || !process.isAlive(),
                 ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         assertTrue(process.log().contains(text), process.log());
     }
 
-    private long told(String text) {
+    private long countLogLines(String text) {
         return process.log().lines().filter(line -> line.contains(text)).count();
     }
 
     /**
-     * Nothing is owed to anybody yet: it ends at once, and never listens, also once the address is
-     * free.
+     * No client is waiting yet: the process exits at once and never listens, even once the address
+     * is free.
      */
     @Test
-    void terminationBeforeItListensEndsItInGoodOrder() throws Exception {
-        startHeld();
-        long from = System.nanoTime();
+    void sigtermBeforeListeningExitsCleanly() throws Exception {
+        startWithPortInUse();
+        long startNanos = System.nanoTime();
         process.signal("TERM");
         holder.close();
         assertTrue(process.exitsWithin(20), process.log());
         assertTrue(process.log().contains("n1 ends: "), process.log());
         assertFalse(process.log().contains("listens on"), process.log());
-        assertTrue(System.nanoTime() - from < 3_700_000_000L, "later than a SIGKILL may come");
+        assertTrue(
+                System.nanoTime() - startNanos < 3_700_000_000L,
+                "exited later than SIGKILL may come");
     }
 
-    /** The second one changes nothing, neither for who comes after it nor for when the end is. */
+    /** A second SIGTERM changes neither which clients are served nor when the process exits. */
     @Test
-    void terminationThatComesAgainChangesNothing() throws Exception {
+    void repeatedSigtermHasNoEffect() throws Exception {
         Files.writeString(config, engines.dispatcherConfig());
         process = new DispatcherProcess(folder, 1024);
         InetSocketAddress front = process.address();
         process.signal("TERM");
-        logs("asked to end");
+        awaitLog("shutdown requested");
         process.signal("TERM");
         process.signal("TERM");
         assertEquals(
                 QueryStream.EXPECTED_ANSWER,
                 QueryStream.queryOnce(front, QueryStream.query("check")));
         assertTrue(process.exitsWithin(20), process.log());
-        assertEquals(1, told("asked to end"), process.log());
-        assertEquals(1, told("n1 ends: "), process.log());
+        assertEquals(1, countLogLines("shutdown requested"), process.log());
+        assertEquals(1, countLogLines("n1 ends: "), process.log());
         assertFalse(process.log().contains("ERROR"), process.log());
     }
 
-    /** The reload is held in the middle of reading: its file is a pipe to which nobody writes. */
+    /** The reload blocks while reading: its file is a pipe without a writer. */
     @Test
-    void terminationDuringAReloadDoesNotWaitForIt() throws Exception {
+    void sigtermDuringReloadDoesNotWaitForIt() throws Exception {
         Files.writeString(config, engines.dispatcherConfig());
         process = new DispatcherProcess(folder, 1024);
         InetSocketAddress front = process.address();
         Files.delete(config);
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
         process.signal("HUP");
-        SocketTestSupport.await(() -> readsThePipe(), ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
+        SocketTestSupport.await(() -> isReadingPipe(), ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         process.signal("TERM");
-        logs("asked to end");
+        awaitLog("shutdown requested");
         assertEquals(
                 QueryStream.EXPECTED_ANSWER,
                 QueryStream.queryOnce(front, QueryStream.query("check")));
         assertTrue(process.exitsWithin(20), process.log());
         assertTrue(process.log().contains("n1 ends: "), process.log());
-        assertFalse(process.log().contains(READ_AGAIN), process.log());
+        assertFalse(process.log().contains(RELOADED), process.log());
     }
 
-    /** Whether a thread of it waits for a writer, by the system's word for where it waits. */
-    private boolean readsThePipe() {
+    /** Whether a signal thread of the process waits for a writer, by its state in /proc. */
+    private boolean isReadingPipe() {
         try (var tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return tasks.anyMatch(
-                    t -> {
+                    task -> {
                         try {
-                            return Files.readString(t.resolve("comm")).startsWith("SIGHUP")
-                                    && Files.readString(t.resolve("stat"))
+                            return Files.readString(task.resolve("comm")).startsWith("SIGHUP")
+                                    && Files.readString(task.resolve("stat"))
                                             .matches("(?s).*\\) S .*");
                         } catch (IOException e) {
-                            return false; // a thread that has just ended
+                            return false; // the thread has just ended
                         }
                     });
         } catch (IOException e) {
@@ -150,29 +149,29 @@
         }
     }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+    private static int findFreePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
     /**
-     * Of a file with other settings nothing is taken on but the list, before the start is over and
+     * Of a changed file only the event bus and the endpoint list are applied, during startup and
      * after.
      */
     @Test
-    void aReloadNamesWhatItMayNotChangeAndLeavesIt() throws Exception {
-        startHeld();
+    void reloadReportsAndIgnoresRestartOnlyChanges() throws Exception {
+        startWithPortInUse();
         Files.writeString(
                 config,
-                at(freePort())
+                configWithPort(findFreePort())
                         .replace("\"n1\"", "\"n2\"")
                         .replace("\"check\"", "\"audit\"")
                         .replace("\"acme\"", "\"umbrella\"")
                         .replace("\"deadline_s\":7.5", "\"deadline_s\":0.1")
                         .replace("\"sockets\":1024", "\"sockets\":64"));
         process.signal("HUP");
-        logs(READ_AGAIN);
+        awaitLog(RELOADED);
         holder.close();
         assertEquals(holder.getLocalPort(), process.address().getPort(), process.log());
         assertEquals(
@@ -182,25 +181,25 @@
         assertTrue(unknown.startsWith("E("), unknown);
         process.signal("HUP");
         SocketTestSupport.await(
-                () -> told(READ_AGAIN) == 2, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
+                () -> countLogLines(RELOADED) == 2, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         for (String key : new String[] {"name", "listen", "limits", "settings"}) {
             assertEquals(
                     2,
-                    told(key + " has changed; that takes effect at the next start"),
+                    countLogLines(key + " has changed; the change takes effect at the next start"),
                     process.log());
         }
         assertEquals(
                 QueryStream.EXPECTED_ANSWER,
                 QueryStream.queryOnce(process.address(), QueryStream.query("check")));
-        Files.writeString(config, at(holder.getLocalPort()));
+        Files.writeString(config, configWithPort(holder.getLocalPort()));
         process.signal("HUP");
         SocketTestSupport.await(
-                () -> told(READ_AGAIN) == 3, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
+                () -> countLogLines(RELOADED) == 3, ListeningSocketHolder.AWAIT_TIMEOUT_MILLIS);
         assertEquals(
                 2,
-                told("settings has changed"),
-                "what was taken back is no change: " + process.log());
+                countLogLines("settings has changed"),
+                "a reverted setting is no change: " + process.log());
         process.signal("TERM");
-        logs("n1 ends: ");
+        awaitLog("n1 ends: ");
     }
 }
--- a/src/test/java/junipercourse/cli/StatusTablesTest.java
+++ b/src/test/java/junipercourse/cli/StatusTablesTest.java
@@ -7,16 +7,17 @@
 import junipercourse.core.StatusTables;
 import org.junit.jupiter.api.Test;
 
-/** Holds names and columns of the tables that operators read by SHOW. */
+/** Pins the names and columns of the tables that operators read with SHOW. */
 class StatusTablesTest {
     @Test
-    void namesTablesAndColumnsAsBefore() {
-        StatusTables shows = ProcessStatusTables.of(null, new Counters(), null);
+    void tableAndColumnNamesAreStable() {
+        StatusTables tables = ProcessStatusTables.create(null, new Counters(), null);
         assertEquals(
-                List.of("side", "counter", "count"), List.of(shows.table("COUNTERS").columns()));
-        assertEquals(List.of("figure", "value", "unit"), List.of(shows.table("stalls").columns()));
+                List.of("side", "counter", "count"), List.of(tables.table("COUNTERS").columns()));
+        assertEquals(List.of("figure", "value", "unit"), List.of(tables.table("stalls").columns()));
         assertEquals(
-                List.of("share", "figure", "count"), List.of(shows.table("Descriptors").columns()));
-        assertEquals(null, shows.table("fleet"), "added with a product file only");
+                List.of("share", "figure", "count"),
+                List.of(tables.table("Descriptors").columns()));
+        assertEquals(null, tables.table("fleet"), "added with a product file only");
     }
 }
