--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -111,7 +111,7 @@
                         return;
                     }
                     if (pgServer.sharesSocket()) { // new clients belong to the sibling processes
-                        pgServer.leaveToOthers(this::finishWhenIdle);
+                        pgServer.stopAccepting(this::finishWhenIdle);
                         handOverQueries();
                     } else {
                         loop.scheduleAfter(LATE_ARRIVAL_SECONDS, this::finishWhenIdle);
@@ -145,13 +145,13 @@
     }
 
     private void finishWhenIdle() {
-        pgServer.end(
+        pgServer.beginShutdown(
                 () ->
                         gateway.runWhenIdle(
                                 () ->
                                         loop.execute(
                                                 () -> { // after the sessions' pending work
-                                                    pgServer.endSessions();
+                                                    pgServer.closeSessions();
                                                     awaitClientsClosed(0);
                                                 })));
     }
@@ -161,9 +161,11 @@
      * arriving.
      */
     private void awaitClientsClosed(double waitedSeconds) {
-        if (pgServer.empty()
+        if (pgServer.hasNoConnections()
                 || waitedSeconds
-                        >= (pgServer.unsent() ? FLUSH_TIMEOUT_SECONDS : CLOSE_TIMEOUT_SECONDS)) {
+                        >= (pgServer.hasUnsentBytes()
+                                ? FLUSH_TIMEOUT_SECONDS
+                                : CLOSE_TIMEOUT_SECONDS)) {
             completed.countDown();
         } else {
             loop.scheduleAfter(
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -135,7 +135,7 @@
                     siblingFound
                             ? "another process of this dispatcher runs"
                             : "no other process of this dispatcher runs");
-            pgServer.beside(siblingFound);
+            pgServer.setSiblingRunning(siblingFound);
             gateway.limitOpenQueries(
                     siblingFound ? maxOpenQueriesWithSibling : maxOpenQueriesAlone);
         }
--- a/src/main/java/junipercourse/cli/ServeWithProduct.java
+++ b/src/main/java/junipercourse/cli/ServeWithProduct.java
@@ -26,7 +26,7 @@
         try {
             product = ProductReader.read(productFile);
         } catch (InvalidProductFileException e) {
-            e.faults().forEach(System.err::println);
+            e.errors().forEach(System.err::println);
             return EXIT_USAGE;
         }
         Config config = Config.read(environment);
