--- a/src/main/java/junipercourse/cli/DescriptorAllocation.java
+++ b/src/main/java/junipercourse/cli/DescriptorAllocation.java
@@ -17,7 +17,7 @@
 
     private static final int MAX_CLOSING = 8;
 
-    /** Clients open at most one in so many of all descriptors. */
+    /** Clients open at most one in so many of all descriptors (PROTOCOL). */
     private static final int CLIENT_DIVISOR = 3;
 
     /** Engines get at least one in so many of the available descriptors. */
--- a/src/main/java/junipercourse/cli/GracefulShutdown.java
+++ b/src/main/java/junipercourse/cli/GracefulShutdown.java
@@ -14,18 +14,19 @@
  */
 final class GracefulShutdown {
     /**
-     * New connections arrive for 0.2 to 0.4 s after SIGTERM and their queries for 0.2 s more; the
-     * rest is for the signal's delivery. No longer: a query that arrives more than 0.7 s after
-     * SIGTERM and is unanswered at SIGKILL is lost, so from then on all are rejected at once.
+     * New connections arrive for 0.2 to 0.4 s after SIGTERM and their queries for 0.2 s more
+     * (PROTOCOL); the rest is for the signal's delivery. No longer: a query that arrives more than
+     * 0.7 s after SIGTERM and is unanswered at SIGKILL is lost, so from then on all are rejected at
+     * once.
      */
     private static final double LATE_ARRIVAL_SECONDS = 0.4 + 0.2 + 0.1;
 
-    /** SIGKILL follows SIGTERM after the longest deadline and this. */
+    /** Time from the longest deadline, counted from SIGTERM, to SIGKILL. */
     private static final double KILL_DELAY_SECONDS = 0.7;
 
     /**
-     * The platform counts this much of the longest deadline at most, and more of a process that is
-     * replaced.
+     * SIGKILL waits for at most this much of the longest deadline, or the next value for a process
+     * that is replaced.
      */
     private static final double MAX_DEADLINE_SECONDS = 3;
 
@@ -79,7 +80,7 @@
      * deadlines under half a second.
      *
      * @param longestDeadlineSeconds the longest deadline of the settings
-     * @param maxCountedSeconds at most so much of it is waited for
+     * @param maxCountedSeconds the part of it that SIGKILL waits for at most
      */
     static double answerDelaySeconds(double longestDeadlineSeconds, double maxCountedSeconds) {
         return Math.max(
--- a/src/main/java/junipercourse/cli/HandoverCoordinator.java
+++ b/src/main/java/junipercourse/cli/HandoverCoordinator.java
@@ -43,7 +43,7 @@
     private final ScheduledThreadPoolExecutor scheduler;
 
     /**
-     * The descriptors that this process limits itself to; siblings read them after its next poll.
+     * The descriptors that this process limits itself to; its next poll reports them to siblings.
      */
     private volatile int allowedDescriptors;
 
--- a/src/test/java/junipercourse/cli/AdminStatisticsTest.java
+++ b/src/test/java/junipercourse/cli/AdminStatisticsTest.java
@@ -105,11 +105,11 @@
             assertEquals(200, process.callAdmin("POST /ops/engines/down/s-00000002").status());
             awaitStatistics(expected.set("skipped_engines", 1), process);
             long[] passed = new long[2];
-            List<Client> held = new ArrayList<>();
+            List<Client> heldClients = new ArrayList<>();
             for (int i = 0; i < QUERIES_PER_OUTCOME; i++) {
                 Client client = new Client(listener.address()).startSession();
                 client.write(Client.queryMessage(query(HELD, i % 2, i)));
-                held.add(client);
+                heldClients.add(client);
                 passed[i % 2]++;
             }
             SocketTestSupport.await(() -> engines.countAttempts("") == QUERIES_PER_OUTCOME);
@@ -118,7 +118,7 @@
                             .set("upstream_tries", countAttempts(engines)),
                     process);
             released = true;
-            for (Client client : held) {
+            for (Client client : heldClients) {
                 assertEquals(QueryStream.EXPECTED_ANSWER, client.readAnswer());
                 client.close();
             }
--- a/src/test/java/junipercourse/cli/IdleClientFloodTest.java
+++ b/src/test/java/junipercourse/cli/IdleClientFloodTest.java
@@ -140,10 +140,10 @@
     /**
      * However many clients connect, reset and reconnect while queries hold connections to engines,
      * the process holds its descriptors at rest, the clients' share and its connections to engines.
-     * Clients that are not accepted yet use no descriptor here, though they see themselves
-     * connected: from there over {@code CONFIGURED_LIMIT} may be counted. The program's own peak of
-     * clients may exceed the share by a few, since a closed client counts until its task has run,
-     * and its place may be reused before that.
+     * Clients that are not accepted yet use no descriptor of the process, though they see
+     * themselves connected, so the client side may count more than {@code CONFIGURED_LIMIT}. The
+     * program's own peak of clients may exceed the share by a few, since a closed client counts
+     * until its task has run, and its place may be reused before that.
      */
     @Test
     void idleFloodStaysWithinDescriptorShares() throws Exception {
--- a/src/test/java/junipercourse/cli/MaintenanceModeTest.java
+++ b/src/test/java/junipercourse/cli/MaintenanceModeTest.java
@@ -90,8 +90,8 @@
                 () -> countAttemptsAtFirstEngine() > before); // due 5 s after maintenance ends
     }
 
-    /** Asserts that no query reaches the first engine while each process serves. */
-    private void assertFirstEngineInMaintenance(InheritingProcess... processes) throws IOException {
+    /** Checks that no query reaches the first engine while each process serves. */
+    private void checkFirstEngineIsSkipped(InheritingProcess... processes) throws IOException {
         for (InheritingProcess process : processes) {
             awaitSkippedEngines(process, 1);
         }
@@ -119,19 +119,19 @@
         assertEquals(404, oldProcess.callAdmin("POST /ops/engines/up/s-0000ffff").status());
         assertEquals(200, oldProcess.callAdmin(DOWN).status());
         assertEquals(200, oldProcess.callAdmin(DOWN).status(), "the second call has no effect");
-        assertFirstEngineInMaintenance(oldProcess, newProcess);
+        checkFirstEngineIsSkipped(oldProcess, newProcess);
         assertEquals(200, newProcess.callAdmin(UP).status());
         awaitSkippedEngines(oldProcess, 0);
         awaitSkippedEngines(newProcess, 0);
         awaitFirstEngineInUse();
         assertEquals(200, newProcess.callAdmin(DOWN).status());
-        assertFirstEngineInMaintenance(oldProcess, newProcess);
+        checkFirstEngineIsSkipped(oldProcess, newProcess);
         oldProcess.signal("KILL");
         newProcess.signal("KILL");
         oldProcess.awaitExitCode();
         newProcess.awaitExitCode();
         InheritingProcess restarted = listener.start().awaitReady();
-        assertFirstEngineInMaintenance(restarted);
+        checkFirstEngineIsSkipped(restarted);
         assertEquals(200, restarted.callAdmin(UP).status());
         awaitSkippedEngines(restarted, 0);
         awaitFirstEngineInUse();
@@ -154,7 +154,7 @@
         stream.start();
         assertTrue(process.log().contains("s-1.tmp, which names no engine"), process.log());
         assertEquals(200, process.callAdmin(DOWN).status());
-        assertFirstEngineInMaintenance(process);
+        checkFirstEngineIsSkipped(process);
         Files.delete(markers.resolve("s-1.tmp"));
         Files.delete(markers.resolve("s-00000001"));
         awaitSkippedEngines(process, 0); // the marker file decides
@@ -166,7 +166,7 @@
         Files.createFile(markers);
         assertEquals(503, process.callAdmin("POST /ops/engines/down/s-00000002").status());
         assertEquals(503, process.callAdmin(UP).status());
-        assertFirstEngineInMaintenance(process);
+        checkFirstEngineIsSkipped(process);
         Files.delete(markers);
         Files.move(moved, markers);
         assertEquals(200, process.callAdmin(UP).status());
--- a/src/test/java/junipercourse/cli/ManyStarts.java
+++ b/src/test/java/junipercourse/cli/ManyStarts.java
@@ -175,7 +175,7 @@
     private static void printDistribution(String metric, double... values) {
         Arrays.sort(values);
         System.out.printf(
-                "%d starts, %s: median %.2f, 90th percentile %.2f, 99th %.2f, most %.2f%n",
+                "%d starts, %s: median %.2f, 90th percentile %.2f, 99th %.2f, maximum %.2f%n",
                 values.length,
                 metric,
                 values[values.length / 2],
--- a/src/test/java/junipercourse/cli/RecoveryTest.java
+++ b/src/test/java/junipercourse/cli/RecoveryTest.java
@@ -154,16 +154,16 @@
 
         private synchronized void sweep(long now) {
             polledAtMillis.forEach(
-                    (id, millis) -> {
-                        if (now - millis > 2000) {
+                    (id, timeMillis) -> {
+                        if (now - timeMillis > 2000) {
                             polledAtMillis.remove(id);
                             endsAtMillis.remove(id);
                             rules.recordEnd(id);
                         }
                     });
             endsAtMillis.forEach(
-                    (id, millis) -> {
-                        if (now >= millis) {
+                    (id, timeMillis) -> {
+                        if (now >= timeMillis) {
                             rules.recordEnd(id);
                         }
                     });
@@ -314,9 +314,7 @@
                             || answer.contains("SocketException");
             if (closed
                     && !isNewSession
-                    && elapsedSeconds
-                            > CLOSE_CROSSING_SECONDS) { // clients resend a query that crosses a
-                // close
+                    && elapsedSeconds > CLOSE_CROSSING_SECONDS) { // else clients resend it
                 lostAnswers.add(
                         "after %.3f s, written at %.3f: %s"
                                 .formatted(elapsedSeconds, sentAt, answer));
--- a/src/test/java/junipercourse/cli/SettingsIsolationTest.java
+++ b/src/test/java/junipercourse/cli/SettingsIsolationTest.java
@@ -37,7 +37,7 @@
                         .replace("timeout=7000", "timeout=" + timeoutMillis));
     }
 
-    private static void assertRejected(
+    private static void checkRejected(
             DispatcherServer server, String kind, String owner, int timeoutMillis, String reason)
             throws IOException {
         String answer = query(server, kind, owner, timeoutMillis);
@@ -67,11 +67,11 @@
             try {
                 assertEquals(QueryStream.EXPECTED_ANSWER, query(first, "check", "acme", 7000));
                 assertEquals(QueryStream.EXPECTED_ANSWER, query(second, "audit", "umbrella", 400));
-                assertRejected(first, "audit", "acme", 400, "unknown class");
-                assertRejected(second, "check", "umbrella", 400, "unknown class");
-                assertRejected(first, "check", "umbrella", 400, "unknown tenant");
-                assertRejected(second, "audit", "acme", 400, "unknown tenant");
-                assertRejected(second, "audit", "umbrella", 7000, "timeout");
+                checkRejected(first, "audit", "acme", 400, "unknown class");
+                checkRejected(second, "check", "umbrella", 400, "unknown class");
+                checkRejected(first, "check", "umbrella", 400, "unknown tenant");
+                checkRejected(second, "audit", "acme", 400, "unknown tenant");
+                checkRejected(second, "audit", "umbrella", 7000, "timeout");
                 assertEquals(QueryStream.EXPECTED_ANSWER, query(first, "check", "acme", 7000));
                 assertEquals(2, firstEngines.countAttempts(""));
                 assertEquals(1, secondEngines.countAttempts(""));
@@ -79,7 +79,7 @@
                 third =
                         startServer(
                                 firstEngines.dispatcherConfig().replace("\"check\"", "\"third\""));
-                assertRejected(third, "check", "acme", 7000, "unknown class");
+                checkRejected(third, "check", "acme", 7000, "unknown class");
                 assertEquals(QueryStream.EXPECTED_ANSWER, query(third, "third", "acme", 7000));
                 assertEquals(QueryStream.EXPECTED_ANSWER, query(second, "audit", "umbrella", 400));
             } finally {
