--- a/src/main/java/junipercourse/admin/MaintenanceMarkers.java
+++ b/src/main/java/junipercourse/admin/MaintenanceMarkers.java
@@ -13,23 +13,23 @@
 import org.tinylog.Logger;
 
 /**
- * The engines that the staff have taken out, one empty file each in a folder of {@code $TMPDIR}: a
- * file that is there says that its engine is out, whatever it holds. So no file can be half written
- * or damaged, an order given twice is one, two processes beside each other never overwrite each
- * other's orders, and all of it outlives a process, also one that is killed.
+ * Stores which engines are in maintenance mode, as one empty marker file per engine in a folder of
+ * {@code $TMPDIR}. A file marks its engine by its existence, whatever its content. Therefore a
+ * marker cannot be half written or damaged, repeating a change has no effect, two sibling processes
+ * never overwrite each other's changes, and markers survive the process, even if it is killed.
  */
 public final class MaintenanceMarkers {
-    /** More than a list of engines holds, so that the folder cannot grow for good. */
-    private static final int MOST = 4096;
+    /** More than an endpoint list holds; it keeps the folder from growing without bound. */
+    private static final int MAX_MARKERS = 4096;
 
-    private static final Pattern ID = Pattern.compile("s-[0-9a-f]{8}");
+    private static final Pattern ENGINE_ID_PATTERN = Pattern.compile("s-[0-9a-f]{8}");
     private final Path folder;
-    private final Set<String> strange = new HashSet<>();
-    private Set<EngineId> last = Set.of();
-    private String fault = "";
+    private final Set<String> reportedNames = new HashSet<>();
+    private Set<EngineId> lastRead = Set.of();
+    private String lastError = "";
 
     /**
-     * @throws IOException if the folder is not there and cannot be made
+     * @throws IOException if the folder does not exist and cannot be created
      */
     public MaintenanceMarkers(Path folder) throws IOException {
         this.folder = folder;
@@ -37,68 +37,75 @@
     }
 
     /**
-     * The engine of an id as the event bus writes it, such as {@code s-00c41f7a}; empty if it is
-     * none.
+     * Parses an engine ID in the notation of the event bus, such as {@code s-00c41f7a}; empty if
+     * the text is not an engine ID.
      */
     public static Optional<EngineId> parseEngineId(String id) {
-        return ID.matcher(id).matches()
+        return ENGINE_ID_PATTERN.matcher(id).matches()
                 ? Optional.of(new EngineId(Long.parseLong(id.substring(2), 16)))
                 : Optional.empty();
     }
 
-    private Path file(EngineId id) {
+    private Path markerPath(EngineId id) {
         return folder.resolve(String.format("s-%08x", id.value()));
     }
 
     /**
-     * @throws IOException if that cannot be kept: then nothing has changed
+     * Marks an engine as in maintenance mode.
+     *
+     * @throws IOException if the marker cannot be created; nothing has changed then
      */
     public synchronized void add(EngineId id) throws IOException {
-        if (read().size() >= MOST) {
-            throw new IOException("already " + MOST + " engines are out");
+        if (read().size() >= MAX_MARKERS) {
+            throw new IOException(
+                    MAX_MARKERS + " engines are already in maintenance mode, the maximum");
         }
         try {
-            Files.createFile(file(id));
+            Files.createFile(markerPath(id));
         } catch (FileAlreadyExistsException e) {
-            Logger.debug("engine {} is out already", id.value());
+            Logger.debug("engine {} is already in maintenance mode", id.value());
         }
     }
 
     /**
-     * @throws IOException if that cannot be kept: then nothing has changed
+     * Removes the marker of an engine.
+     *
+     * @throws IOException if the marker cannot be deleted; nothing has changed then
      */
     public synchronized void remove(EngineId id) throws IOException {
-        if (!Files.isDirectory(folder)) { // no file is there, and yet what was out stays out
-            throw new IOException(folder + " is not there");
+        if (!Files.isDirectory(folder)) { // no marker exists, but engines stay in maintenance mode
+            throw new IOException(folder + " does not exist");
         }
-        Files.deleteIfExists(file(id));
+        Files.deleteIfExists(markerPath(id));
     }
 
     /**
-     * The engines that are out. If the folder cannot be read, those that were: what is out stays
-     * out.
+     * Returns the engines in maintenance mode. If the folder cannot be read, returns the result of
+     * the last successful read, so that engines stay in maintenance mode.
      */
     public synchronized Set<EngineId> read() {
-        Set<EngineId> out = new HashSet<>();
+        Set<EngineId> engines = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-            for (Path f : files) {
-                String name = f.getFileName().toString();
+            for (Path file : files) {
+                String name = file.getFileName().toString();
                 Optional<EngineId> id = parseEngineId(name);
                 if (id.isPresent()) {
-                    out.add(id.get());
-                } else if (strange.size() < MOST && strange.add(name)) {
+                    engines.add(id.get());
+                } else if (reportedNames.size() < MAX_MARKERS && reportedNames.add(name)) {
                     Logger.warn("{} holds {}, which names no engine", folder, name);
                 }
             }
-            last = Set.copyOf(out);
-            fault = "";
-        } catch (IOException | RuntimeException e) { // the stream's own failures come unchecked
-            if (!fault.equals(e.toString())) { // it is read several times a second
-                fault = e.toString();
+            lastRead = Set.copyOf(engines);
+            lastError = "";
+        } catch (IOException | RuntimeException e) { // the stream throws unchecked exceptions
+            if (!lastError.equals(
+                    e.toString())) { // log once: the folder is read several times a second
+                lastError = e.toString();
                 Logger.error(
-                        "the engines taken out cannot be read, and stay as they were: {}", fault);
+                        "cannot read the maintenance markers, engines keep their mode: {}",
+                        lastError);
             }
         }
-        return last;
+        return lastRead;
     }
 }
--- a/src/main/java/junipercourse/engine/EnginePool.java
+++ b/src/main/java/junipercourse/engine/EnginePool.java
@@ -9,154 +9,154 @@
 import junipercourse.net.EventLoop;
 
 /**
- * Opens connections to one engine in one of its lives. A later engine at the same address has a
- * pool of its own, and so has one that was started again under its id: what waits for the old one
- * goes to neither. Nothing is kept for later queries: a late second copy of an answer would be
- * taken for that to another.
+ * Opens connections to one engine process. A later engine at the same address, or one restarted
+ * under the same id, has a pool of its own, so that calls waiting for the old process reach
+ * neither. No connection is reused for later queries: a late duplicate of a response would be taken
+ * for the response to another query.
  */
 final class EnginePool {
-    /** How many connections to all engines may be open or opening. */
+    /** Limits the connections to all engines that are open or being opened. */
     static final class Budget {
         /**
-         * Of the connections, for polls, pages and DELETEs: no new query may keep those from going
-         * out.
+         * One in this many connections is reserved for polls, pages and DELETEs, which new queries
+         * must not block.
          */
-        private static final int FOLLOW_UP_PART = 12;
+        private static final int FOLLOW_UP_DIVISOR = 12;
 
-        private final Set<Runnable> waiting = new LinkedHashSet<>();
+        private final Set<Runnable> waitingStarts = new LinkedHashSet<>();
         private final EventLoop loop;
         private final DescriptorBudget.Share share;
-        private final int followUps;
+        private final int followUpReserve;
 
         Budget(EventLoop loop, DescriptorBudget.Share share) {
             this.loop = loop;
             this.share = share;
-            followUps = share.maxOpen() / FOLLOW_UP_PART;
+            followUpReserve = share.maxOpen() / FOLLOW_UP_DIVISOR;
         }
 
-        boolean take(boolean starts) {
-            int spare = starts ? followUps : 0;
-            return share.available() > spare && share.tryAcquire();
+        boolean tryAcquire(boolean startsQuery) {
+            int reserve = startsQuery ? followUpReserve : 0;
+            return share.available() > reserve && share.tryAcquire();
         }
 
-        /** One is closed; its descriptor is back once the sockets have been looked at again. */
-        void giveBack() {
+        /** Releases a closed connection; its descriptor is free after the next selector pass. */
+        void release() {
             share.markClosing();
             loop.runAfterNextPass(
                     () -> {
                         share.markClosed();
-                        next();
+                        resumeNextWaiting();
                     });
-            next();
+            resumeNextWaiting();
         }
 
-        /** A new query that found no room goes on, in the order come. */
-        private void next() {
-            if (!waiting.isEmpty() && share.available() > followUps) {
-                Runnable first = waiting.iterator().next();
-                waiting.remove(first);
-                loop.execute(first);
+        /** Resumes the new query that has waited longest for a connection. */
+        private void resumeNextWaiting() {
+            if (!waitingStarts.isEmpty() && share.available() > followUpReserve) {
+                Runnable longestWaiting = waitingStarts.iterator().next();
+                waitingStarts.remove(longestWaiting);
+                loop.execute(longestWaiting);
             }
         }
     }
 
     private final EventLoop loop;
     private final Budget budget;
-    private final EngineEndpoint member;
-    private final double dialTimeout;
+    private final EngineEndpoint endpoint;
+    private final double dialTimeoutSeconds;
     private final Counters counters;
-    private boolean ready = true;
+    private boolean isReady = true;
 
     EnginePool(
             EventLoop loop,
-            EngineEndpoint member,
-            double dialTimeout,
+            EngineEndpoint endpoint,
+            double dialTimeoutSeconds,
             Budget budget,
             Counters counters) {
         this.loop = loop;
         this.budget = budget;
-        this.member = member;
-        this.dialTimeout = dialTimeout;
+        this.endpoint = endpoint;
+        this.dialTimeoutSeconds = dialTimeoutSeconds;
         this.counters = counters;
     }
 
-    String name() {
-        return String.format("s-%08x", member.engine().id().value());
+    String engineName() {
+        return String.format("s-%08x", endpoint.engine().id().value());
     }
 
-    /** Whether a listed engine is this one, where it was and not started since. */
-    boolean isOf(EngineEndpoint listed) {
-        return member.address().equals(listed.address())
-                && member.engine().startedAt() == listed.engine().startedAt();
+    /** Whether a listed engine is this one: same address and not restarted since. */
+    boolean matches(EngineEndpoint other) {
+        return endpoint.address().equals(other.address())
+                && endpoint.engine().startedAt() == other.engine().startedAt();
     }
 
-    /** Seconds in which a connection comes up or is given up. */
-    double dialTimeout() {
-        return dialTimeout;
+    /** Seconds after which a connection attempt fails. */
+    double dialTimeoutSeconds() {
+        return dialTimeoutSeconds;
     }
 
-    /** Whether new work may go there now. */
-    boolean ready() {
-        return ready;
+    /** Whether the engine accepts new queries. */
+    boolean isReady() {
+        return isReady;
     }
 
-    void ready(boolean takesWork) {
-        ready = takesWork;
+    void setReady(boolean acceptsQueries) {
+        isReady = acceptsQueries;
     }
 
     /**
-     * Runs a call on a new connection of its owner's. A call that {@code starts} a query waits for
-     * room.
+     * Writes a call on a new connection for its owner. A call that {@code startsQuery} waits until
+     * a connection is available.
      */
-    void call(HttpCall call, boolean starts, EngineConnection.Owner owner) {
-        if (!call.wanted()) { // given up while it waited for room
-            budget.next();
+    void callOnNewConnection(HttpCall call, boolean startsQuery, EngineConnection.Owner owner) {
+        if (!call.isPending()) { // ignored while it waited for a connection
+            budget.resumeNextWaiting();
             return;
         }
-        if (!budget.take(starts)) {
-            waitForRoom(call, starts, owner);
+        if (!budget.tryAcquire(startsQuery)) {
+            waitForConnection(call, startsQuery, owner);
             return;
         }
         EventLoop.Dial dial =
                 loop.dial(
-                        member.address(),
-                        dialTimeout,
-                        c -> {
+                        endpoint.address(),
+                        dialTimeoutSeconds,
+                        stream -> {
                             counters.increment(Count.ENGINES_CONNECTED);
-                            EngineConnection up =
-                                    new EngineConnection(loop, c, this, owner, counters);
-                            call.dialing(up::close);
-                            loop.runWhenCaughtUp(
-                                    () -> call.run(up)); // a cancel or a drain may lie unread
-                            // after a stall
+                            EngineConnection connection =
+                                    new EngineConnection(loop, stream, this, owner, counters);
+                            call.setConnectCanceller(connection::close);
+                            // After a stall a cancellation or a drain may still be unread.
+                            loop.runWhenCaughtUp(() -> call.writeOn(connection));
                         },
-                        why -> {
-                            budget.giveBack();
-                            call.unreachable(why == EventLoop.DialFailure.REFUSED);
+                        failure -> {
+                            budget.release();
+                            call.failUnreachable(failure == EventLoop.DialFailure.REFUSED);
                         });
-        call.dialing(
+        call.setConnectCanceller(
                 () -> {
                     dial.cancel();
-                    budget.giveBack();
+                    budget.release();
                 });
     }
 
     /**
-     * Our own lack of room is told of no engine: a new query waits for it, other calls try again
+     * Handles a full budget, which is no fault of the engine: a new query waits, other calls retry
      * soon.
      */
-    private void waitForRoom(HttpCall call, boolean starts, EngineConnection.Owner owner) {
-        if (starts) {
-            Runnable goOn = () -> call(call, true, owner);
-            budget.waiting.add(goOn);
-            call.dialing(() -> budget.waiting.remove(goOn));
+    private void waitForConnection(
+            HttpCall call, boolean startsQuery, EngineConnection.Owner owner) {
+        if (startsQuery) {
+            Runnable resume = () -> callOnNewConnection(call, true, owner);
+            budget.waitingStarts.add(resume);
+            call.setConnectCanceller(() -> budget.waitingStarts.remove(resume));
         } else {
-            loop.execute(call::takenBack);
+            loop.execute(call::withdraw);
         }
     }
 
-    /** A connection has been closed; each says so once. */
-    void left() {
-        budget.giveBack();
+    /** Called once by each connection when it closes. */
+    void onConnectionClosed() {
+        budget.release();
     }
 }
--- a/src/main/java/junipercourse/engine/ResultPageFetcher.java
+++ b/src/main/java/junipercourse/engine/ResultPageFetcher.java
@@ -5,52 +5,53 @@
 import junipercourse.core.Query;
 import junipercourse.liveness.AttemptLiveness;
 
-/** Gets the further pages of a result, after its good end was told with page 0. */
+/** Fetches the pages of a result after page 0, which reported the success of the query. */
 final class ResultPageFetcher {
-    private static final double ASK_AGAIN_S = 0.1;
+    private static final double RETRY_DELAY_SECONDS = 0.1;
 
-    /** Calls in a row that do not bring the page. */
-    private static final int BREAKS = 4;
+    /** Consecutive calls that may fail to return the page. */
+    private static final int MAX_FAILURES = 4;
 
-    private static final int FIRST_ERROR = 400;
+    private static final int FIRST_ERROR_STATUS = 400;
 
     private final Query query;
     private final ResultPages pages;
-    private final AttemptConnections calls;
-    private final AttemptLiveness evidence;
+    private final AttemptConnections connections;
+    private final AttemptLiveness liveness;
     private final Counters counters;
-    private final CompletionListener done;
-    private int breaks;
+    private final CompletionListener listener;
+    private int failures;
 
-    /** Is told once, when all pages are there or one is lost. */
+    /** Called once, when all pages are fetched or one is lost. */
     interface CompletionListener {
-        void done(boolean whole);
+        void onFinished(boolean isComplete);
     }
 
     ResultPageFetcher(
             Query query,
             ResultPages pages,
-            AttemptConnections calls,
-            AttemptLiveness evidence,
+            AttemptConnections connections,
+            AttemptLiveness liveness,
             Counters counters,
-            CompletionListener done) {
+            CompletionListener listener) {
         this.query = query;
         this.pages = pages;
-        this.calls = calls;
-        this.evidence = evidence;
+        this.connections = connections;
+        this.liveness = liveness;
         this.counters = counters;
-        this.done = done;
+        this.listener = listener;
     }
 
-    void next() {
-        if (pages.whole()) {
-            done.done(true);
+    void fetchNext() {
+        if (pages.isComplete()) {
+            listener.onFinished(true);
         } else {
-            calls.later(
-                    breaks > 1 ? ASK_AGAIN_S : AttemptConnections.REST_S,
+            connections.schedule(
+                    failures > 1 ? RETRY_DELAY_SECONDS : AttemptConnections.REUSE_DELAY_SECONDS,
                     () ->
-                            calls.run(
-                                    EngineRequestEncoder.bare("GET", query, "/" + pages.next()),
+                            connections.makeCall(
+                                    EngineRequestEncoder.encodeBodiless(
+                                            "GET", query, "/" + pages.nextNumber()),
                                     new PageListener(),
                                     false));
         }
@@ -58,45 +59,45 @@
 
     private final class PageListener extends AttemptConnections.CallListener {
         PageListener() {
-            super(calls);
+            super(connections);
         }
 
-        /** A page bears its number; an error is told of no query whose pages are got after it. */
+        /** A page carries its number; an error is no duplicate, as no page is fetched after one. */
         @Override
-        public boolean proves(HttpResponse response) {
-            return pages.isNext(response) || response.status() >= FIRST_ERROR;
+        public boolean matchesOnlyThisCall(HttpResponse response) {
+            return pages.isNextPage(response) || response.status() >= FIRST_ERROR_STATUS;
         }
 
         @Override
-        void told(HttpResponse response, boolean sure) {
-            if (pages.further(response)) {
-                evidence.recordResponse();
-                breaks = 0;
-                next();
-            } else if (response.status() >= FIRST_ERROR) {
-                done.done(false); // pages end with their engine, or when nobody asks for them
-            } else { // spoilt, or a copy of a 202 or of another page: the engine still has this one
+        void handleResponse(HttpResponse response, boolean isUnambiguous) {
+            if (pages.addNext(response)) {
+                liveness.recordResponse();
+                failures = 0;
+                fetchNext();
+            } else if (response.status() >= FIRST_ERROR_STATUS) {
+                listener.onFinished(false); // pages are lost with their engine, or expire unpolled
+            } else { // malformed, or a duplicate of a 202 or of another page: the engine has this
+                // one
                 counters.increment(Count.ENGINES_GARBLED);
-                calls.reset();
-                failed();
+                connections.resetIdle();
+                handleFailure();
             }
         }
 
         @Override
-        void failed() {
-            breaks++;
-            if (breaks >= BREAKS) {
-                evidence.recordResponse(); // it is known to have ended well: nobody has left it
-                // alone
-                done.done(false);
+        void handleFailure() {
+            failures++;
+            if (failures >= MAX_FAILURES) {
+                liveness.recordResponse(); // known to have succeeded, so not expired unpolled
+                listener.onFinished(false);
             } else {
-                next();
+                fetchNext();
             }
         }
 
         @Override
-        public void unreachable(boolean refused) {
-            failed();
+        public void onUnreachable(boolean refused) {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/log/LineQueue.java
+++ b/src/main/java/junipercourse/log/LineQueue.java
@@ -4,63 +4,68 @@
 import java.util.Deque;
 
 /**
- * Lines on their way to a reader who may be slow or gone: a bound on what waits, and a count of
- * what was dropped for it. Whoever adds never waits; the one who takes does.
+ * Bounded queue of log lines for a reader that may be slow or gone. Adding never blocks: a line
+ * that does not fit is dropped and counted. Taking blocks.
  */
 final class LineQueue {
-    private final int mostChars;
+    private final int maxChars;
     private final Deque<String> lines = new ArrayDeque<>();
-    private int chars;
-    private long dropped;
-    private long untold;
-    private boolean closed;
+    private int queuedChars;
+    private long droppedLines;
+    private long unreportedDrops;
+    private boolean isClosed;
 
-    /** {@code mostChars} bounds all lines that wait. */
-    LineQueue(int mostChars) {
-        this.mostChars = mostChars;
+    /**
+     * @param maxChars total length of all queued lines
+     */
+    LineQueue(int maxChars) {
+        this.maxChars = maxChars;
     }
 
-    /** Adds a line, or drops it if too much waits already. */
+    /** Adds a line, or drops it if the queue is full or closed. */
     synchronized void add(String line) {
-        if (closed || chars + line.length() > mostChars) {
-            dropped++;
-            untold++;
+        if (isClosed || queuedChars + line.length() > maxChars) {
+            droppedLines++;
+            unreportedDrops++;
             return;
         }
         lines.add(line);
-        chars += line.length();
+        queuedChars += line.length();
         notifyAll();
     }
 
-    /** The next line, or a word on those dropped once there is room; null once closed and empty. */
+    /**
+     * Returns the next line, or a notice of dropped lines once the queue is empty; null once the
+     * queue is closed and empty.
+     */
     synchronized String take() throws InterruptedException {
-        while (lines.isEmpty() && untold == 0 && !closed) {
+        while (lines.isEmpty() && unreportedDrops == 0 && !isClosed) {
             wait();
         }
         String line = lines.poll();
         if (line != null) {
-            chars -= line.length();
+            queuedChars -= line.length();
             return line;
         }
-        if (untold > 0) {
-            String word =
-                    untold
-                            + " lines of the log were dropped: nobody read them in time"
+        if (unreportedDrops > 0) {
+            String notice =
+                    unreportedDrops
+                            + " log lines were dropped: standard error was not read in time"
                             + System.lineSeparator();
-            untold = 0;
-            return word;
+            unreportedDrops = 0;
+            return notice;
         }
         return null;
     }
 
-    /** Nothing more is taken in. */
+    /** Rejects further lines; queued lines can still be taken. */
     synchronized void close() {
-        closed = true;
+        isClosed = true;
         notifyAll();
     }
 
-    /** Lines dropped since the start. */
-    synchronized long dropped() {
-        return dropped;
+    /** Returns the number of lines dropped so far. */
+    synchronized long droppedLines() {
+        return droppedLines;
     }
 }
