--- a/src/main/java/junipercourse/cli/AdminService.java
+++ b/src/main/java/junipercourse/cli/AdminService.java
@@ -224,7 +224,7 @@
                 ? "ending"
                 : System.nanoTime() - last.nanos() < MAX_AGE_SECONDS * 1e9
                         ? last.reason()
-                        : "event loop stalled";
+                        : "standing still";
     }
 
     @Override
