--- a/src/test/java/junipercourse/fleet/transport/HollowTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
@@ -17,9 +17,9 @@
  * same socket, codec, rates, refusals and counts. What it leaves out are the two rings, so that
  * {@code IN_RING_FULL} and {@code OUT_RING_FULL} never come: what waits, waits in the socket's
  * buffer, which is longer by what the ring for what comes would hold. Between the sender and the
- * network lies a {@link Path}, which may lose a datagram or hold it back.
+ * network lies a {@link NetworkFaults}, which may lose a datagram or hold it back.
  */
-public final class HollowTransport implements Closeable {
+public final class SingleThreadTransport implements Closeable {
     private static final int MOST_AT_ONCE = 256;
 
     /**
@@ -34,22 +34,22 @@
     private final RateLimiter rateIn;
     private final RateLimiter rateOut;
     private final TransportCounters tally;
-    private final Path path;
+    private final NetworkFaults path;
     private final ByteBuffer received =
             ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more tells too long
     private final ByteBuffer sent = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final DatagramChannel channel;
 
     /** The faults between members. */
-    public interface Path {
+    public interface NetworkFaults {
         /** Seconds that a datagram to this address is held back; below 0 if it is lost. */
-        double out(String to);
+        double sendDelaySeconds(String to);
 
         /** The same for one that came, of a sender that has no path of its own. */
-        double in(String from);
+        double receiveDelaySeconds(String from);
 
         /** Has something done after so many seconds, on the link's thread. */
-        void later(double seconds, Runnable task);
+        void schedule(double seconds, Runnable task);
     }
 
     /**
@@ -57,12 +57,12 @@
      *
      * @param tally goes on from life to life of a member
      */
-    public HollowTransport(
+    public SingleThreadTransport(
             String fleet,
             InetSocketAddress listen,
             RateLimits bounds,
             TransportCounters tally,
-            Path path)
+            NetworkFaults path)
             throws IOException {
         this.tally = tally;
         this.path = path;
@@ -103,7 +103,7 @@
 
     private void take(InetSocketAddress from, BiConsumer<String, GossipMessage> heard) {
         String address = from.getAddress().getHostAddress() + ":" + from.getPort();
-        double delay = path.in(address);
+        double delay = path.receiveDelaySeconds(address);
         if (delay < 0) {
             return; // was lost on the way here
         }
@@ -116,7 +116,7 @@
         if (read.dropReason() != null) {
             tally.drop(read.dropReason());
         } else if (delay > 0) {
-            path.later(delay, () -> heard.accept(address, read.message()));
+            path.schedule(delay, () -> heard.accept(address, read.message()));
         } else {
             heard.accept(address, read.message());
         }
@@ -133,12 +133,12 @@
             tally.drop(DropReason.OVER_RATE);
             return;
         }
-        double delay = path.out(address);
+        double delay = path.sendDelaySeconds(address);
         if (delay < 0) {
             tally.sent(size); // the system took it, the network lost it
         } else if (delay > 0) {
             ByteBuffer copy = ByteBuffer.allocate(size).put(sent).flip();
-            path.later(delay, () -> transmit(address, copy));
+            path.schedule(delay, () -> transmit(address, copy));
         } else {
             transmit(address, sent);
         }
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -227,7 +227,7 @@
                 what,
                 members,
                 look ->
-                        look.settled()
+                        look.isConverged()
                                 && members.stream()
                                         .map(DispatcherCluster::name)
                                         .allMatch(m -> look.sees(m, "alive"))
@@ -237,7 +237,7 @@
                                                         l ->
                                                                 l == null
                                                                         ? ""
-                                                                        : l.figures()
+                                                                        : l.valuesByName()
                                                                                 .get("view.digest"))
                                                 .distinct()
                                                 .count()
--- a/src/test/java/junipercourse/multiprocess/FleetObservation.java
+++ b/src/test/java/junipercourse/multiprocess/FleetObservation.java
@@ -21,7 +21,7 @@
         int process,
         long self,
         Map<String, Seen> members,
-        Map<String, String> figures) {
+        Map<String, String> valuesByName) {
     private static final Pattern ROW = Pattern.compile("D\\(([^)]*)\\)");
     private static final int COLUMNS = 7;
 
@@ -54,11 +54,11 @@
 
     /** A count of the link, such as {@code link.in}. */
     public long count(String figure) {
-        return Long.parseLong(figures.getOrDefault(figure, "0"));
+        return Long.parseLong(valuesByName.getOrDefault(figure, "0"));
     }
 
-    public boolean settled() {
-        return "true".equals(figures.get("view.settled"));
+    public boolean isConverged() {
+        return "true".equals(valuesByName.get("view.settled"));
     }
 
     /** Whether it sees that member so. */
--- a/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
+++ b/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
@@ -184,7 +184,7 @@
 
     @Test
     void strangersAndGarbageAreCountedAndChangeNothing() throws Exception {
-        String digest = rig.look(1).figures().get("view.digest");
+        String digest = rig.look(1).valuesByName().get("view.digest");
         FleetObservation before = rig.look(1);
         for (int round = 1;
                 round <= 5;
@@ -224,7 +224,7 @@
         rig.until("a flood is held down", Set.of(1), look -> look.count("dropped.too_many") > 0);
         forDatagrams("life goes on", 20);
         neverUnreachable(rig.all(), rig.others());
-        assertEquals(digest, rig.look(1).figures().get("view.digest"));
-        assertFalse(rig.look(1).figures().get("view.state").contains("failed"));
+        assertEquals(digest, rig.look(1).valuesByName().get("view.digest"));
+        assertFalse(rig.look(1).valuesByName().get("view.state").contains("failed"));
     }
 }
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -12,7 +12,7 @@
 import junipercourse.fleet.membership.MembershipProtocol;
 import junipercourse.fleet.membership.MembershipSnapshot;
 import junipercourse.fleet.membership.MembershipSnapshot.MemberView;
-import junipercourse.fleet.transport.HollowTransport;
+import junipercourse.fleet.transport.SingleThreadTransport;
 import junipercourse.fleet.transport.TransportCounters;
 
 /**
@@ -20,7 +20,7 @@
  * without front, engines and log. One after the other of its lives runs on its thread; the counts
  * go on over all of them.
  */
-final class HollowMember implements MembershipListener, HollowTransport.Path {
+final class HollowMember implements MembershipListener, SingleThreadTransport.NetworkFaults {
     /**
      * Between the farewell of a life and the start of its successor: as long as a process takes to
      * start.
@@ -37,7 +37,7 @@
     private final Network network;
     private final UnreachableListener verdicts;
     private MembershipProtocol view;
-    private HollowTransport link;
+    private SingleThreadTransport link;
     private volatile MembershipSnapshot snapshot;
     private volatile int lives;
     private volatile double startedAt = Double.POSITIVE_INFINITY;
@@ -77,7 +77,9 @@
     /** Begins a life; called on the thread, as is all that follows. */
     void start() {
         try {
-            link = new HollowTransport(part.name(), part.listen(), part.rateLimits(), tally, this);
+            link =
+                    new SingleThreadTransport(
+                            part.name(), part.listen(), part.rateLimits(), tally, this);
             link.channel().register(home.selector, SelectionKey.OP_READ, this);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -182,17 +184,17 @@
     }
 
     @Override
-    public double out(String to) {
+    public double sendDelaySeconds(String to) {
         return network.fate(number, to, home.random);
     }
 
     @Override
-    public double in(String from) {
+    public double receiveDelaySeconds(String from) {
         return network.fateOfHeard(number, from, home.random);
     }
 
     @Override
-    public void later(double seconds, Runnable task) {
+    public void schedule(double seconds, Runnable task) {
         home.later(seconds, task);
     }
 
--- a/src/test/java/junipercourse/scale/ScaleFleet.java
+++ b/src/test/java/junipercourse/scale/ScaleFleet.java
@@ -242,14 +242,14 @@
             if (ours == null) {
                 return "n" + realCount + " has no view";
             }
-            String digest = look.figures().get("view.digest");
-            if (!look.settled()
+            String digest = look.valuesByName().get("view.digest");
+            if (!look.isConverged()
                     || !Long.toHexString(ours.digest()).equals(digest)
                     || look.count("view.members") != ours.members().size()) {
                 return "n"
                         + each.number
                         + " settled="
-                        + look.settled()
+                        + look.isConverged()
                         + " digest="
                         + digest
                         + " members="
