--- a/src/main/java/junipercourse/fleet/FleetService.java
+++ b/src/main/java/junipercourse/fleet/FleetService.java
@@ -18,36 +18,36 @@
 import org.tinylog.Logger;
 
 /**
- * Runs the membership protocol: a thread that alone owns the {@link MembershipProtocol}, the
- * transport beside it, and the latest snapshot for all other threads. Nothing that serves queries
- * waits for either. A failure here ends the membership, is logged and shown, and does not affect
- * the dispatcher.
+ * Runs the membership protocol on a thread that alone owns the {@link MembershipProtocol}, owns the
+ * transport, and publishes the latest snapshot to all other threads. No thread that serves queries
+ * waits for either. A failure ends the membership, is logged and shown in {@code SHOW FLEET}, and
+ * does not affect the dispatcher.
  */
 public final class FleetService implements OptionalComponent {
-    /** Longest sleep, so that a stall of this process is noticed. */
+    /** Maximum sleep, so that a stall of this process is detected. */
     private static final double MAX_PARK_SECONDS = 0.1;
 
     /**
-     * Seconds of delay from which a wake-up counts as a stall; the system's own delays are shorter.
+     * Delay of a wake-up from which it counts as a stall; ordinary scheduling delays are shorter.
      */
-    private static final double STALL_SECONDS = 0.15;
+    private static final double STALL_THRESHOLD_SECONDS = 0.15;
 
     /**
-     * After a stall nothing is concluded before all that waited at the socket was read; the longest
-     * wait for that, in seconds.
+     * After a stall, timers are not evaluated before everything that waited at the socket has been
+     * read. Maximum wait for that.
      */
     private static final double MAX_DRAIN_SECONDS = 0.5;
 
     private static final double DRAIN_POLL_SECONDS = 0.001;
 
-    /** Seconds for which a leave is repeated. */
+    /** Seconds for which the leave message is repeated. */
     private static final double LEAVE_SECONDS = 0.15;
 
-    /** Longest wait for that when the process ends, in milliseconds. */
-    private static final long SHUTDOWN_TIMEOUT_MS = 250;
+    /** Maximum wait for the leave at shutdown. */
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 250;
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final int MAX_BATCH = 1024;
+    private static final int MAX_MESSAGES_PER_ITERATION = 1024;
 
     private final UdpTransport transport;
     private final MembershipProtocol membership;
@@ -57,7 +57,7 @@
     private final CountDownLatch terminated = new CountDownLatch(1);
     private volatile MembershipSnapshot snapshot;
     private volatile String failure;
-    private volatile boolean ending;
+    private volatile boolean shuttingDown;
     private volatile long stalls;
     private volatile long messagesHeldBack;
     private long drainTarget;
@@ -67,13 +67,13 @@
      * Opens the socket; nothing is sent before {@link #start}.
      *
      * @param name this process's name, by which its incarnations are known
-     * @param config the fleet's part of the product file
+     * @param config the fleet section of the product file
      * @throws IOException if the address cannot be bound at all
      */
     public FleetService(String name, FleetConfig config) throws IOException {
         long seed =
                 new SecureRandom()
-                        .nextLong(); // the configured one may be the same for all dispatchers
+                        .nextLong(); // the configured seed may be the same for all dispatchers
         Logger.info("fleet: {} of fleet {}, seed {}", name, config.name(), Long.toHexString(seed));
         transport =
                 new UdpTransport(
@@ -91,7 +91,8 @@
                         seed,
                         new ProtocolListener());
         stallDetector =
-                new StallDetector(MAX_PARK_SECONDS, STALL_SECONDS, Double.MAX_VALUE, now(), now());
+                new StallDetector(
+                        MAX_PARK_SECONDS, STALL_THRESHOLD_SECONDS, Double.MAX_VALUE, now(), now());
         table = new FleetTable(config, transport);
         thread.setDaemon(true);
     }
@@ -99,13 +100,13 @@
     /** Carries out what the protocol decides, on the fleet thread. */
     private final class ProtocolListener implements MembershipListener {
         @Override
-        public void send(String address, GossipMessage word) {
-            transport.send(address, word);
+        public void send(String address, GossipMessage message) {
+            transport.send(address, message);
         }
 
         @Override
-        public void membershipChanged(MembershipSnapshot next) {
-            snapshot = next;
+        public void membershipChanged(MembershipSnapshot newSnapshot) {
+            snapshot = newSnapshot;
         }
 
         @Override
@@ -142,10 +143,10 @@
     /** Leaves the fleet and stops the thread. */
     @Override
     public void shutDown() {
-        ending = true;
+        shuttingDown = true;
         LockSupport.unpark(thread);
         try {
-            if (!terminated.await(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            if (!terminated.await(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 Logger.warn("fleet: leave was not sent in time");
             }
             transport.close();
@@ -163,8 +164,8 @@
             membership.start(now);
             double leftAt = Double.POSITIVE_INFINITY;
             while (now < leftAt + LEAVE_SECONDS) {
-                boolean drained = turn(now);
-                if (ending && leftAt > now) {
+                boolean drained = runIteration(now);
+                if (shuttingDown && leftAt > now) {
                     membership.leave(now);
                     leftAt = now;
                 }
@@ -180,8 +181,10 @@
         }
     }
 
-    /** Runs one turn; returns false if more must be read before timers may be evaluated. */
-    private boolean turn(double now) {
+    /**
+     * Runs one loop iteration; returns false if more must be read before timers may be evaluated.
+     */
+    private boolean runIteration(double now) {
         StallDetector.Stall stall = stallDetector.recordIteration(now);
         if (stall != null) {
             stalls++;
@@ -193,7 +196,7 @@
                 !transport.isBound()
                         || transport.drainCount() >= drainTarget
                         || now > drainDeadline;
-        for (int i = 0; i < MAX_BATCH; i++) {
+        for (int i = 0; i < MAX_MESSAGES_PER_ITERATION; i++) {
             Envelope envelope = transport.poll();
             if (envelope == null) {
                 break;
--- a/src/main/java/junipercourse/fleet/FleetTable.java
+++ b/src/main/java/junipercourse/fleet/FleetTable.java
@@ -34,7 +34,7 @@
      *
      * @param snapshot the latest snapshot; null if there is none
      * @param failure why the membership has ended; null if it has not
-     * @param now the protocol's time in seconds
+     * @param now the protocol's clock in seconds
      */
     void fill(
             StatusTables.RowWriter rows,
@@ -43,16 +43,16 @@
             long stalls,
             long messagesHeldBack,
             double now) {
-        addFigure(rows, "view", "fleet", config.name());
-        addFigure(
+        addValue(rows, "view", "fleet", config.name());
+        addValue(
                 rows,
                 "view",
                 "state",
                 failure != null
                         ? "failed: " + failure
                         : transport.isBound() ? "on" : "waits for its address");
-        addFigure(rows, "view", "stalls", stalls);
-        addFigure(rows, "view", "held_by_budget", messagesHeldBack);
+        addValue(rows, "view", "stalls", stalls);
+        addValue(rows, "view", "held_by_budget", messagesHeldBack);
         if (snapshot != null) {
             addMembers(rows, snapshot, now);
         }
@@ -70,9 +70,9 @@
                 NONE,
                 config.advertisedAddress(),
                 orNone(config.zone()));
-        addFigure(rows, "view", "settled", snapshot.converged());
-        addFigure(rows, "view", "digest", Long.toHexString(snapshot.digest()));
-        addFigure(rows, "view", "members", snapshot.members().size());
+        addValue(rows, "view", "settled", snapshot.converged());
+        addValue(rows, "view", "digest", Long.toHexString(snapshot.digest()));
+        addValue(rows, "view", "members", snapshot.members().size());
         for (MembershipSnapshot.MemberView member : snapshot.members()) {
             MemberRecord record = member.record();
             rows.add(
@@ -88,42 +88,42 @@
 
     private void addCounters(StatusTables.RowWriter rows) {
         TransportCounters counters = transport.counters();
-        addFigure(rows, "link", "in", counters.received());
-        addFigure(rows, "link", "in_bytes", counters.receivedBytes());
-        addFigure(rows, "link", "out", counters.sent());
-        addFigure(rows, "link", "out_bytes", counters.sentBytes());
+        addValue(rows, "link", "in", counters.received());
+        addValue(rows, "link", "in_bytes", counters.receivedBytes());
+        addValue(rows, "link", "out", counters.sent());
+        addValue(rows, "link", "out_bytes", counters.sentBytes());
         for (DropReason reason : DropReason.values()) {
-            addFigure(rows, "dropped", reason.label(), counters.dropped(reason));
+            addValue(rows, "dropped", reason.label(), counters.dropped(reason));
         }
     }
 
     private void addLimits(StatusTables.RowWriter rows) {
-        addFigure(rows, "bound", "budget_bytes_per_s", config.membership().bytesPerSecond());
-        addFigure(
+        addValue(rows, "bound", "budget_bytes_per_s", config.membership().bytesPerSecond());
+        addValue(
                 rows,
                 "bound",
                 "peer_bytes_per_s",
                 Math.round(config.rateLimits().peerBytesPerSecond()));
-        addFigure(
+        addValue(
                 rows,
                 "bound",
                 "bytes_per_s",
                 Math.round(config.rateLimits().totalBytesPerSecond()));
-        addFigure(
+        addValue(
                 rows,
                 "bound",
                 "peer_datagrams_per_s",
                 Math.round(config.rateLimits().peerDatagramsPerSecond()));
-        addFigure(
+        addValue(
                 rows,
                 "bound",
                 "datagrams_per_s",
                 Math.round(config.rateLimits().totalDatagramsPerSecond()));
-        addFigure(rows, "bound", "ring", config.rateLimits().ringCapacity());
-        addFigure(rows, "bound", "members", config.membership().maxMembers());
+        addValue(rows, "bound", "ring", config.rateLimits().ringCapacity());
+        addValue(rows, "bound", "members", config.membership().maxMembers());
     }
 
-    /** Returns generation and random part, as in the log. */
+    /** Formats an incarnation as its generation and random part, as in the log. */
     private static String incarnation(long value) {
         return (value >>> RANDOM_BITS) + "." + "%08x".formatted(value & RANDOM_MASK);
     }
@@ -132,7 +132,7 @@
         return text.isEmpty() ? NONE : text;
     }
 
-    private static void addFigure(
+    private static void addValue(
             StatusTables.RowWriter rows, String group, String name, Object value) {
         rows.add(group, name, value, NONE, NONE, NONE, NONE);
     }
--- a/src/main/java/junipercourse/fleet/transport/AddressBinder.java
+++ b/src/main/java/junipercourse/fleet/transport/AddressBinder.java
@@ -27,7 +27,7 @@
      *
      * @throws IOException if the address is not one of this machine
      */
-    boolean bind() throws IOException {
+    boolean tryBind() throws IOException {
         if (!bound) {
             try {
                 channel.bind(address);
--- a/src/main/java/junipercourse/fleet/transport/GossipCodec.java
+++ b/src/main/java/junipercourse/fleet/transport/GossipCodec.java
@@ -17,7 +17,7 @@
  * fleet (string), 2 major, 3 minor (uint32); the others are in {@link GossipFields}.
  */
 final class GossipCodec {
-    /** What fits into one packet on any usual path. */
+    /** Fits into one packet on any usual network path. */
     static final int MAX_DATAGRAM_BYTES = 1200;
 
     static final int MAJOR_VERSION = 1;
@@ -68,7 +68,7 @@
         } catch (CodedOutputStream.OutOfSpaceException e) {
             return false;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array has no others
+            throw new UncheckedIOException(e); // writing to an array fails only for lack of space
         }
         buffer.putInt(checksum(buffer)).rewind();
         return true;
@@ -87,7 +87,8 @@
                     CodedInputStream.newInstance(
                             buffer.array(), Integer.BYTES, buffer.limit() - Integer.BYTES));
         } catch (IOException | IllegalArgumentException e) {
-            return new Decoded(null, DropReason.UNREADABLE); // truncated, no text, or out of bounds
+            return new Decoded(
+                    null, DropReason.UNREADABLE); // truncated, invalid UTF-8, or out of bounds
         }
     }
 
@@ -120,7 +121,7 @@
                 : version > major ? DropReason.NEWER_FORMAT : DropReason.UNREADABLE;
     }
 
-    /** Over all that follows the checksum's own place, up to the buffer's limit. */
+    /** Returns the checksum of all bytes after the checksum field, up to the buffer's limit. */
     private int checksum(ByteBuffer datagram) {
         crc.reset();
         crc.update(datagram.array(), Integer.BYTES, datagram.limit() - Integer.BYTES);
--- a/src/main/java/junipercourse/fleet/transport/GossipFields.java
+++ b/src/main/java/junipercourse/fleet/transport/GossipFields.java
@@ -43,7 +43,7 @@
     private static final int FIXED64 = 1;
     static final int LENGTH_DELIMITED = 2;
 
-    /** More than any record takes; the buffer never grows. */
+    /** Larger than any encoded record; the buffer never grows. */
     private static final int MAX_RECORD_BYTES = 256;
 
     private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Decodes the fields from the first one on, whose tag was read already. The message's own
-     * bounds apply to what was received.
+     * Decodes all fields, starting with the one whose tag has been read already. The message's
+     * constructor checks the bounds.
      *
      * @throws IllegalArgumentException if a bound is broken
      */
--- a/src/main/java/junipercourse/fleet/transport/RateLimits.java
+++ b/src/main/java/junipercourse/fleet/transport/RateLimits.java
@@ -3,11 +3,11 @@
 /**
  * Limits of the transport.
  *
- * @param peerBytesPerSecond bytes a second sent to one address
- * @param totalBytesPerSecond bytes a second sent in all
- * @param peerDatagramsPerSecond datagrams a second received from one address
- * @param totalDatagramsPerSecond datagrams a second received in all
- * @param ringCapacity messages that wait in each ring; further ones are dropped
+ * @param peerBytesPerSecond maximum bytes per second sent to one address
+ * @param totalBytesPerSecond maximum bytes per second sent in total
+ * @param peerDatagramsPerSecond maximum datagrams per second received from one address
+ * @param totalDatagramsPerSecond maximum datagrams per second received in total
+ * @param ringCapacity capacity of each ring in messages; further messages are dropped
  */
 public record RateLimits(
         double peerBytesPerSecond,
--- a/src/main/java/junipercourse/fleet/transport/TransportCounters.java
+++ b/src/main/java/junipercourse/fleet/transport/TransportCounters.java
@@ -23,7 +23,7 @@
         sentBytes.addAndGet(bytes);
     }
 
-    void drop(DropReason reason) {
+    void countDrop(DropReason reason) {
         dropped.incrementAndGet(reason.ordinal());
     }
 
--- a/src/main/java/junipercourse/fleet/transport/UdpTransport.java
+++ b/src/main/java/junipercourse/fleet/transport/UdpTransport.java
@@ -18,18 +18,19 @@
 
 /**
  * Exchanges gossip messages as UDP datagrams, on a thread of its own that is connected to the fleet
- * thread by two bounded rings. Neither thread waits for the other: what does not fit a ring,
- * exceeds its rate limit or is refused by the system is dropped and counted, since all messages are
- * repeated. {@link #send} and {@link #poll} must be called by one thread, the fleet thread.
+ * thread by two bounded rings. Neither thread waits for the other: a message that does not fit a
+ * ring, exceeds a rate limit or is refused by the system is dropped and counted, since the protocol
+ * repeats all messages. {@link #send} and {@link #poll} must be called by one thread, the fleet
+ * thread.
  */
 public final class UdpTransport implements Closeable {
     /** Milliseconds between attempts to bind an address that another process still holds. */
-    private static final long BIND_RETRY_MS = 100;
+    private static final long BIND_RETRY_MILLIS = 100;
 
-    /** Most datagrams received or sent in one turn. */
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private static final int MAX_BATCH = 256;
+    /** Maximum datagrams received, and sent, per loop iteration. */
+    private static final int MAX_DATAGRAMS_PER_ITERATION = 256;
 
     private final GossipCodec codec;
     private final TransportCounters counters = new TransportCounters();
@@ -39,7 +40,8 @@
     private final SpscAtomicArrayQueue<Envelope> outgoing;
     private final ByteBuffer receiveBuffer =
             ByteBuffer.allocate(
-                    GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more shows an oversized datagram
+                    GossipCodec.MAX_DATAGRAM_BYTES
+                            + 1); // an extra byte reveals an oversized datagram
     private final ByteBuffer sendBuffer = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final Selector selector;
     private final DatagramChannel channel;
@@ -47,12 +49,12 @@
     private final Consumer<String> log;
     private final Thread thread;
     private volatile boolean closed;
-    private volatile Thread reader;
+    private volatile Thread consumerThread;
     private volatile long drainCount;
 
     /**
-     * Opens the socket. If another process holds the address, binding is repeated without end once
-     * started: only the fleet's membership depends on it.
+     * Opens the socket. If another process holds the address, binding is retried indefinitely once
+     * started, since only the fleet's membership depends on it.
      *
      * @param fleet the fleet's name; messages of others are dropped
      * @param listen the address to bind
@@ -74,7 +76,7 @@
         channel.configureBlocking(false);
         binder = new AddressBinder(channel, listen);
         try {
-            if (!binder.bind()) {
+            if (!binder.tryBind()) {
                 log.accept(listen + " is in use; retrying until it is free");
             }
         } catch (IOException e) {
@@ -85,9 +87,9 @@
         thread.setDaemon(true);
     }
 
-    /** Starts the thread; {@code wakenThread} is woken when a message has arrived. */
-    public void start(Thread wakenThread) {
-        reader = wakenThread;
+    /** Starts the thread; {@code threadToWake} is woken when a message has arrived. */
+    public void start(Thread threadToWake) {
+        consumerThread = threadToWake;
         thread.start();
     }
 
@@ -111,8 +113,8 @@
     }
 
     /**
-     * Returns how often the socket was read until it was empty; of two further times, the second
-     * began after this call.
+     * Returns how many times the socket has been read until it was empty. Once the count has risen
+     * by two, the second of these reads began after this call.
      */
     public long drainCount() {
         return drainCount;
@@ -128,7 +130,7 @@
         if (outgoing.offer(new Envelope(address, message))) {
             selector.wakeup();
         } else {
-            counters.drop(DropReason.OUT_RING_FULL);
+            counters.countDrop(DropReason.OUT_RING_FULL);
         }
     }
 
@@ -139,13 +141,13 @@
 
     private void run() {
         try {
-            while (!closed && !binder.bind()) {
-                Thread.sleep(BIND_RETRY_MS);
+            while (!closed && !binder.tryBind()) {
+                Thread.sleep(BIND_RETRY_MILLIS);
             }
             channel.register(selector, SelectionKey.OP_READ);
             while (!closed) {
-                boolean more = receive() | sendAll();
-                if (more) {
+                boolean hasMore = receive() | sendQueued();
+                if (hasMore) {
                     selector.selectNow();
                 } else {
                     selector.select();
@@ -164,7 +166,7 @@
     }
 
     private boolean receive() throws IOException {
-        for (int i = 0; i < MAX_BATCH; i++) {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_ITERATION; i++) {
             receiveBuffer.clear();
             SocketAddress source = channel.receive(receiveBuffer);
             if (source == null) {
@@ -177,30 +179,30 @@
                     ((InetSocketAddress) source).getAddress(),
                     1,
                     System.nanoTime() / NANOS_PER_SECOND)) {
-                take((InetSocketAddress) source);
+                decodeAndQueue((InetSocketAddress) source);
             } else {
-                counters.drop(DropReason.TOO_MANY);
+                counters.countDrop(DropReason.TOO_MANY);
             }
         }
         return true;
     }
 
-    private void take(InetSocketAddress source) {
+    private void decodeAndQueue(InetSocketAddress source) {
         GossipCodec.Decoded decoded = codec.decode(receiveBuffer);
         if (decoded.dropReason() != null) {
-            counters.drop(decoded.dropReason());
+            counters.countDrop(decoded.dropReason());
         } else if (incoming.offer(
                 new Envelope(
                         source.getAddress().getHostAddress() + ":" + source.getPort(),
                         decoded.message()))) {
-            LockSupport.unpark(reader);
+            LockSupport.unpark(consumerThread);
         } else {
-            counters.drop(DropReason.IN_RING_FULL);
+            counters.countDrop(DropReason.IN_RING_FULL);
         }
     }
 
-    private boolean sendAll() {
-        for (int i = 0; i < MAX_BATCH; i++) {
+    private boolean sendQueued() {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_ITERATION; i++) {
             Envelope envelope = outgoing.poll();
             if (envelope == null) {
                 return false;
@@ -212,12 +214,12 @@
 
     private void send(Envelope envelope) {
         if (!codec.encode(envelope.message(), sendBuffer)) {
-            counters.drop(DropReason.OVERSIZE);
+            counters.countDrop(DropReason.OVERSIZE);
             return;
         }
         int size = sendBuffer.limit();
         if (!sendLimiter.tryTake(envelope.address(), size, System.nanoTime() / NANOS_PER_SECOND)) {
-            counters.drop(DropReason.OVER_RATE);
+            counters.countDrop(DropReason.OVER_RATE);
             return;
         }
         try {
@@ -227,10 +229,11 @@
                 return;
             }
         } catch (IOException | ConfigException e) {
-            counters.drop(DropReason.NOT_SENT); // unreachable now, or no valid address
+            counters.countDrop(
+                    DropReason.NOT_SENT); // the address is unreachable at present or malformed
             return;
         }
-        counters.drop(DropReason.NOT_SENT);
+        counters.countDrop(DropReason.NOT_SENT);
     }
 
     /** Stops the thread and releases the address. */
--- a/src/test/java/junipercourse/fleet/transport/GossipCodecTest.java
+++ b/src/test/java/junipercourse/fleet/transport/GossipCodecTest.java
@@ -20,62 +20,62 @@
 
 /** Words survive the wire; what is damaged, strange or newer is refused by its reason. */
 class GossipCodecTest {
-    private static final GossipMessage SMALL =
+    private static final GossipMessage SMALL_MESSAGE =
             new GossipMessage("n1", 7, GossipMessage.Kind.PING, 3, "n2", -1, List.of(), 0, 0);
 
-    private static String text(Random random, int least, int most) {
-        return random.ints(least + random.nextInt(most - least + 1), '!', '~' + 1)
+    private static String randomText(Random random, int minLength, int maxLength) {
+        return random.ints(minLength + random.nextInt(maxLength - minLength + 1), '!', '~' + 1)
                 .collect(StringBuilder::new, StringBuilder::appendCodePoint, StringBuilder::append)
                 .toString();
     }
 
     /** A word as full as its own bounds allow, so that the datagram's bound is met. */
-    private static GossipMessage word(Random random) {
-        List<MemberRecord> statements = new ArrayList<>();
+    private static GossipMessage randomMessage(Random random) {
+        List<MemberRecord> records = new ArrayList<>();
         List<Integer> buckets = new ArrayList<>();
         for (int i = random.nextBoolean() ? 0 : 1 << random.nextInt(7); i > 0; i--) {
             buckets.add(random.nextInt());
         }
         int bytes = buckets.isEmpty() ? 0 : 3 + 4 * buckets.size();
         for (int i = random.nextInt(GossipMessage.MAX_RECORDS + 1); i > 0; i--) {
-            MemberRecord s =
+            MemberRecord record =
                     new MemberRecord(
-                            text(random, 1, 40),
+                            randomText(random, 1, 40),
                             random.nextLong() >>> 1,
                             random.nextLong() >>> 1,
                             MemberStatus.values()[random.nextInt(4)],
-                            text(random, 1, 48),
-                            text(random, 0, 40));
-            bytes += s.encodedSize();
+                            randomText(random, 1, 48),
+                            randomText(random, 0, 40));
+            bytes += record.encodedSize();
             if (bytes <= GossipMessage.MAX_RECORD_BYTES) {
-                statements.add(s);
+                records.add(record);
             }
         }
         return new GossipMessage(
-                text(random, 1, 40),
+                randomText(random, 1, 40),
                 random.nextLong() >>> 1,
                 GossipMessage.Kind.values()[random.nextInt(5)],
                 random.nextLong(),
-                text(random, 0, 40),
+                randomText(random, 0, 40),
                 random.nextLong(),
-                statements,
+                records,
                 random.nextInt(100),
                 random.nextInt(100),
                 buckets);
     }
 
     @Property(tries = 2000, seed = "28")
-    void everyWordFitsComesBackAndNoDamageIsTaken(@ForAll long seed) {
+    void everyMessageFitsAndRoundTripsAndABitFlipIsDamaged(@ForAll long seed) {
         Random random = new Random(seed);
-        String fleet = text(random, 1, 40);
+        String fleet = randomText(random, 1, 40);
         GossipCodec codec = new GossipCodec(fleet);
-        GossipMessage word = word(random);
+        GossipMessage message = randomMessage(random);
         ByteBuffer bytes = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
-        assertTrue(codec.encode(word, bytes), () -> "does not fit: " + word);
-        assertEquals(new GossipCodec.Decoded(word, null), codec.decode(bytes));
+        assertTrue(codec.encode(message, bytes), () -> "does not fit: " + message);
+        assertEquals(new GossipCodec.Decoded(message, null), codec.decode(bytes));
         assertEquals(
                 bytes.limit(),
-                word.encodedSize() + fleet.length(),
+                message.encodedSize() + fleet.length(),
                 "the view's budget counts just these");
         int bit = random.nextInt(bytes.limit() * 8);
         bytes.rewind().put(bit / 8, (byte) (bytes.get(bit / 8) ^ 1 << bit % 8));
@@ -83,23 +83,23 @@
     }
 
     @Property(tries = 2000, seed = "29")
-    void garbageBehindAGoodChecksumIsRefusedOrAWord(@ForAll byte[] garbage) {
-        ByteBuffer bytes = framed(garbage);
-        GossipCodec.Decoded read = new GossipCodec("f").decode(bytes);
-        assertTrue(read.message() == null != (read.dropReason() == null));
+    void garbageWithValidChecksumIsDecodedOrDropped(@ForAll byte[] garbage) {
+        ByteBuffer bytes = withChecksum(garbage);
+        GossipCodec.Decoded decoded = new GossipCodec("f").decode(bytes);
+        assertTrue(decoded.message() == null != (decoded.dropReason() == null));
     }
 
-    private static ByteBuffer framed(byte[] body) {
+    private static ByteBuffer withChecksum(byte[] body) {
         CRC32C crc = new CRC32C();
         crc.update(body);
         return ByteBuffer.allocate(4 + body.length).putInt((int) crc.getValue()).put(body).rewind();
     }
 
     @Test
-    void strangersAndNewerFormatsAreNamed() throws Exception {
+    void otherFleetsAndFormatsAreDroppedWithTheirReason() throws Exception {
         GossipCodec codec = new GossipCodec("f");
         ByteBuffer bytes = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
-        codec.encode(SMALL, bytes);
+        codec.encode(SMALL_MESSAGE, bytes);
         assertEquals(DropReason.OTHER_FLEET, new GossipCodec("g").decode(bytes).dropReason());
         assertEquals(
                 DropReason.NEWER_FORMAT, new GossipCodec("f", 0, 0).decode(bytes).dropReason());
@@ -108,18 +108,19 @@
                 new GossipCodec("f", 2, 0).decode(bytes).dropReason(),
                 "an older one");
         byte[] body = Arrays.copyOfRange(bytes.array(), 4, bytes.limit());
-        byte[] minor = Arrays.copyOf(body, body.length + 5);
-        CodedOutputStream.newInstance(minor, body.length, 5).writeFixed32(13, 7);
+        byte[] withUnknownField = Arrays.copyOf(body, body.length + 5);
+        CodedOutputStream.newInstance(withUnknownField, body.length, 5).writeFixed32(13, 7);
         assertEquals(
-                new GossipCodec.Decoded(SMALL, null),
-                codec.decode(framed(minor)),
+                new GossipCodec.Decoded(SMALL_MESSAGE, null),
+                codec.decode(withChecksum(withUnknownField)),
                 "a field that came later");
-        byte[] kind = Arrays.copyOf(body, body.length + 2);
-        CodedOutputStream.newInstance(kind, body.length, 2).writeUInt32(6, 9);
-        assertEquals(DropReason.UNREADABLE, codec.decode(framed(kind)).dropReason());
+        byte[] withUnknownKind = Arrays.copyOf(body, body.length + 2);
+        CodedOutputStream.newInstance(withUnknownKind, body.length, 2).writeUInt32(6, 9);
+        assertEquals(
+                DropReason.UNREADABLE, codec.decode(withChecksum(withUnknownKind)).dropReason());
         assertEquals(
                 DropReason.UNREADABLE,
-                codec.decode(framed(Arrays.copyOf(body, 9))).dropReason(),
+                codec.decode(withChecksum(Arrays.copyOf(body, 9))).dropReason(),
                 "no word");
         assertEquals(
                 DropReason.TOO_LONG,
@@ -132,21 +133,22 @@
      * second.
      */
     @Test
-    void ratesHoldForEachAndForAll() {
-        RateLimiter rate = new RateLimiter(10, 25);
-        assertEquals(10, taken(rate, "a", 100, 0));
-        assertEquals(10, taken(rate, "b", 100, 0));
-        assertEquals(5, taken(rate, "c", 100, 0));
-        assertEquals(5, taken(rate, "a", 100, 0.5));
-        assertEquals(10, taken(rate, "a", 100, 60));
-        assertFalse(rate.tryTake("d", 11, 60), "more than a second's worth never passes");
+    void rateLimitHoldsPerAddressAndInTotal() {
+        RateLimiter rateLimiter = new RateLimiter(10, 25);
+        assertEquals(10, countAccepted(rateLimiter, "a", 100, 0));
+        assertEquals(10, countAccepted(rateLimiter, "b", 100, 0));
+        assertEquals(5, countAccepted(rateLimiter, "c", 100, 0));
+        assertEquals(5, countAccepted(rateLimiter, "a", 100, 0.5));
+        assertEquals(10, countAccepted(rateLimiter, "a", 100, 60));
+        assertFalse(rateLimiter.tryTake("d", 11, 60), "more than a second's worth never passes");
     }
 
-    private static int taken(RateLimiter rate, String who, int tries, double now) {
-        int passed = 0;
-        for (int i = 0; i < tries; i++) {
-            passed += rate.tryTake(who, 1, now) ? 1 : 0;
+    private static int countAccepted(
+            RateLimiter rateLimiter, String address, int attempts, double now) {
+        int accepted = 0;
+        for (int i = 0; i < attempts; i++) {
+            accepted += rateLimiter.tryTake(address, 1, now) ? 1 : 0;
         }
-        return passed;
+        return accepted;
     }
 }
--- a/src/test/java/junipercourse/fleet/transport/GossipWireFormatTest.java
+++ b/src/test/java/junipercourse/fleet/transport/GossipWireFormatTest.java
@@ -22,9 +22,9 @@
     private static final MemberRecord ALIVE =
             new MemberRecord("n1", 0x1_0000_002aL, 2, MemberStatus.ALIVE, "127.0.0.1:7101", "east");
 
-    private static String hex(GossipMessage word) {
+    private static String encodeToHex(GossipMessage message) {
         ByteBuffer bytes = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
-        new GossipCodec("fleet").encode(word, bytes);
+        new GossipCodec("fleet").encode(message, bytes);
         return HexFormat.of().formatHex(bytes.array(), 0, bytes.limit());
     }
 
@@ -61,7 +61,7 @@
     @MethodSource("kindsAndBytes")
     void encodesEachKindOfMessageAsBefore(int kind, String expected) {
         List<Integer> buckets = kind == 3 ? List.of(1, -2) : List.of();
-        GossipMessage word =
+        GossipMessage message =
                 new GossipMessage(
                         "n1",
                         0x1_0000_002aL,
@@ -73,20 +73,22 @@
                         0,
                         kind == 4 ? 3 : 0,
                         buckets);
-        assertEquals(expected, hex(word));
+        assertEquals(expected, encodeToHex(message));
     }
 
     @Test
     void encodesEachMemberStatusAsBefore() {
-        List<MemberRecord> all =
+        List<MemberRecord> records =
                 java.util.Arrays.stream(MemberStatus.values())
-                        .map(each -> new MemberRecord("m", 1, 3, each, "h:1", ""))
+                        .map(status -> new MemberRecord("m", 1, 3, status, "h:1", ""))
                         .toList();
         assertEquals(
                 "36f3e15e0a05666c6565741001180122026e312800300138004200490000000000000000"
                         + "5000580062100a016d1001180320012a03683a31320062100a016d1001180320022a0368"
                         + "3a31320062100a016d1001180320032a03683a31320062100a016d1001180320042a0368"
                         + "3a313200",
-                hex(new GossipMessage("n1", 0, GossipMessage.Kind.PING, 0, "", 0, all, 0, 0)));
+                encodeToHex(
+                        new GossipMessage(
+                                "n1", 0, GossipMessage.Kind.PING, 0, "", 0, records, 0, 0)));
     }
 }
--- a/src/test/java/junipercourse/fleet/transport/HollowTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/HollowTransport.java
@@ -20,33 +20,33 @@
  * network lies a {@link Path}, which may lose a datagram or hold it back.
  */
 public final class HollowTransport implements Closeable {
-    private static final int MOST_AT_ONCE = 256;
+    private static final int MAX_DATAGRAMS_PER_READ = 256;
 
     /**
      * What a socket has by itself on Linux and what the longest word takes there, which it counts
      * double.
      */
-    private static final int OWN_BUFFER = 106_496;
+    private static final int DEFAULT_RECEIVE_BUFFER_BYTES = 106_496;
 
-    private static final int WORD_BUFFER = 1152;
+    private static final int MESSAGE_BUFFER_BYTES = 1152;
 
     private final GossipCodec codec;
-    private final RateLimiter rateIn;
-    private final RateLimiter rateOut;
-    private final TransportCounters tally;
-    private final Path path;
-    private final ByteBuffer received =
+    private final RateLimiter receiveLimiter;
+    private final RateLimiter sendLimiter;
+    private final TransportCounters counters;
+    private final Path networkFaults;
+    private final ByteBuffer receiveBuffer =
             ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more tells too long
-    private final ByteBuffer sent = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
+    private final ByteBuffer sendBuffer = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final DatagramChannel channel;
 
     /** The faults between members. */
     public interface Path {
         /** Seconds that a datagram to this address is held back; below 0 if it is lost. */
-        double out(String to);
+        double out(String address);
 
         /** The same for one that came, of a sender that has no path of its own. */
-        double in(String from);
+        double in(String address);
 
         /** Has something done after so many seconds, on the link's thread. */
         void later(double seconds, Runnable task);
@@ -60,21 +60,22 @@
     public HollowTransport(
             String fleet,
             InetSocketAddress listen,
-            RateLimits bounds,
-            TransportCounters tally,
-            Path path)
+            RateLimits limits,
+            TransportCounters counters,
+            Path networkFaults)
             throws IOException {
-        this.tally = tally;
-        this.path = path;
+        this.counters = counters;
+        this.networkFaults = networkFaults;
         codec = new GossipCodec(fleet);
-        rateIn = new RateLimiter(bounds.peerDatagramsPerSecond(), bounds.totalDatagramsPerSecond());
-        rateOut = new RateLimiter(bounds.peerBytesPerSecond(), bounds.totalBytesPerSecond());
+        receiveLimiter =
+                new RateLimiter(limits.peerDatagramsPerSecond(), limits.totalDatagramsPerSecond());
+        sendLimiter = new RateLimiter(limits.peerBytesPerSecond(), limits.totalBytesPerSecond());
         channel = DatagramChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(
                     StandardSocketOptions.SO_RCVBUF,
-                    OWN_BUFFER + bounds.ringCapacity() * WORD_BUFFER);
+                    DEFAULT_RECEIVE_BUFFER_BYTES + limits.ringCapacity() * MESSAGE_BUFFER_BYTES);
             channel.bind(listen);
         } catch (IOException e) {
             channel.close();
@@ -88,59 +89,60 @@
     }
 
     /** Reads what lies at the socket, up to a bound; true if there may be more. */
-    public boolean receive(BiConsumer<String, GossipMessage> heard) throws IOException {
-        for (int i = 0; i < MOST_AT_ONCE; i++) {
-            received.clear();
-            SocketAddress from = channel.receive(received);
-            if (from == null) {
+    public boolean receive(BiConsumer<String, GossipMessage> consumer) throws IOException {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
+            receiveBuffer.clear();
+            SocketAddress source = channel.receive(receiveBuffer);
+            if (source == null) {
                 return false;
             }
-            received.flip();
-            take((InetSocketAddress) from, heard);
+            receiveBuffer.flip();
+            receiveDatagram((InetSocketAddress) source, consumer);
         }
         return true;
     }
 
-    private void take(InetSocketAddress from, BiConsumer<String, GossipMessage> heard) {
-        String address = from.getAddress().getHostAddress() + ":" + from.getPort();
-        double delay = path.in(address);
-        if (delay < 0) {
+    private void receiveDatagram(
+            InetSocketAddress source, BiConsumer<String, GossipMessage> consumer) {
+        String address = source.getAddress().getHostAddress() + ":" + source.getPort();
+        double delaySeconds = networkFaults.in(address);
+        if (delaySeconds < 0) {
             return; // was lost on the way here
         }
-        tally.received(received.limit());
-        if (!rateIn.tryTake(from.getAddress(), 1, System.nanoTime() / 1e9)) {
-            tally.drop(DropReason.TOO_MANY);
+        counters.received(receiveBuffer.limit());
+        if (!receiveLimiter.tryTake(source.getAddress(), 1, System.nanoTime() / 1e9)) {
+            counters.countDrop(DropReason.TOO_MANY);
             return;
         }
-        GossipCodec.Decoded read = codec.decode(received);
-        if (read.dropReason() != null) {
-            tally.drop(read.dropReason());
-        } else if (delay > 0) {
-            path.later(delay, () -> heard.accept(address, read.message()));
+        GossipCodec.Decoded decoded = codec.decode(receiveBuffer);
+        if (decoded.dropReason() != null) {
+            counters.countDrop(decoded.dropReason());
+        } else if (delaySeconds > 0) {
+            networkFaults.later(delaySeconds, () -> consumer.accept(address, decoded.message()));
         } else {
-            heard.accept(address, read.message());
+            consumer.accept(address, decoded.message());
         }
     }
 
     /** Sends a word at once, or drops and counts it. */
-    public void send(String address, GossipMessage word) {
-        if (!codec.encode(word, sent)) {
-            tally.drop(DropReason.OVERSIZE);
+    public void send(String address, GossipMessage message) {
+        if (!codec.encode(message, sendBuffer)) {
+            counters.countDrop(DropReason.OVERSIZE);
             return;
         }
-        int size = sent.limit();
-        if (!rateOut.tryTake(address, size, System.nanoTime() / 1e9)) {
-            tally.drop(DropReason.OVER_RATE);
+        int size = sendBuffer.limit();
+        if (!sendLimiter.tryTake(address, size, System.nanoTime() / 1e9)) {
+            counters.countDrop(DropReason.OVER_RATE);
             return;
         }
-        double delay = path.out(address);
-        if (delay < 0) {
-            tally.sent(size); // the system took it, the network lost it
-        } else if (delay > 0) {
-            ByteBuffer copy = ByteBuffer.allocate(size).put(sent).flip();
-            path.later(delay, () -> transmit(address, copy));
+        double delaySeconds = networkFaults.out(address);
+        if (delaySeconds < 0) {
+            counters.sent(size); // the system took it, the network lost it
+        } else if (delaySeconds > 0) {
+            ByteBuffer copy = ByteBuffer.allocate(size).put(sendBuffer).flip();
+            networkFaults.later(delaySeconds, () -> transmit(address, copy));
         } else {
-            transmit(address, sent);
+            transmit(address, sendBuffer);
         }
     }
 
@@ -149,14 +151,14 @@
         try {
             if (channel.isOpen()
                     && channel.send(bytes, Config.parseAddress("fleet address", address)) == size) {
-                tally.sent(size);
+                counters.sent(size);
                 return;
             }
         } catch (IOException | ConfigException e) {
-            tally.drop(DropReason.NOT_SENT); // no way there just now, or no address at all
+            counters.countDrop(DropReason.NOT_SENT); // no way there just now, or no address at all
             return;
         }
-        tally.drop(DropReason.NOT_SENT);
+        counters.countDrop(DropReason.NOT_SENT);
     }
 
     @Override
--- a/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
+++ b/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
@@ -15,7 +15,7 @@
 
 /** Without a product file, no class of what it switches on is loaded, by the JVM's own account. */
 class DisabledFleetTest {
-    private static final Pattern NEW =
+    private static final Pattern OPTIONAL_CLASSES =
             Pattern.compile(
                     "io\\.undertow|junipercourse\\.(admin|cli\\.(AdminService|HandoverCoordinator))\\b"
                         + "|junipercourse\\.(fleet|product|core\\.OptionalComponent|cli\\.ServeW)"
@@ -23,17 +23,17 @@
                         + "|org\\.apache\\.commons|net\\.openhft");
     @TempDir private Path folder;
 
-    private List<String> loaded(String product) throws Exception {
-        Path classes = folder.resolve("classes");
+    private List<String> loadedOptionalClasses(String productCommand) throws Exception {
+        Path classLog = folder.resolve("classes");
         Files.writeString(folder.resolve("config.json"), SocketTestSupport.CONFIG);
         try (DispatcherProcess process =
                 new DispatcherProcess(
                         folder,
                         1024,
                         folder.resolve("config.json"),
-                        product
+                        productCommand
                                 + "export JAVA_TOOL_OPTIONS='-Xlog:class+load:file="
-                                + classes
+                                + classLog
                                 + "'; ")) {
             try (SocketTestSupport.Client client =
                     new SocketTestSupport.Client(process.address())) {
@@ -43,37 +43,39 @@
             process.signal("TERM");
             assertTrue(process.exitsWithin(5), process.log());
         }
-        return told(classes);
+        return readOptionalClasses(classLog);
     }
 
-    private static List<String> told(Path classes) throws IOException {
-        return Files.readAllLines(classes).stream()
-                .filter(line -> NEW.matcher(line).find())
+    private static List<String> readOptionalClasses(Path classLog) throws IOException {
+        return Files.readAllLines(classLog).stream()
+                .filter(line -> OPTIONAL_CLASSES.matcher(line).find())
                 .toList();
     }
 
     @Test
-    void aDispatcherWithoutProductFileLoadsNoneOfIt() throws Exception {
-        assertEquals(List.of(), loaded(""));
+    void withoutProductFileLoadsNoOptionalClass() throws Exception {
+        assertEquals(List.of(), loadedOptionalClasses(""));
         assertTrue(
                 Files.readString(folder.resolve("classes")).contains("junipercourse.core.Gateway"));
     }
 
     @Test
-    void theProductFileLoadsIt() throws Exception {
+    void withProductFileLoadsFleetService() throws Exception {
         Path product = folder.resolve("p.xml");
         Files.writeString(
                 product,
                 "<product><fleet name='f' listen='127.0.0.9:0' advertise='127.0.0.9:9'/>"
                         + "</product>");
-        List<String> all = loaded("export JUNIPER_PRODUCT='" + product + "'; ");
+        List<String> loadedClasses =
+                loadedOptionalClasses("export JUNIPER_PRODUCT='" + product + "'; ");
         assertTrue(
-                all.stream().anyMatch(line -> line.contains("junipercourse.fleet.FleetService ")));
+                loadedClasses.stream()
+                        .anyMatch(line -> line.contains("junipercourse.fleet.FleetService ")));
     }
 
     /** A file with faults: told with place and element, exit code 2, nothing started. */
     @Test
-    void aProductFileWithFaultsEndsWithCodeTwo() throws Exception {
+    void invalidProductFileExitsWithCodeTwo() throws Exception {
         Path product = folder.resolve("p.xml");
         Files.writeString(product, "<product><fleet name='f' listen='here'/></product>");
         Files.writeString(folder.resolve("config.json"), SocketTestSupport.CONFIG);
@@ -100,12 +102,12 @@
 
     /** What the build makes the class archive of does not touch it either. */
     @Test
-    void theRehearsalLoadsNoneOfIt() throws Exception {
-        Path classes = folder.resolve("classes");
+    void rehearsalLoadsNoOptionalClass() throws Exception {
+        Path classLog = folder.resolve("classes");
         ProcessBuilder builder =
                 new ProcessBuilder(
                         System.getProperty("java.home") + "/bin/java",
-                        "-Xlog:class+load:file=" + classes,
+                        "-Xlog:class+load:file=" + classLog,
                         "-cp",
                         System.getProperty("java.class.path"),
                         "junipercourse.cli.Main",
@@ -118,6 +120,6 @@
                         .redirectOutput(folder.resolve("log").toFile())
                         .start()
                         .waitFor());
-        assertEquals(List.of(), told(classes));
+        assertEquals(List.of(), readOptionalClasses(classLog));
     }
 }
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -22,62 +22,62 @@
  * engine and a client for each.
  */
 final class DispatcherCluster implements Closeable {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final int POLL_MS = 40;
-    private static final String KNOWN =
+    private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(20);
+    private static final int POLL_INTERVAL_MILLIS = 40;
+    private static final String ONE_ENGINE_TOPOLOGY =
             """
             "offset":7,"batch":[{"offset":7,"topology":{"complete":true,"members":[{"id":"s-00000001",
             "host_port":"127.0.0.1:%d","locality":"east","flavor":"std","cell":0,"phase":"Ready",
             "size":12.0,"up_since_ms":0}]}}]\
             """;
-    final FaultInjectingProxy hub;
-    final int count;
+    final FaultInjectingProxy proxy;
+    final int memberCount;
     private final long seed;
     private final Path folder;
     private final SocketTestSupport.StubEngine engine =
             new SocketTestSupport.StubEngine(
-                    call ->
-                            call.startsWith("POST")
+                    request ->
+                            request.startsWith("POST")
                                     ? SocketTestSupport.RUNNING
                                     : SocketTestSupport.OK);
     private final DispatcherProcess[] processes;
-    private final int[] starts;
-    private final FleetObservation[] newest;
-    private final AtomicInteger queries = new AtomicInteger();
-    private final AtomicInteger[] served;
-    private final List<String> unserved = new ArrayList<>();
+    private final int[] startCounts;
+    private final FleetObservation[] latestObservations;
+    private final AtomicInteger queryCount = new AtomicInteger();
+    private final AtomicInteger[] answeredQueries;
+    private final List<String> failedQueries = new ArrayList<>();
     private final List<FleetObservation> history = new ArrayList<>();
 
-    DispatcherCluster(Path folder, int count, long seed) throws IOException {
-        System.out.println("rig of " + count + ", seed " + seed);
+    DispatcherCluster(Path folder, int memberCount, long seed) throws IOException {
+        System.out.println("rig of " + memberCount + ", seed " + seed);
         this.folder = folder;
-        this.count = count;
+        this.memberCount = memberCount;
         this.seed = seed;
-        hub = new FaultInjectingProxy(count, seed);
-        processes = new DispatcherProcess[count];
-        starts = new int[count];
-        newest = new FleetObservation[count];
-        served =
-                IntStream.range(0, count)
+        proxy = new FaultInjectingProxy(memberCount, seed);
+        processes = new DispatcherProcess[memberCount];
+        startCounts = new int[memberCount];
+        latestObservations = new FleetObservation[memberCount];
+        answeredQueries =
+                IntStream.range(0, memberCount)
                         .mapToObj(i -> new AtomicInteger())
                         .toArray(AtomicInteger[]::new);
     }
 
-    static String name(int member) {
+    static String memberName(int member) {
         return "n" + member;
     }
 
     /** Names of all but these. */
-    Set<String> others(Integer... members) {
-        Set<Integer> without = Set.of(members);
-        return all().stream()
-                .filter(i -> !without.contains(i))
-                .map(DispatcherCluster::name)
+    Set<String> namesExcept(Integer... members) {
+        Set<Integer> excluded = Set.of(members);
+        return allMembers().stream()
+                .filter(member -> !excluded.contains(member))
+                .map(DispatcherCluster::memberName)
                 .collect(Collectors.toSet());
     }
 
-    Set<Integer> all() {
-        return IntStream.range(0, count).boxed().collect(Collectors.toSet());
+    Set<Integer> allMembers() {
+        return IntStream.range(0, memberCount).boxed().collect(Collectors.toSet());
     }
 
     /** Starts a member, for the first time or again, and returns once it serves. */
@@ -87,74 +87,83 @@
 
     /** The same after a shell command, which may run another build in the shell's place. */
     void start(int member, String command) throws IOException {
-        Path own = Files.createDirectories(folder.resolve(name(member) + "-" + ++starts[member]));
+        Path memberFolder =
+                Files.createDirectories(
+                        folder.resolve(memberName(member) + "-" + ++startCounts[member]));
         Files.writeString(
-                own.resolve("config.json"),
+                memberFolder.resolve("config.json"),
                 SocketTestSupport.CONFIG.replace(
-                        "\"offset\":0,\"batch\":[]", KNOWN.formatted(engine.address().getPort())));
-        Files.writeString(own.resolve("product.xml"), product(member));
+                        "\"offset\":0,\"batch\":[]",
+                        ONE_ENGINE_TOPOLOGY.formatted(engine.address().getPort())));
+        Files.writeString(memberFolder.resolve("product.xml"), productXml(member));
         processes[member] =
                 new DispatcherProcess(
-                        own,
+                        memberFolder,
                         1024,
-                        own.resolve("config.json"),
+                        memberFolder.resolve("config.json"),
                         "export RELAY_NAME="
-                                + name(member)
+                                + memberName(member)
                                 + " JUNIPER_PRODUCT='"
-                                + own.resolve("product.xml")
+                                + memberFolder.resolve("product.xml")
                                 + "'; ");
         DispatcherProcess process = processes[member];
-        int life = starts[member];
-        SocketTestSupport.startDaemon(() -> observe(member, life, process));
+        int startNumber = startCounts[member];
+        SocketTestSupport.startDaemon(() -> observe(member, startNumber, process));
     }
 
-    private String product(int member) {
+    private String productXml(int member) {
         String listen =
-                hub.listen(member).getAddress().getHostAddress()
+                proxy.listenAddress(member).getAddress().getHostAddress()
                         + ":"
-                        + hub.listen(member).getPort();
+                        + proxy.listenAddress(member).getPort();
         return "<product><fleet name='rig' listen='"
                 + listen
                 + "' advertise='"
-                + hub.advertised(member)
+                + proxy.advertisedAddress(member)
                 + "' zone='east'>"
-                + IntStream.range(0, Math.min(count, 3))
-                        .mapToObj(i -> "<seed address='" + hub.advertised(i) + "'/>")
+                + IntStream.range(0, Math.min(memberCount, 3))
+                        .mapToObj(
+                                seedMember ->
+                                        "<seed address='"
+                                                + proxy.advertisedAddress(seedMember)
+                                                + "'/>")
                         .collect(Collectors.joining())
                 + "<bounds peer-datagrams='500/s'/></fleet></product>";
     }
 
     /** Asks one process for its view over and over, and every few times for a query's answer. */
-    private void observe(int member, int life, DispatcherProcess process) throws IOException {
+    private void observe(int member, int startNumber, DispatcherProcess process)
+            throws IOException {
         try (SocketTestSupport.Client client = new SocketTestSupport.Client(process.address())) {
             client.startSession();
             for (int round = 0; processes[member] == process; round++) {
-                FleetObservation look =
-                        FleetObservation.parse(now(), member, life, client.query("SHOW FLEET"));
+                FleetObservation observation =
+                        FleetObservation.parse(
+                                nowSeconds(), member, startNumber, client.query("SHOW FLEET"));
                 synchronized (history) {
-                    history.add(look);
-                    newest[member] = look;
+                    history.add(observation);
+                    latestObservations[member] = observation;
                 }
                 if (round % 5 == 0) {
-                    String answer =
+                    String response =
                             client.query(
                                     SocketTestSupport.query(
-                                            "check", queries.incrementAndGet(), 7000));
-                    if (answer.equals("T D(a b c) C(SELECT 1)")) {
-                        served[member].incrementAndGet();
-                    } else if (!answer.isEmpty() && !answer.contains("shutting down")) {
-                        synchronized (unserved) {
-                            unserved.add(name(member) + ": " + answer);
+                                            "check", queryCount.incrementAndGet(), 7000));
+                    if (response.equals("T D(a b c) C(SELECT 1)")) {
+                        answeredQueries[member].incrementAndGet();
+                    } else if (!response.isEmpty() && !response.contains("shutting down")) {
+                        synchronized (failedQueries) {
+                            failedQueries.add(memberName(member) + ": " + response);
                         }
                     }
                 }
-                SocketTestSupport.sleepMillis(POLL_MS);
+                SocketTestSupport.sleepMillis(POLL_INTERVAL_MILLIS);
             }
         }
     }
 
     /** Seconds by the rig's own clock. */
-    static double now() {
+    static double nowSeconds() {
         return System.nanoTime() / 1e9;
     }
 
@@ -166,78 +175,80 @@
     void kill(int member) throws IOException, InterruptedException {
         processes[member].signal("KILL");
         processes[member].close();
-        gone(member);
+        markStopped(member);
     }
 
     /** From now on nothing is expected of the member. */
-    void gone(int member) {
+    void markStopped(int member) {
         processes[member] = null;
         synchronized (history) {
-            newest[member] = null;
+            latestObservations[member] = null;
         }
     }
 
     /** The member's newest look, or null. */
-    FleetObservation look(int member) {
+    FleetObservation latestObservation(int member) {
         synchronized (history) {
-            return newest[member];
+            return latestObservations[member];
         }
     }
 
     /** Waits until the newest looks of all these members are so. */
-    void until(String what, Set<Integer> members, Predicate<FleetObservation> so) {
-        double from = now();
+    void awaitAll(String description, Set<Integer> members, Predicate<FleetObservation> condition) {
+        double startSeconds = nowSeconds();
         try {
-            await(what)
-                    .atMost(PATIENCE)
+            await(description)
+                    .atMost(CONDITION_TIMEOUT)
                     .pollInterval(Duration.ofMillis(20))
                     .until(
                             () ->
                                     members.stream()
-                                            .map(this::look)
+                                            .map(this::latestObservation)
                                             .allMatch(
-                                                    look ->
-                                                            look != null
-                                                                    && look.at() >= from
-                                                                    && so.test(look)));
+                                                    observation ->
+                                                            observation != null
+                                                                    && observation.atSeconds()
+                                                                            >= startSeconds
+                                                                    && condition.test(
+                                                                            observation)));
         } catch (RuntimeException e) {
             throw new AssertionError(
                     "seed "
                             + seed
                             + ": not "
-                            + what
+                            + description
                             + ": "
                             + members.stream()
                                     .map(
-                                            m ->
-                                                    look(m)
+                                            member ->
+                                                    latestObservation(member)
                                                             + "\n"
-                                                            + (processes[m] == null
+                                                            + (processes[member] == null
                                                                     ? ""
-                                                                    : processes[m].log()))
+                                                                    : processes[member].log()))
                                     .toList(),
                     e);
         }
-        System.out.printf("%s: after %.2f s%n", what, now() - from);
+        System.out.printf("%s: after %.2f s%n", description, nowSeconds() - startSeconds);
     }
 
     /** Waits until these see each other alive, are settled, and hold one digest. */
-    void untilSettled(String what, Set<Integer> members) {
-        until(
-                what,
+    void awaitConverged(String description, Set<Integer> members) {
+        awaitAll(
+                description,
                 members,
-                look ->
-                        look.settled()
+                observation ->
+                        observation.settled()
                                 && members.stream()
-                                        .map(DispatcherCluster::name)
-                                        .allMatch(m -> look.sees(m, "alive"))
+                                        .map(DispatcherCluster::memberName)
+                                        .allMatch(name -> observation.reports(name, "alive"))
                                 && members.stream()
-                                                .map(this::look)
+                                                .map(this::latestObservation)
                                                 .map(
-                                                        l ->
-                                                                l == null
+                                                        latest ->
+                                                                latest == null
                                                                         ? ""
-                                                                        : l.figures()
+                                                                        : latest.figures()
                                                                                 .get("view.digest"))
                                                 .distinct()
                                                 .count()
@@ -252,20 +263,20 @@
     }
 
     /** Queries that this member has answered rightly so far. */
-    int served(int member) {
-        return served[member].get();
+    int answeredQueries(int member) {
+        return answeredQueries[member].get();
     }
 
     /** Queries that were answered wrongly. */
-    List<String> unserved() {
-        synchronized (unserved) {
-            return List.copyOf(unserved);
+    List<String> failedQueries() {
+        synchronized (failedQueries) {
+            return List.copyOf(failedQueries);
         }
     }
 
     @Override
     public void close() throws IOException {
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < memberCount; i++) {
             DispatcherProcess process = processes[i];
             processes[i] = null;
             if (process != null) {
@@ -273,6 +284,6 @@
             }
         }
         engine.close();
-        hub.close();
+        proxy.close();
     }
 }
--- a/src/test/java/junipercourse/multiprocess/FaultInjectingProxy.java
+++ b/src/test/java/junipercourse/multiprocess/FaultInjectingProxy.java
@@ -27,16 +27,16 @@
  * the pair and n alone.
  */
 final class FaultInjectingProxy implements Closeable {
-    private static final int MOST_BYTES = 2000;
-    private final List<InetSocketAddress> listens = new ArrayList<>();
-    private final List<DatagramChannel> standIns = new ArrayList<>();
-    private final Map<SocketAddress, Integer> senders = new HashMap<>();
+    private static final int MAX_DATAGRAM_BYTES = 2000;
+    private final List<InetSocketAddress> memberAddresses = new ArrayList<>();
+    private final List<DatagramChannel> proxyChannels = new ArrayList<>();
+    private final Map<SocketAddress, Integer> membersByAddress = new HashMap<>();
     private final Fault[][] faults;
-    private final SplittableRandom[][] draws;
+    private final SplittableRandom[][] randoms;
     private final Selector selector = Selector.open();
-    private final PriorityQueue<Held> held = new PriorityQueue<>();
+    private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
     private volatile boolean closed;
-    private long count;
+    private long datagramCount;
 
     /**
      * What becomes of datagrams on one way.
@@ -45,37 +45,38 @@
      * @param twice part of them that comes twice
      * @param delayMs at least, plus up to {@code jitterMs}
      */
-    record Fault(double lose, double twice, double delayMs, double jitterMs) {
+    record Fault(double lossRate, double duplicationRate, double delayMillis, double jitterMillis) {
         static final Fault NONE = new Fault(0, 0, 0, 0);
         static final Fault CUT = new Fault(1, 0, 0, 0);
-        static final Fault ROUGH = new Fault(0.3, 0.1, 0, 30);
+        static final Fault UNRELIABLE = new Fault(0.3, 0.1, 0, 30);
     }
 
-    private record Held(long due, long number, int from, int to, byte[] bytes)
-            implements Comparable<Held> {
+    private record DelayedDatagram(
+            long dueNanos, long sequence, int sender, int receiver, byte[] bytes)
+            implements Comparable<DelayedDatagram> {
         @Override
-        public int compareTo(Held other) {
-            int order = Long.compare(due, other.due);
-            return order == 0 ? Long.compare(number, other.number) : order;
+        public int compareTo(DelayedDatagram other) {
+            int order = Long.compare(dueNanos, other.dueNanos);
+            return order == 0 ? Long.compare(sequence, other.sequence) : order;
         }
     }
 
     FaultInjectingProxy(int members, long seed) throws IOException {
         faults = new Fault[members][members];
-        draws = new SplittableRandom[members][members];
+        randoms = new SplittableRandom[members][members];
         for (int i = 0; i < members; i++) {
-            try (DatagramSocket free =
+            try (DatagramSocket freeSocket =
                     new DatagramSocket(new InetSocketAddress("127.0.0." + (10 + i), 0))) {
-                listens.add((InetSocketAddress) free.getLocalSocketAddress());
+                memberAddresses.add((InetSocketAddress) freeSocket.getLocalSocketAddress());
             }
-            senders.put(listens.get(i), i);
-            DatagramChannel standIn = DatagramChannel.open();
-            standIns.add(standIn.bind(new InetSocketAddress("127.0.1." + (10 + i), 0)));
-            standIn.configureBlocking(false);
-            standIn.register(selector, SelectionKey.OP_READ, i);
+            membersByAddress.put(memberAddresses.get(i), i);
+            DatagramChannel proxyChannel = DatagramChannel.open();
+            proxyChannels.add(proxyChannel.bind(new InetSocketAddress("127.0.1." + (10 + i), 0)));
+            proxyChannel.configureBlocking(false);
+            proxyChannel.register(selector, SelectionKey.OP_READ, i);
             for (int j = 0; j < members; j++) {
                 faults[i][j] = Fault.NONE;
-                draws[i][j] = new SplittableRandom(seed * 10_007 + i * 101L + j);
+                randoms[i][j] = new SplittableRandom(seed * 10_007 + i * 101L + j);
             }
         }
         Thread thread = new Thread(this::run, "hub");
@@ -84,66 +85,72 @@
     }
 
     /** Where the member has its own socket. */
-    InetSocketAddress listen(int member) {
-        return listens.get(member);
+    InetSocketAddress listenAddress(int member) {
+        return memberAddresses.get(member);
     }
 
     /** Where the others send to. */
-    String advertised(int member) {
+    String advertisedAddress(int member) {
         try {
-            InetSocketAddress a = (InetSocketAddress) standIns.get(member).getLocalAddress();
-            return a.getAddress().getHostAddress() + ":" + a.getPort();
+            InetSocketAddress address =
+                    (InetSocketAddress) proxyChannels.get(member).getLocalAddress();
+            return address.getAddress().getHostAddress() + ":" + address.getPort();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** From now on so on the way from one to the other. */
-    void set(int from, int to, Fault fault) {
+    void setFault(int sender, int receiver, Fault fault) {
         synchronized (faults) {
-            faults[from][to] = fault;
+            faults[sender][receiver] = fault;
         }
     }
 
     /** From now on so on all ways. */
-    void setAll(Fault fault) {
-        for (int i = 0; i < faults.length; i++) {
-            for (int j = 0; j < faults.length; j++) {
-                set(i, j, fault);
+    void setAllFaults(Fault fault) {
+        for (int sender = 0; sender < faults.length; sender++) {
+            for (int receiver = 0; receiver < faults.length; receiver++) {
+                setFault(sender, receiver, fault);
             }
         }
     }
 
     /** Cuts all ways between the two sides. */
-    void part(List<Integer> one, List<Integer> other) {
-        one.forEach(
-                a ->
-                        other.forEach(
-                                b -> {
-                                    set(a, b, Fault.CUT);
-                                    set(b, a, Fault.CUT);
+    void partition(List<Integer> oneSide, List<Integer> otherSide) {
+        oneSide.forEach(
+                oneMember ->
+                        otherSide.forEach(
+                                otherMember -> {
+                                    setFault(oneMember, otherMember, Fault.CUT);
+                                    setFault(otherMember, oneMember, Fault.CUT);
                                 }));
     }
 
     private void run() {
-        ByteBuffer bytes = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         try {
             while (!closed) {
-                long wait =
-                        held.isEmpty() ? 1000 : (held.peek().due() - System.nanoTime()) / 1_000_000;
-                if (wait > 0) {
-                    selector.select(wait);
+                long waitMillis =
+                        delayed.isEmpty()
+                                ? 1000
+                                : (delayed.peek().dueNanos() - System.nanoTime()) / 1_000_000;
+                if (waitMillis > 0) {
+                    selector.select(waitMillis);
                 } else {
                     selector.selectNow();
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
-                    read((DatagramChannel) key.channel(), (Integer) key.attachment(), bytes);
+                    receive((DatagramChannel) key.channel(), (Integer) key.attachment(), buffer);
                 }
                 selector.selectedKeys().clear();
-                while (!held.isEmpty() && held.peek().due() <= System.nanoTime()) {
-                    Held next = held.poll();
-                    standIns.get(next.from())
-                            .send(ByteBuffer.wrap(next.bytes()), listens.get(next.to()));
+                while (!delayed.isEmpty() && delayed.peek().dueNanos() <= System.nanoTime()) {
+                    DelayedDatagram datagram = delayed.poll();
+                    proxyChannels
+                            .get(datagram.sender())
+                            .send(
+                                    ByteBuffer.wrap(datagram.bytes()),
+                                    memberAddresses.get(datagram.receiver()));
                 }
             }
         } catch (IOException | ClosedSelectorException e) {
@@ -153,42 +160,50 @@
         }
     }
 
-    private void read(DatagramChannel standIn, int to, ByteBuffer bytes) throws IOException {
-        bytes.clear();
-        for (SocketAddress a = standIn.receive(bytes); a != null; a = standIn.receive(bytes)) {
-            Integer from = senders.get(a);
-            if (from != null) {
-                byte[] all = new byte[bytes.flip().remaining()];
-                bytes.get(all);
-                pass(from, to, all);
+    private void receive(DatagramChannel proxyChannel, int receiver, ByteBuffer buffer)
+            throws IOException {
+        buffer.clear();
+        for (SocketAddress source = proxyChannel.receive(buffer);
+                source != null;
+                source = proxyChannel.receive(buffer)) {
+            Integer sender = membersByAddress.get(source);
+            if (sender != null) {
+                byte[] datagram = new byte[buffer.flip().remaining()];
+                buffer.get(datagram);
+                forward(sender, receiver, datagram);
             }
-            bytes.clear();
+            buffer.clear();
         }
     }
 
-    private void pass(int from, int to, byte[] all) {
+    private void forward(int sender, int receiver, byte[] datagram) {
         Fault fault;
         synchronized (faults) {
-            fault = faults[from][to];
+            fault = faults[sender][receiver];
         }
-        SplittableRandom draw = draws[from][to];
-        double lose = draw.nextDouble(); // always the same number of draws for each datagram
-        double twice = draw.nextDouble();
-        double[] late = {draw.nextDouble(), draw.nextDouble()};
-        for (int i = 0; i < (twice < fault.twice() ? 2 : 1) && lose >= fault.lose(); i++) {
-            long due =
+        SplittableRandom random = randoms[sender][receiver];
+        double lossDraw = random.nextDouble(); // always the same number of draws for each datagram
+        double duplicationDraw = random.nextDouble();
+        double[] delayDraws = {random.nextDouble(), random.nextDouble()};
+        for (int i = 0;
+                i < (duplicationDraw < fault.duplicationRate() ? 2 : 1)
+                        && lossDraw >= fault.lossRate();
+                i++) {
+            long dueNanos =
                     System.nanoTime()
-                            + (long) ((fault.delayMs() + late[i] * fault.jitterMs()) * 1e6);
-            held.add(new Held(due, count++, from, to, all));
+                            + (long)
+                                    ((fault.delayMillis() + delayDraws[i] * fault.jitterMillis())
+                                            * 1e6);
+            delayed.add(new DelayedDatagram(dueNanos, datagramCount++, sender, receiver, datagram));
         }
     }
 
     /** Sends what is no member's to a member's own socket. */
-    void stranger(int to, byte[]... datagrams) throws IOException {
-        try (DatagramChannel own = DatagramChannel.open()) {
-            own.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    void sendFromUnknownAddress(int receiver, byte[]... datagrams) throws IOException {
+        try (DatagramChannel channel = DatagramChannel.open()) {
+            channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             for (byte[] datagram : datagrams) {
-                own.send(ByteBuffer.wrap(datagram), listens.get(to));
+                channel.send(ByteBuffer.wrap(datagram), memberAddresses.get(receiver));
             }
         }
     }
@@ -197,8 +212,8 @@
     public void close() throws IOException {
         closed = true;
         selector.wakeup();
-        for (DatagramChannel standIn : standIns) {
-            standIn.close();
+        for (DatagramChannel proxyChannel : proxyChannels) {
+            proxyChannel.close();
         }
         selector.close();
     }
--- a/src/test/java/junipercourse/multiprocess/FleetObservation.java
+++ b/src/test/java/junipercourse/multiprocess/FleetObservation.java
@@ -16,45 +16,46 @@
  * @param figures all other rows, such as {@code view.settled}
  */
 public record FleetObservation(
-        double at,
+        double atSeconds,
         int observer,
-        int process,
+        int startNumber,
         long self,
-        Map<String, Seen> members,
+        Map<String, ObservedMember> members,
         Map<String, String> figures) {
     private static final Pattern ROW = Pattern.compile("D\\(([^)]*)\\)");
     private static final int COLUMNS = 7;
 
     /** A member as shown. */
-    public record Seen(String standing, long incarnation) {}
+    public record ObservedMember(String status, long incarnation) {}
 
     /** Reads what {@code SocketTestSupport.Client} made of the answer. */
-    public static FleetObservation parse(double at, int observer, int process, String answer) {
-        Map<String, Seen> members = new HashMap<>();
-        Map<String, String> figures = new HashMap<>();
+    public static FleetObservation parse(
+            double atSeconds, int observer, int startNumber, String response) {
+        Map<String, ObservedMember> members = new HashMap<>();
+        Map<String, String> valuesByName = new HashMap<>();
         long self = 0;
-        Matcher rows = ROW.matcher(answer);
-        while (rows.find()) {
-            String[] c = rows.group(1).split(" ");
-            if (c[0].equals("member")) {
-                members.put(c[1], new Seen(c[2], incarnation(c[3])));
-            } else if (c[0].equals("self")) {
-                self = incarnation(c[3]);
-            } else if (c.length == COLUMNS) {
-                figures.put(c[0] + "." + c[1], c[2]);
+        Matcher rowMatcher = ROW.matcher(response);
+        while (rowMatcher.find()) {
+            String[] cells = rowMatcher.group(1).split(" ");
+            if (cells[0].equals("member")) {
+                members.put(cells[1], new ObservedMember(cells[2], incarnation(cells[3])));
+            } else if (cells[0].equals("self")) {
+                self = incarnation(cells[3]);
+            } else if (cells.length == COLUMNS) {
+                valuesByName.put(cells[0] + "." + cells[1], cells[2]);
             }
         }
-        return new FleetObservation(at, observer, process, self, members, figures);
+        return new FleetObservation(atSeconds, observer, startNumber, self, members, valuesByName);
     }
 
-    private static long incarnation(String shown) {
-        String[] parts = shown.split("\\.");
+    private static long incarnation(String text) {
+        String[] parts = text.split("\\.");
         return Long.parseLong(parts[0]) << 32 | Long.parseLong(parts[1], 16);
     }
 
     /** A count of the link, such as {@code link.in}. */
-    public long count(String figure) {
-        return Long.parseLong(figures.getOrDefault(figure, "0"));
+    public long count(String name) {
+        return Long.parseLong(figures.getOrDefault(name, "0"));
     }
 
     public boolean settled() {
@@ -62,7 +63,7 @@
     }
 
     /** Whether it sees that member so. */
-    public boolean sees(String member, String standing) {
-        return members.containsKey(member) && members.get(member).standing().equals(standing);
+    public boolean reports(String member, String status) {
+        return members.containsKey(member) && members.get(member).status().equals(status);
     }
 }
--- a/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
+++ b/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
@@ -23,23 +23,23 @@
 class FleetProcessTest {
     private static final long SEED = Long.getLong("rig.seed", 28);
     @TempDir private static Path folder;
-    private static DispatcherCluster rig;
-    private double begun;
-    private int[] servedBefore;
+    private static DispatcherCluster cluster;
+    private double startSeconds;
+    private int[] answeredBefore;
 
     @BeforeAll
     static void startAllAtOnce() throws IOException {
-        rig = new DispatcherCluster(folder, 5, SEED);
-        for (int i = 0; i < rig.count; i++) {
-            rig.start(i);
+        cluster = new DispatcherCluster(folder, 5, SEED);
+        for (int i = 0; i < cluster.memberCount; i++) {
+            cluster.start(i);
         }
-        rig.untilSettled("five started at once are settled", rig.all());
+        cluster.awaitConverged("five started at once are settled", cluster.allMembers());
     }
 
     @BeforeEach
-    void begin() {
-        begun = DispatcherCluster.now();
-        servedBefore = rig.all().stream().mapToInt(rig::served).toArray();
+    void recordStart() {
+        startSeconds = DispatcherCluster.nowSeconds();
+        answeredBefore = cluster.allMembers().stream().mapToInt(cluster::answeredQueries).toArray();
     }
 
     /**
@@ -47,35 +47,36 @@
      * holds.
      */
     @AfterEach
-    void allIsWellAgain() {
-        rig.hub.setAll(FaultInjectingProxy.Fault.NONE);
-        rig.untilSettled("settled again", rig.all());
-        for (int i = 0; i < rig.count; i++) {
+    void verifyRecovery() {
+        cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.NONE);
+        cluster.awaitConverged("settled again", cluster.allMembers());
+        for (int i = 0; i < cluster.memberCount; i++) {
             int member = i;
-            rig.until(
+            cluster.awaitAll(
                     "n" + i + " serves",
                     Set.of(i),
-                    look -> rig.served(member) > servedBefore[member]);
+                    observation -> cluster.answeredQueries(member) > answeredBefore[member]);
         }
-        assertEquals(List.of(), rig.unserved(), "seed " + SEED);
-        assertEquals(List.of(), InvariantChecker.faults(rig.history()), "seed " + SEED);
+        assertEquals(List.of(), cluster.failedQueries(), "seed " + SEED);
+        assertEquals(List.of(), InvariantChecker.violations(cluster.history()), "seed " + SEED);
     }
 
     @AfterAll
-    static void end() throws IOException {
-        rig.close();
+    static void closeCluster() throws IOException {
+        cluster.close();
     }
 
-    private static Set<Integer> without(Integer member) {
-        Set<Integer> rest = new HashSet<>(rig.all());
-        rest.remove(member);
-        return rest;
+    private static Set<Integer> membersExcept(Integer member) {
+        Set<Integer> others = new HashSet<>(cluster.allMembers());
+        others.remove(member);
+        return others;
     }
 
-    private void neverUnreachable(Set<Integer> observers, Set<String> members) {
+    private void assertNeverUnreachable(Set<Integer> observers, Set<String> members) {
         assertEquals(
                 List.of(),
-                InvariantChecker.called(rig.history(), begun, observers, members, "unreachable"),
+                InvariantChecker.observationsWithStatus(
+                        cluster.history(), startSeconds, observers, members, "unreachable"),
                 "seed " + SEED);
     }
 
@@ -83,92 +84,119 @@
      * Silence proves no end: a killed one is unreachable, not gone; its successor is a life above.
      */
     @Test
-    void aKilledOneIsUnreachableAndComesBackInANewLife() throws Exception {
-        long life = rig.look(4).self();
-        rig.kill(4);
-        rig.until("the kill is seen", without(4), look -> look.sees("n4", "unreachable"));
-        rig.start(4);
-        rig.untilSettled("back", rig.all());
-        rig.until(
+    void killedMemberIsUnreachableAndReturnsWithHigherIncarnation() throws Exception {
+        long oldIncarnation = cluster.latestObservation(4).self();
+        cluster.kill(4);
+        cluster.awaitAll(
+                "the kill is seen",
+                membersExcept(4),
+                observation -> observation.reports("n4", "unreachable"));
+        cluster.start(4);
+        cluster.awaitConverged("back", cluster.allMembers());
+        cluster.awaitAll(
                 "a life above is seen",
-                rig.all(),
-                look -> look.members().get("n4").incarnation() > life);
-        neverUnreachable(without(4), rig.others(4));
+                cluster.allMembers(),
+                observation -> observation.members().get("n4").incarnation() > oldIncarnation);
+        assertNeverUnreachable(membersExcept(4), cluster.namesExcept(4));
     }
 
     @Test
-    void oneThatEndsInGoodOrderHasLeft() throws Exception {
-        rig.process(3).signal("TERM");
-        rig.until("n3's leaving is heard", without(3), look -> look.sees("n3", "left"));
-        assertTrue(rig.process(3).exitsWithin(4), rig.process(3).log());
-        rig.gone(3);
-        rig.start(3);
-        rig.untilSettled("back", rig.all());
+    void memberThatShutsDownGracefullyHasLeft() throws Exception {
+        cluster.process(3).signal("TERM");
+        cluster.awaitAll(
+                "n3's leaving is heard",
+                membersExcept(3),
+                observation -> observation.reports("n3", "left"));
+        assertTrue(cluster.process(3).exitsWithin(4), cluster.process(3).log());
+        cluster.markStopped(3);
+        cluster.start(3);
+        cluster.awaitConverged("back", cluster.allMembers());
         assertEquals(
                 List.of(),
-                InvariantChecker.called(
-                        rig.history(), begun, without(3), Set.of("n3"), "unreachable"));
+                InvariantChecker.observationsWithStatus(
+                        cluster.history(),
+                        startSeconds,
+                        membersExcept(3),
+                        Set.of("n3"),
+                        "unreachable"));
     }
 
     @Test
-    void bothSidesOfACutSettleAndHeal() {
-        Set<Integer> small = Set.of(0, 1);
-        Set<Integer> large = Set.of(2, 3, 4);
-        rig.hub.part(List.copyOf(small), List.copyOf(large));
-        rig.until(
+    void partitionedSidesConvergeAndMergeAfterwards() {
+        Set<Integer> minority = Set.of(0, 1);
+        Set<Integer> majority = Set.of(2, 3, 4);
+        cluster.proxy.partition(List.copyOf(minority), List.copyOf(majority));
+        cluster.awaitAll(
                 "the small side sees the cut",
-                small,
-                look ->
-                        look.sees("n2", "unreachable")
-                                && look.sees("n3", "unreachable")
-                                && look.sees("n4", "unreachable"));
-        rig.until(
+                minority,
+                observation ->
+                        observation.reports("n2", "unreachable")
+                                && observation.reports("n3", "unreachable")
+                                && observation.reports("n4", "unreachable"));
+        cluster.awaitAll(
                 "the large side sees the cut",
-                large,
-                look -> look.sees("n0", "unreachable") && look.sees("n1", "unreachable"));
-        rig.untilSettled("the small side is settled", small);
-        rig.untilSettled("the large side is settled", large);
-        rig.hub.setAll(FaultInjectingProxy.Fault.NONE);
-        rig.untilSettled("healed", rig.all());
-        neverUnreachable(small, Set.of("n0", "n1"));
-        neverUnreachable(large, Set.of("n2", "n3", "n4"));
+                majority,
+                observation ->
+                        observation.reports("n0", "unreachable")
+                                && observation.reports("n1", "unreachable"));
+        cluster.awaitConverged("the small side is settled", minority);
+        cluster.awaitConverged("the large side is settled", majority);
+        cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.NONE);
+        cluster.awaitConverged("healed", cluster.allMembers());
+        assertNeverUnreachable(minority, Set.of("n0", "n1"));
+        assertNeverUnreachable(majority, Set.of("n2", "n3", "n4"));
     }
 
     /** A stall of our own is held against nobody. */
     @Test
-    void aStoppedOneBlamesNobodyAfterwards() throws Exception {
-        long life = rig.look(2).self();
-        long stalls = rig.look(2).count("view.stalls");
-        rig.process(2).signal("STOP");
-        rig.until("the others do not hear it", without(2), look -> look.sees("n2", "unreachable"));
-        rig.until("it is stopped for 3 s", without(2), look -> look.at() > begun + 3);
-        rig.process(2).signal("CONT");
-        rig.untilSettled("settled after the stall", rig.all());
-        rig.until("the stall is counted", Set.of(2), look -> look.count("view.stalls") > stalls);
-        assertEquals(life, rig.look(2).self(), "the same life");
-        neverUnreachable(rig.all(), rig.others(2));
+    void stoppedMemberReportsNobodyUnreachableAfterwards() throws Exception {
+        long incarnation = cluster.latestObservation(2).self();
+        long stallsBefore = cluster.latestObservation(2).count("view.stalls");
+        cluster.process(2).signal("STOP");
+        cluster.awaitAll(
+                "the others do not hear it",
+                membersExcept(2),
+                observation -> observation.reports("n2", "unreachable"));
+        cluster.awaitAll(
+                "it is stopped for 3 s",
+                membersExcept(2),
+                observation -> observation.atSeconds() > startSeconds + 3);
+        cluster.process(2).signal("CONT");
+        cluster.awaitConverged("settled after the stall", cluster.allMembers());
+        cluster.awaitAll(
+                "the stall is counted",
+                Set.of(2),
+                observation -> observation.count("view.stalls") > stallsBefore);
+        assertEquals(incarnation, cluster.latestObservation(2).self(), "the same life");
+        assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept(2));
     }
 
     /** Waits until each has sent so many more datagrams, which is time as the fleet counts it. */
-    private void forDatagrams(String what, int count) {
-        long[] before = rig.all().stream().mapToLong(i -> rig.look(i).count("link.out")).toArray();
-        rig.until(
-                what, rig.all(), look -> look.count("link.out") > before[look.observer()] + count);
+    private void awaitDatagramsSent(String description, int count) {
+        long[] sentBefore =
+                cluster.allMembers().stream()
+                        .mapToLong(i -> cluster.latestObservation(i).count("link.out"))
+                        .toArray();
+        cluster.awaitAll(
+                description,
+                cluster.allMembers(),
+                observation ->
+                        observation.count("link.out") > sentBefore[observation.observer()] + count);
     }
 
     @Test
-    void aWayCutInOneDirectionIsGoneAround() {
-        rig.hub.set(0, 1, FaultInjectingProxy.Fault.CUT);
-        rig.hub.set(3, 2, FaultInjectingProxy.Fault.CUT);
-        forDatagrams("two ways are cut in one direction", 150);
-        neverUnreachable(rig.all(), rig.others());
+    void oneWayCutsMakeNobodyUnreachable() {
+        cluster.proxy.setFault(0, 1, FaultInjectingProxy.Fault.CUT);
+        cluster.proxy.setFault(3, 2, FaultInjectingProxy.Fault.CUT);
+        awaitDatagramsSent("two ways are cut in one direction", 150);
+        assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
     }
 
     @Test
-    void aRoughNetworkMakesNobodyUnreachable() {
-        rig.hub.setAll(FaultInjectingProxy.Fault.ROUGH);
-        forDatagrams("30% lost, 10% doubled, all out of order", 300);
-        neverUnreachable(rig.all(), rig.others());
+    void lossAndReorderingMakeNobodyUnreachable() {
+        cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.UNRELIABLE);
+        awaitDatagramsSent("30% lost, 10% doubled, all out of order", 300);
+        assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
     }
 
     /** A datagram of that fleet and version with a good checksum, and no word in it. */
@@ -183,14 +211,14 @@
     }
 
     @Test
-    void strangersAndGarbageAreCountedAndChangeNothing() throws Exception {
-        String digest = rig.look(1).figures().get("view.digest");
-        FleetObservation before = rig.look(1);
+    void foreignAndMalformedDatagramsAreCountedAndChangeNothing() throws Exception {
+        String digest = cluster.latestObservation(1).figures().get("view.digest");
+        FleetObservation before = cluster.latestObservation(1);
         for (int round = 1;
                 round <= 5;
                 round++) { // a few at once, so that the socket's buffer holds them
             for (int i = 0; i < 10; i++) {
-                rig.hub.stranger(
+                cluster.proxy.sendFromUnknownAddress(
                         1,
                         new byte[] {1, 2, 3, (byte) i, 5},
                         new byte[1500],
@@ -198,11 +226,11 @@
                         datagram("rig", 2),
                         datagram("rig", 1));
             }
-            int all = round * 10;
-            rig.until(
+            int datagramsPerReason = round * 10;
+            cluster.awaitAll(
                     "all are counted",
                     Set.of(1),
-                    look ->
+                    observation ->
                             List.of(
                                             "damaged",
                                             "too_long",
@@ -211,20 +239,25 @@
                                             "unreadable")
                                     .stream()
                                     .allMatch(
-                                            why ->
-                                                    look.count("dropped." + why)
-                                                            >= before.count("dropped." + why)
-                                                                    + all));
+                                            reason ->
+                                                    observation.count("dropped." + reason)
+                                                            >= before.count("dropped." + reason)
+                                                                    + datagramsPerReason));
         }
-        for (int i = 0; i < 200 && rig.look(1).count("dropped.too_many") == 0; i++) {
+        for (int i = 0;
+                i < 200 && cluster.latestObservation(1).count("dropped.too_many") == 0;
+                i++) {
             for (int j = 0; j < 100; j++) {
-                rig.hub.stranger(1, new byte[] {9});
+                cluster.proxy.sendFromUnknownAddress(1, new byte[] {9});
             }
         }
-        rig.until("a flood is held down", Set.of(1), look -> look.count("dropped.too_many") > 0);
-        forDatagrams("life goes on", 20);
-        neverUnreachable(rig.all(), rig.others());
-        assertEquals(digest, rig.look(1).figures().get("view.digest"));
-        assertFalse(rig.look(1).figures().get("view.state").contains("failed"));
+        cluster.awaitAll(
+                "a flood is held down",
+                Set.of(1),
+                observation -> observation.count("dropped.too_many") > 0);
+        awaitDatagramsSent("life goes on", 20);
+        assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
+        assertEquals(digest, cluster.latestObservation(1).figures().get("view.digest"));
+        assertFalse(cluster.latestObservation(1).figures().get("view.state").contains("failed"));
     }
 }
--- a/src/test/java/junipercourse/multiprocess/InvariantChecker.java
+++ b/src/test/java/junipercourse/multiprocess/InvariantChecker.java
@@ -8,7 +8,8 @@
 
 /** Judges a recorded history: what must hold at any time, whatever was cut, stopped or killed. */
 final class InvariantChecker {
-    private static final Set<String> STANDINGS = Set.of("alive", "suspect", "unreachable", "left");
+    private static final Set<String> VALID_STATUSES =
+            Set.of("alive", "suspect", "unreachable", "left");
 
     private InvariantChecker() {}
 
@@ -18,73 +19,84 @@
      * that is shown to have left and comes back in the same life; a standing that says more than
      * can be known.
      */
-    static List<String> faults(List<FleetObservation> history) {
-        List<String> faults = new ArrayList<>();
-        Map<String, FleetObservation.Seen> last = new HashMap<>();
-        Map<Integer, FleetObservation> own = new HashMap<>();
-        for (FleetObservation look : history) {
-            look.members()
+    static List<String> violations(List<FleetObservation> history) {
+        List<String> violations = new ArrayList<>();
+        Map<String, FleetObservation.ObservedMember> lastMemberStates = new HashMap<>();
+        Map<Integer, FleetObservation> lastObservations = new HashMap<>();
+        for (FleetObservation observation : history) {
+            observation
+                    .members()
                     .forEach(
-                            (name, seen) -> {
-                                FleetObservation.Seen before =
-                                        last.put(
-                                                look.observer() + "/" + look.process() + "/" + name,
-                                                seen);
-                                if (before != null && seen.incarnation() < before.incarnation()) {
-                                    faults.add(
+                            (name, member) -> {
+                                FleetObservation.ObservedMember previous =
+                                        lastMemberStates.put(
+                                                observation.observer()
+                                                        + "/"
+                                                        + observation.startNumber()
+                                                        + "/"
+                                                        + name,
+                                                member);
+                                if (previous != null
+                                        && member.incarnation() < previous.incarnation()) {
+                                    violations.add(
                                             "a life went back: "
                                                     + name
                                                     + " from "
-                                                    + before
+                                                    + previous
                                                     + " to "
-                                                    + seen
+                                                    + member
                                                     + " at "
-                                                    + look);
+                                                    + observation);
                                 }
-                                if (before != null
-                                        && seen.incarnation() == before.incarnation()
-                                        && before.standing().equals("left")
-                                        && !seen.standing().equals("left")) {
-                                    faults.add(
+                                if (previous != null
+                                        && member.incarnation() == previous.incarnation()
+                                        && previous.status().equals("left")
+                                        && !member.status().equals("left")) {
+                                    violations.add(
                                             "a life that had left came back: "
                                                     + name
                                                     + " at "
-                                                    + look);
+                                                    + observation);
                                 }
-                                if (!STANDINGS.contains(seen.standing())) {
-                                    faults.add("no standing: " + seen + " at " + look);
+                                if (!VALID_STATUSES.contains(member.status())) {
+                                    violations.add("no standing: " + member + " at " + observation);
                                 }
                             });
-            if (look.self() != 0) {
-                FleetObservation before = own.put(look.observer(), look);
-                if (before != null
-                        && (before.process() == look.process()
-                                ? look.self() < before.self()
-                                : look.self() <= before.self())) {
-                    faults.add(
+            if (observation.self() != 0) {
+                FleetObservation previous =
+                        lastObservations.put(observation.observer(), observation);
+                if (previous != null
+                        && (previous.startNumber() == observation.startNumber()
+                                ? observation.self() < previous.self()
+                                : observation.self() <= previous.self())) {
+                    violations.add(
                             "an own life that is not above the one before: "
-                                    + before
+                                    + previous
                                     + ", "
-                                    + look);
+                                    + observation);
                 }
             }
         }
-        return faults;
+        return violations;
     }
 
     /** Looks from a time on in which one of these observers calls one of these members so. */
-    static List<FleetObservation> called(
+    static List<FleetObservation> observationsWithStatus(
             List<FleetObservation> history,
-            double from,
+            double startSeconds,
             Set<Integer> observers,
             Set<String> members,
-            String standing) {
+            String status) {
         return history.stream()
                 .filter(
-                        look ->
-                                look.at() >= from
-                                        && observers.contains(look.observer())
-                                        && members.stream().anyMatch(m -> look.sees(m, standing)))
+                        observation ->
+                                observation.atSeconds() >= startSeconds
+                                        && observers.contains(observation.observer())
+                                        && members.stream()
+                                                .anyMatch(
+                                                        member ->
+                                                                observation.reports(
+                                                                        member, status)))
                 .toList();
     }
 }
--- a/src/test/java/junipercourse/multiprocess/InvariantCheckerTest.java
+++ b/src/test/java/junipercourse/multiprocess/InvariantCheckerTest.java
@@ -9,46 +9,50 @@
 
 /** The judge fires on forged histories, and lets a good one pass. */
 class InvariantCheckerTest {
-    private static FleetObservation look(
-            int observer, int process, long self, String standing, long incarnation) {
+    private static FleetObservation observation(
+            int observer, int startNumber, long self, String status, long incarnation) {
         return new FleetObservation(
                 0,
                 observer,
-                process,
+                startNumber,
                 self,
-                Map.of("n9", new FleetObservation.Seen(standing, incarnation)),
+                Map.of("n9", new FleetObservation.ObservedMember(status, incarnation)),
                 Map.of());
     }
 
-    private static void fires(String fault, FleetObservation... history) {
-        List<String> faults = InvariantChecker.faults(List.of(history));
-        assertEquals(1, faults.size(), faults::toString);
-        assertTrue(faults.get(0).startsWith(fault), faults::toString);
+    private static void assertViolation(String expectedPrefix, FleetObservation... history) {
+        List<String> violations = InvariantChecker.violations(List.of(history));
+        assertEquals(1, violations.size(), violations::toString);
+        assertTrue(violations.get(0).startsWith(expectedPrefix), violations::toString);
     }
 
     @Test
-    void forgedHistoriesAreSeen() {
-        fires("a life went back", look(0, 1, 5, "alive", 8), look(0, 1, 5, "alive", 7));
-        fires(
+    void violationsInForgedHistoriesAreFound() {
+        assertViolation(
+                "a life went back",
+                observation(0, 1, 5, "alive", 8),
+                observation(0, 1, 5, "alive", 7));
+        assertViolation(
                 "a life that had left came back",
-                look(0, 1, 5, "left", 8),
-                look(0, 1, 5, "alive", 8));
-        fires("no standing", look(0, 1, 5, "stopped", 8));
-        fires("an own life", look(0, 1, 5, "alive", 8), look(0, 2, 5, "alive", 8));
+                observation(0, 1, 5, "left", 8),
+                observation(0, 1, 5, "alive", 8));
+        assertViolation("no standing", observation(0, 1, 5, "stopped", 8));
+        assertViolation(
+                "an own life", observation(0, 1, 5, "alive", 8), observation(0, 2, 5, "alive", 8));
         assertEquals(
                 List.of(),
-                InvariantChecker.faults(
+                InvariantChecker.violations(
                         List.of(
-                                look(0, 1, 5, "left", 8),
-                                look(1, 1, 3, "alive", 7),
-                                look(0, 1, 6, "alive", 9),
-                                look(0, 2, 7, "alive", 8))));
+                                observation(0, 1, 5, "left", 8),
+                                observation(1, 1, 3, "alive", 7),
+                                observation(0, 1, 6, "alive", 9),
+                                observation(0, 2, 7, "alive", 8))));
         assertEquals(
                 1,
-                InvariantChecker.called(
+                InvariantChecker.observationsWithStatus(
                                 List.of(
-                                        look(0, 1, 5, "unreachable", 8),
-                                        look(1, 1, 5, "unreachable", 8)),
+                                        observation(0, 1, 5, "unreachable", 8),
+                                        observation(1, 1, 5, "unreachable", 8)),
                                 0,
                                 java.util.Set.of(1),
                                 java.util.Set.of("n9"),
@@ -57,8 +61,8 @@
     }
 
     @Test
-    void aLookIsReadFromTheTable() {
-        FleetObservation look =
+    void parsesObservationFromTable() {
+        FleetObservation observation =
                 FleetObservation.parse(
                         1,
                         2,
@@ -72,8 +76,10 @@
                         2,
                         3,
                         (2L << 32) + 10,
-                        Map.of("n9", new FleetObservation.Seen("suspect", (2L << 32) - 1)),
+                        Map.of(
+                                "n9",
+                                new FleetObservation.ObservedMember("suspect", (2L << 32) - 1)),
                         Map.of("view.settled", "true", "link.in", "5")),
-                look);
+                observation);
     }
 }
--- a/src/test/java/junipercourse/multiprocess/MixedBuildFleet.java
+++ b/src/test/java/junipercourse/multiprocess/MixedBuildFleet.java
@@ -35,30 +35,33 @@
         cluster.start(member, member < membersOfThisBuild ? "" : OtherBuild.command());
     }
 
-    private static Set<Integer> without(DispatcherCluster cluster, Integer member) {
-        Set<Integer> others = new HashSet<>(cluster.all());
+    private static Set<Integer> membersExcept(DispatcherCluster cluster, Integer member) {
+        Set<Integer> others = new HashSet<>(cluster.allMembers());
         others.remove(member);
         return others;
     }
 
     private static void dropsNoDatagramAsMalformed(DispatcherCluster cluster) {
-        for (int member : cluster.all()) {
+        for (int member : cluster.allMembers()) {
             for (String reason : MALFORMED) {
                 assertEquals(
-                        0, cluster.look(member).count("dropped." + reason), member + " " + reason);
+                        0,
+                        cluster.latestObservation(member).count("dropped." + reason),
+                        member + " " + reason);
             }
         }
     }
 
     private static void exchangesDatagrams(DispatcherCluster cluster) {
         long[] before =
-                cluster.all().stream()
-                        .mapToLong(member -> cluster.look(member).count("link.in"))
+                cluster.allMembers().stream()
+                        .mapToLong(member -> cluster.latestObservation(member).count("link.in"))
                         .toArray();
-        cluster.until(
+        cluster.awaitAll(
                 "datagrams are exchanged",
-                cluster.all(),
-                look -> look.count("link.in") > before[look.observer()] + DATAGRAMS);
+                cluster.allMembers(),
+                observation ->
+                        observation.count("link.in") > before[observation.observer()] + DATAGRAMS);
     }
 
     @ParameterizedTest
@@ -68,37 +71,37 @@
             for (int member = 0; member < MEMBERS; member++) {
                 start(cluster, member, membersOfThisBuild);
             }
-            cluster.untilSettled("two builds agree on one view", cluster.all());
+            cluster.awaitConverged("two builds agree on one view", cluster.allMembers());
             exchangesDatagrams(cluster);
             dropsNoDatagramAsMalformed(cluster);
             for (int member = 0; member < MEMBERS; member++) {
-                String name = DispatcherCluster.name(member);
+                String name = DispatcherCluster.memberName(member);
                 cluster.process(member).signal("TERM");
-                cluster.until(
+                cluster.awaitAll(
                         name + " has left",
-                        without(cluster, member),
-                        look -> look.sees(name, "left"));
+                        membersExcept(cluster, member),
+                        observation -> observation.reports(name, "left"));
                 assertTrue(
                         cluster.process(member).exitsWithin(TERMINATION_SECONDS),
                         cluster.process(member).log());
-                cluster.gone(member);
+                cluster.markStopped(member);
                 start(cluster, member, membersOfThisBuild);
-                cluster.untilSettled(name + " is back", cluster.all());
+                cluster.awaitConverged(name + " is back", cluster.allMembers());
             }
             for (int member : List.of(0, MEMBERS - 1)) {
-                String name = DispatcherCluster.name(member);
+                String name = DispatcherCluster.memberName(member);
                 cluster.kill(member);
-                cluster.until(
+                cluster.awaitAll(
                         name + " is unreachable",
-                        without(cluster, member),
-                        look -> look.sees(name, "unreachable"));
+                        membersExcept(cluster, member),
+                        observation -> observation.reports(name, "unreachable"));
                 start(cluster, member, membersOfThisBuild);
-                cluster.untilSettled(name + " is back", cluster.all());
+                cluster.awaitConverged(name + " is back", cluster.allMembers());
             }
             exchangesDatagrams(cluster);
             dropsNoDatagramAsMalformed(cluster);
-            assertEquals(List.of(), cluster.unserved());
-            assertEquals(List.of(), InvariantChecker.faults(cluster.history()));
+            assertEquals(List.of(), cluster.failedQueries());
+            assertEquals(List.of(), InvariantChecker.violations(cluster.history()));
         }
     }
 }
