--- a/src/test/java/junipercourse/engine/AttemptRetryTest.java
+++ b/src/test/java/junipercourse/engine/AttemptRetryTest.java
@@ -28,14 +28,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * PROTOCOL's list of proofs that an attempt never ran, against what is none, for each effect: what
- * is sent again, and that there are never two out.
+ * Outcomes that by PROTOCOL prove that an attempt never ran, and others, for each effect: which
+ * attempts are repeated, and that two attempts never overlap.
  */
 class AttemptRetryTest {
-    /** By what may be repeated: always, by key for 12 s and for half a second, and never. */
+    /** Repeatable always, by idempotency key for 12 s, by key for 0.5 s, and never. */
     private static final List<String> CLASSES = List.of("check", "load", "soon", "move");
 
-    private static final double SOON_S = 0.5;
+    private static final double SHORT_WINDOW_SECONDS = 0.5;
     private static final String CONFIG =
             SocketTestSupport.CONFIG
                     .replace(
@@ -49,23 +49,24 @@
                             """)
                     .replaceAll(
                             "goal_time_s\":[0-9.]+",
-                            "goal_time_s\":15.0") // aims are not tested here
+                            "goal_time_s\":15.0") // latency objectives are not tested here
                     .replace("\"deadline_s\":7.5", "\"deadline_s\":20.0");
-    private static final String UNRUN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
-    private static final String NONE = "Content-Length: 0\r\n\r\n";
-    private static final String GARBLED = "SSH-2.0 hello\r\n";
-    private static final String CUT =
+    private static final String NEVER_RAN = "X-Unrun: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
+    private static final String NOT_HTTP = "SSH-2.0 hello\r\n";
+    private static final String TRUNCATED =
             "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\nContent-Length: 60\r\n\r\na\tb\t";
 
-    /** What engines answer to the first attempt's calls, by row. */
+    /** Responses to the calls of the first attempt, by name of the fault. */
     private static final Map<String, Function<String, String>> FAULTS =
             Map.ofEntries(
                     Map.entry("full", call -> AT_CAPACITY),
-                    Map.entry("over", call -> "HTTP/1.1 504 Late\r\n" + UNRUN),
-                    Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NONE),
-                    Map.entry("over without proof", call -> "HTTP/1.1 504 Late\r\n" + NONE),
+                    Map.entry("expired", call -> "HTTP/1.1 504 Late\r\n" + NEVER_RAN),
+                    Map.entry("full without proof", call -> "HTTP/1.1 503 Full\r\n" + NO_BODY),
+                    Map.entry("expired without proof", call -> "HTTP/1.1 504 Late\r\n" + NO_BODY),
                     Map.entry(
-                            "full, proof 0", call -> "HTTP/1.1 503 Full\r\nX-Unrun: 0\r\n" + NONE),
+                            "full, proof 0",
+                            call -> "HTTP/1.1 503 Full\r\nX-Unrun: 0\r\n" + NO_BODY),
                     Map.entry("error", call -> FAILED),
                     Map.entry(
                             "reset, then unknown",
@@ -80,101 +81,127 @@
                                             ? CANCELLED
                                             : SocketTestSupport.CLOSE_CONNECTION),
                     Map.entry(
-                            "garbled always",
-                            call -> call.startsWith("DELETE") ? CANCELLED : GARBLED),
-                    Map.entry("cut always", call -> call.startsWith("DELETE") ? CANCELLED : CUT),
+                            "malformed always",
+                            call -> call.startsWith("DELETE") ? CANCELLED : NOT_HTTP),
+                    Map.entry(
+                            "truncated always",
+                            call -> call.startsWith("DELETE") ? CANCELLED : TRUNCATED),
                     Map.entry(
                             "delete unanswered",
-                            call -> call.startsWith("DELETE") ? NO_RESPONSE : GARBLED),
+                            call -> call.startsWith("DELETE") ? NO_RESPONSE : NOT_HTTP),
                     Map.entry("silent", call -> NO_RESPONSE),
                     Map.entry(
-                            "hangs in its work",
+                            "hangs while running",
                             call -> call.startsWith("POST") ? RUNNING : NO_RESPONSE));
 
-    /** What was seen of one class. */
+    /** The observed result of one query class. */
     private record Observation(
-            String kind, String answer, AttemptOverlapChecker judge, boolean again) {}
+            String queryClass,
+            String answer,
+            AttemptOverlapChecker overlapChecker,
+            boolean wasRepeated) {}
 
-    private static Observation play(String kind, Function<String, String> fault, long timeoutMs)
+    private static Observation observe(
+            String queryClass, Function<String, String> fault, long timeoutMillis)
             throws IOException {
-        AttemptOverlapChecker judge = new AttemptOverlapChecker(fault);
-        try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512)) {
-            bench.startEngine(1, judge::answer);
-            bench.startEngine(2, judge::answer);
-            String answer = bench.connectClient().startSession().query(query(kind, 1, timeoutMs));
-            return new Observation(kind, answer, judge, judge.posts() > 1);
+        AttemptOverlapChecker overlapChecker = new AttemptOverlapChecker(fault);
+        try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512)) {
+            support.startEngine(1, overlapChecker::respond);
+            support.startEngine(2, overlapChecker::respond);
+            String answer =
+                    support.connectClient()
+                            .startSession()
+                            .query(query(queryClass, 1, timeoutMillis));
+            return new Observation(
+                    queryClass, answer, overlapChecker, overlapChecker.postCount() > 1);
         }
     }
 
     /**
-     * {@code again}: y or n for each class, ? where its time decides: the half second's window is
-     * judged by itself, and one that hangs in its work after it was heard is waited for, past some
-     * clients' time.
+     * {@code expectedRepeats} is y or n for each class, or ? where timing decides: the window of
+     * 0.5 s has an assertion of its own, and a query that hangs after the engine has responded is
+     * awaited beyond the timeout of some clients.
      */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "full | yyyy", "over | nnnn", "full without proof | yy?n",
-                        "over without proof | yy?n",
+                "full | yyyy", "expired | nnnn", "full without proof | yy?n",
+                        "expired without proof | yy?n",
                 "full, proof 0 | yy?n", "error | yy?n", "reset, then unknown | yy?n",
                         "reset always | yy?n",
-                "garbled always | yy?n", "cut always | yynn", "delete unanswered | yynn",
+                "malformed always | yy?n", "truncated always | yynn", "delete unanswered | yynn",
                         "silent | yynn",
-                "hangs in its work | ??nn"
+                "hangs while running | ??nn"
             })
-    void anAttemptIsRepeatedByItsEffectAndByProof(String row, String again) throws Exception {
-        ExecutorService side = Executors.newFixedThreadPool(CLASSES.size());
-        List<Future<Observation>> all = new ArrayList<>();
-        for (String kind : CLASSES) {
-            Callable<Observation> one =
-                    () -> play(kind, FAULTS.get(row), row.startsWith("hangs") ? 7000 : 15_000);
-            all.add(side.submit(one));
+    void attemptIsRepeatedOnlyIfEffectOrProofAllows(String fault, String expectedRepeats)
+            throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(CLASSES.size());
+        List<Future<Observation>> observations = new ArrayList<>();
+        for (String queryClass : CLASSES) {
+            Callable<Observation> task =
+                    () ->
+                            observe(
+                                    queryClass,
+                                    FAULTS.get(fault),
+                                    fault.startsWith("hangs") ? 7000 : 15_000);
+            observations.add(executor.submit(task));
         }
-        side.shutdown();
-        for (int i = 0; i < all.size(); i++) {
-            Observation seen = all.get(i).get();
-            String what = row + ": " + seen;
-            assertFalse(seen.judge.twoOut(), what);
-            boolean may = again.charAt(i) != 'n';
-            assertTrue(may || !seen.again, what);
+        executor.shutdown();
+        for (int i = 0; i < observations.size(); i++) {
+            Observation observation = observations.get(i).get();
+            String description = fault + ": " + observation;
+            assertFalse(observation.overlapChecker.hasOverlap(), description);
+            boolean mayRepeat = expectedRepeats.charAt(i) != 'n';
+            assertTrue(mayRepeat || !observation.wasRepeated, description);
+            assertTrue(
+                    expectedRepeats.charAt(i) != 'y'
+                            || observation.wasRepeated
+                                    && observation.answer.startsWith("T D(a b c)"),
+                    description);
             assertTrue(
-                    again.charAt(i) != 'y' || seen.again && seen.answer.startsWith("T D(a b c)"),
-                    what);
+                    !observation.queryClass.equals("soon")
+                            || fault.equals("full")
+                            || observation.overlapChecker.secondsBetweenPosts()
+                                    < SHORT_WINDOW_SECONDS,
+                    description);
+            boolean reportsNeverRan = observation.answer.startsWith("E(53");
             assertTrue(
-                    !seen.kind.equals("soon") || row.equals("full") || seen.judge.spread() < SOON_S,
-                    what);
-            boolean harmless = seen.answer.startsWith("E(53");
-            assertTrue(!harmless || row.equals("over") || !seen.kind.equals("move"), what);
+                    !reportsNeverRan
+                            || fault.equals("expired")
+                            || !observation.queryClass.equals("move"),
+                    description);
         }
     }
 
     /**
-     * Proofs without a byte: a refused connection, and one that never comes up. Every effect goes
-     * on.
+     * No byte was written, as the connection was refused or never established: queries of every
+     * effect go to another engine.
      */
     @ParameterizedTest
     @CsvSource({
         "check,refused",
         "load,refused",
         "move,refused",
-        "check,never up",
-        "load,never up",
-        "move,never up"
+        "check,never established",
+        "load,never established",
+        "move,never established"
     })
-    void whatWasNeverWrittenGoesElsewhere(String kind, String fault) throws Exception {
-        StubEngine dead = new StubEngine(call -> OK);
-        dead.close();
-        try (SocketTestSupport bench = new SocketTestSupport(CONFIG, 512);
-                FullAcceptQueue never = new FullAcceptQueue()) {
-            bench.updateEndpointAndWait(
-                    1, fault.equals("refused") ? dead : never.listed(), EngineStage.READY);
-            SocketTestSupport.Client client = bench.connectClient().startSession();
-            client.write(SocketTestSupport.Client.queryMessage(query(kind, 1, 7000)));
-            SocketTestSupport.await(() -> bench.counters.get(Count.ENDS_UNREACHABLE) >= 1);
-            StubEngine good = bench.startEngine(2, call -> OK);
+    void unwrittenAttemptMovesToAnotherEngine(String queryClass, String fault) throws Exception {
+        StubEngine closedEngine = new StubEngine(call -> OK);
+        closedEngine.close();
+        try (SocketTestSupport support = new SocketTestSupport(CONFIG, 512);
+                FullAcceptQueue unreachableEngine = new FullAcceptQueue()) {
+            support.updateEndpointAndWait(
+                    1,
+                    fault.equals("refused") ? closedEngine : unreachableEngine.endpoint(),
+                    EngineStage.READY);
+            SocketTestSupport.Client client = support.connectClient().startSession();
+            client.write(SocketTestSupport.Client.queryMessage(query(queryClass, 1, 7000)));
+            SocketTestSupport.await(() -> support.counters.get(Count.ENDS_UNREACHABLE) >= 1);
+            StubEngine workingEngine = support.startEngine(2, call -> OK);
             assertEquals("T D(a b c) C(SELECT 1)", client.readAnswer());
-            assertEquals(1, good.countCalls("POST"));
+            assertEquals(1, workingEngine.countCalls("POST"));
         }
     }
 }
