--- a/src/test/java/junipercourse/fleet/transport/HollowTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
@@ -17,9 +17,9 @@
  * same socket, codec, rates, refusals and counts. What it leaves out are the two rings, so that
  * {@code IN_RING_FULL} and {@code OUT_RING_FULL} never come: what waits, waits in the socket's
  * buffer, which is longer by what the ring for what comes would hold. Between the sender and the
- * network lies a {@link Path}, which may lose a datagram or hold it back.
+ * network lies a {@link NetworkFaults}, which may lose a datagram or hold it back.
  */
-public final class HollowTransport implements Closeable {
+public final class SingleThreadTransport implements Closeable {
     private static final int MAX_DATAGRAMS_PER_READ = 256;
 
     /**
@@ -34,22 +34,22 @@
     private final RateLimiter receiveLimiter;
     private final RateLimiter sendLimiter;
     private final TransportCounters counters;
-    private final Path networkFaults;
+    private final NetworkFaults networkFaults;
     private final ByteBuffer receiveBuffer =
             ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more tells too long
     private final ByteBuffer sendBuffer = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final DatagramChannel channel;
 
     /** The faults between members. */
-    public interface Path {
+    public interface NetworkFaults {
         /** Seconds that a datagram to this address is held back; below 0 if it is lost. */
-        double out(String address);
+        double sendDelaySeconds(String address);
 
         /** The same for one that came, of a sender that has no path of its own. */
-        double in(String address);
+        double receiveDelaySeconds(String address);
 
         /** Has something done after so many seconds, on the link's thread. */
-        void later(double seconds, Runnable task);
+        void schedule(double seconds, Runnable task);
     }
 
     /**
@@ -57,12 +57,12 @@
      *
      * @param tally goes on from life to life of a member
      */
-    public HollowTransport(
+    public SingleThreadTransport(
             String fleet,
             InetSocketAddress listen,
             RateLimits limits,
             TransportCounters counters,
-            Path networkFaults)
+            NetworkFaults networkFaults)
             throws IOException {
         this.counters = counters;
         this.networkFaults = networkFaults;
@@ -105,7 +105,7 @@
     private void receiveDatagram(
             InetSocketAddress source, BiConsumer<String, GossipMessage> consumer) {
         String address = source.getAddress().getHostAddress() + ":" + source.getPort();
-        double delaySeconds = networkFaults.in(address);
+        double delaySeconds = networkFaults.receiveDelaySeconds(address);
         if (delaySeconds < 0) {
             return; // was lost on the way here
         }
@@ -118,7 +118,7 @@
         if (decoded.dropReason() != null) {
             counters.countDrop(decoded.dropReason());
         } else if (delaySeconds > 0) {
-            networkFaults.later(delaySeconds, () -> consumer.accept(address, decoded.message()));
+            networkFaults.schedule(delaySeconds, () -> consumer.accept(address, decoded.message()));
         } else {
             consumer.accept(address, decoded.message());
         }
@@ -135,12 +135,12 @@
             counters.countDrop(DropReason.OVER_RATE);
             return;
         }
-        double delaySeconds = networkFaults.out(address);
+        double delaySeconds = networkFaults.sendDelaySeconds(address);
         if (delaySeconds < 0) {
             counters.sent(size); // the system took it, the network lost it
         } else if (delaySeconds > 0) {
             ByteBuffer copy = ByteBuffer.allocate(size).put(sendBuffer).flip();
-            networkFaults.later(delaySeconds, () -> transmit(address, copy));
+            networkFaults.schedule(delaySeconds, () -> transmit(address, copy));
         } else {
             transmit(address, sendBuffer);
         }
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -238,7 +238,7 @@
                 description,
                 members,
                 observation ->
-                        observation.settled()
+                        observation.isConverged()
                                 && members.stream()
                                         .map(DispatcherCluster::memberName)
                                         .allMatch(name -> observation.reports(name, "alive"))
@@ -248,7 +248,7 @@
                                                         latest ->
                                                                 latest == null
                                                                         ? ""
-                                                                        : latest.figures()
+                                                                        : latest.valuesByName()
                                                                                 .get("view.digest"))
                                                 .distinct()
                                                 .count()
--- a/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
+++ b/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
@@ -212,7 +212,7 @@
 
     @Test
     void foreignAndMalformedDatagramsAreCountedAndChangeNothing() throws Exception {
-        String digest = cluster.latestObservation(1).figures().get("view.digest");
+        String digest = cluster.latestObservation(1).valuesByName().get("view.digest");
         FleetObservation before = cluster.latestObservation(1);
         for (int round = 1;
                 round <= 5;
@@ -257,7 +257,8 @@
                 observation -> observation.count("dropped.too_many") > 0);
         awaitDatagramsSent("life goes on", 20);
         assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
-        assertEquals(digest, cluster.latestObservation(1).figures().get("view.digest"));
-        assertFalse(cluster.latestObservation(1).figures().get("view.state").contains("failed"));
+        assertEquals(digest, cluster.latestObservation(1).valuesByName().get("view.digest"));
+        assertFalse(
+                cluster.latestObservation(1).valuesByName().get("view.state").contains("failed"));
     }
 }
