--- a/src/test/java/junipercourse/fleet/membership/FaultScheduleTest.java
+++ b/src/test/java/junipercourse/fleet/membership/FaultScheduleTest.java
@@ -39,7 +39,7 @@
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
-            names = {"NONE", "STALL_BLAMED_ON_PEERS"})
+            names = {"NONE", "LOCAL_STALL_IGNORED"})
     void theJudgesFindCodeBrokenOnPurpose(InjectedFault fault) {
         boolean clean =
                 LongStream.range(1, 30)
