--- a/src/test/java/junipercourse/fleet/transport/GossipCodecTest.java
+++ b/src/test/java/junipercourse/fleet/transport/GossipCodecTest.java
@@ -18,7 +18,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Words survive the wire; what is damaged, strange or newer is refused by its reason. */
+/**
+ * Messages survive encoding and decoding; damaged, foreign and newer datagrams are dropped with
+ * their reason.
+ */
 class GossipCodecTest {
     private static final GossipMessage SMALL_MESSAGE =
             new GossipMessage("n1", 7, GossipMessage.Kind.PING, 3, "n2", -1, List.of(), 0, 0);
@@ -29,7 +32,7 @@
                 .toString();
     }
 
-    /** A word as full as its own bounds allow, so that the datagram's bound is met. */
+    /** Returns a message up to its own bounds, to test that it still fits into a datagram. */
     private static GossipMessage randomMessage(Random random) {
         List<MemberRecord> records = new ArrayList<>();
         List<Integer> buckets = new ArrayList<>();
@@ -76,7 +79,7 @@
         assertEquals(
                 bytes.limit(),
                 message.encodedSize() + fleet.length(),
-                "the view's budget counts just these");
+                "the send budget counts exactly these bytes");
         int bit = random.nextInt(bytes.limit() * 8);
         bytes.rewind().put(bit / 8, (byte) (bytes.get(bit / 8) ^ 1 << bit % 8));
         assertEquals(DropReason.DAMAGED, codec.decode(bytes).dropReason());
@@ -106,14 +109,14 @@
         assertEquals(
                 DropReason.UNREADABLE,
                 new GossipCodec("f", 2, 0).decode(bytes).dropReason(),
-                "an older one");
+                "an older major version");
         byte[] body = Arrays.copyOfRange(bytes.array(), 4, bytes.limit());
         byte[] withUnknownField = Arrays.copyOf(body, body.length + 5);
         CodedOutputStream.newInstance(withUnknownField, body.length, 5).writeFixed32(13, 7);
         assertEquals(
                 new GossipCodec.Decoded(SMALL_MESSAGE, null),
                 codec.decode(withChecksum(withUnknownField)),
-                "a field that came later");
+                "a field of a later minor version");
         byte[] withUnknownKind = Arrays.copyOf(body, body.length + 2);
         CodedOutputStream.newInstance(withUnknownKind, body.length, 2).writeUInt32(6, 9);
         assertEquals(
@@ -121,7 +124,7 @@
         assertEquals(
                 DropReason.UNREADABLE,
                 codec.decode(withChecksum(Arrays.copyOf(body, 9))).dropReason(),
-                "no word");
+                "no complete message");
         assertEquals(
                 DropReason.TOO_LONG,
                 codec.decode(ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1)).dropReason());
@@ -129,8 +132,8 @@
     }
 
     /**
-     * One address that floods is held down alone; all together are, too; what is unused lasts a
-     * second.
+     * A flooding address is limited without affecting the others, the total is limited as well, and
+     * unused amounts accumulate for at most a second.
      */
     @Test
     void rateLimitHoldsPerAddressAndInTotal() {
@@ -140,7 +143,9 @@
         assertEquals(5, countAccepted(rateLimiter, "c", 100, 0));
         assertEquals(5, countAccepted(rateLimiter, "a", 100, 0.5));
         assertEquals(10, countAccepted(rateLimiter, "a", 100, 60));
-        assertFalse(rateLimiter.tryTake("d", 11, 60), "more than a second's worth never passes");
+        assertFalse(
+                rateLimiter.tryTake("d", 11, 60),
+                "more than one second's amount is never accepted");
     }
 
     private static int countAccepted(
--- a/src/test/java/junipercourse/fleet/transport/GossipWireFormatTest.java
+++ b/src/test/java/junipercourse/fleet/transport/GossipWireFormatTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Holds the bytes of each kind of gossip datagram, so that versions side by side understand each
- * other.
+ * Pins the bytes of each kind of gossip datagram, so that different versions in one fleet
+ * understand each other.
  */
 class GossipWireFormatTest {
     private static final MemberRecord ALIVE =
--- a/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
@@ -13,18 +13,18 @@
 import junipercourse.fleet.membership.GossipMessage;
 
 /**
- * {@link UdpTransport} without threads and rings of its own, for many members on one thread: the
- * same socket, codec, rates, refusals and counts. What it leaves out are the two rings, so that
- * {@code IN_RING_FULL} and {@code OUT_RING_FULL} never come: what waits, waits in the socket's
- * buffer, which is longer by what the ring for what comes would hold. Between the sender and the
- * network lies a {@link NetworkFaults}, which may lose a datagram or hold it back.
+ * {@link UdpTransport} without its own thread and rings, so that many members can share one thread.
+ * Socket, codec, rate limits, drop reasons and counters are the same. Without the two rings, {@code
+ * IN_RING_FULL} and {@code OUT_RING_FULL} never occur: received messages wait in the socket's
+ * buffer, which is larger by the capacity of the receive ring. {@link NetworkFaults} may lose or
+ * delay a datagram between the transport and the network.
  */
 public final class SingleThreadTransport implements Closeable {
     private static final int MAX_DATAGRAMS_PER_READ = 256;
 
     /**
-     * What a socket has by itself on Linux and what the longest word takes there, which it counts
-     * double.
+     * A socket's default receive buffer on Linux; {@link #MESSAGE_BUFFER_BYTES} is the space that
+     * the longest message takes there. Linux doubles the requested size.
      */
     private static final int DEFAULT_RECEIVE_BUFFER_BYTES = 106_496;
 
@@ -36,19 +36,24 @@
     private final TransportCounters counters;
     private final NetworkFaults networkFaults;
     private final ByteBuffer receiveBuffer =
-            ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more tells too long
+            ByteBuffer.allocate(
+                    GossipCodec.MAX_DATAGRAM_BYTES
+                            + 1); // an extra byte reveals an oversized datagram
     private final ByteBuffer sendBuffer = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final DatagramChannel channel;
 
-    /** The faults between members. */
+    /** Simulated faults of the network between members. */
     public interface NetworkFaults {
-        /** Seconds that a datagram to this address is held back; below 0 if it is lost. */
+        /** Returns the delay of a datagram to this address; below 0 if it is lost. */
         double sendDelaySeconds(String address);
 
-        /** The same for one that came, of a sender that has no path of its own. */
+        /**
+         * Returns the delay of a received datagram whose sender simulates no faults; below 0 if it
+         * is lost.
+         */
         double receiveDelaySeconds(String address);
 
-        /** Has something done after so many seconds, on the link's thread. */
+        /** Runs a task after a delay, on the transport's thread. */
         void schedule(double seconds, Runnable task);
     }
 
@@ -79,16 +84,16 @@
             channel.bind(listen);
         } catch (IOException e) {
             channel.close();
-            throw new IOException("cannot have fleet address " + listen + ": " + e.getMessage(), e);
+            throw new IOException("cannot bind fleet address " + listen + ": " + e.getMessage(), e);
         }
     }
 
-    /** To be registered for reading. */
+    /** Returns the channel, for registration with a selector. */
     public DatagramChannel channel() {
         return channel;
     }
 
-    /** Reads what lies at the socket, up to a bound; true if there may be more. */
+    /** Reads a bounded number of datagrams from the socket; returns true if there may be more. */
     public boolean receive(BiConsumer<String, GossipMessage> consumer) throws IOException {
         for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
             receiveBuffer.clear();
@@ -107,7 +112,7 @@
         String address = source.getAddress().getHostAddress() + ":" + source.getPort();
         double delaySeconds = networkFaults.receiveDelaySeconds(address);
         if (delaySeconds < 0) {
-            return; // was lost on the way here
+            return; // lost by the simulated network
         }
         counters.received(receiveBuffer.limit());
         if (!receiveLimiter.tryTake(source.getAddress(), 1, System.nanoTime() / 1e9)) {
@@ -124,7 +129,7 @@
         }
     }
 
-    /** Sends a word at once, or drops and counts it. */
+    /** Sends a message after its simulated delay, or drops and counts it. */
     public void send(String address, GossipMessage message) {
         if (!codec.encode(message, sendBuffer)) {
             counters.countDrop(DropReason.OVERSIZE);
@@ -137,7 +142,7 @@
         }
         double delaySeconds = networkFaults.sendDelaySeconds(address);
         if (delaySeconds < 0) {
-            counters.sent(size); // the system took it, the network lost it
+            counters.sent(size); // accepted by the system, lost by the simulated network
         } else if (delaySeconds > 0) {
             ByteBuffer copy = ByteBuffer.allocate(size).put(sendBuffer).flip();
             networkFaults.schedule(delaySeconds, () -> transmit(address, copy));
@@ -155,7 +160,8 @@
                 return;
             }
         } catch (IOException | ConfigException e) {
-            counters.countDrop(DropReason.NOT_SENT); // no way there just now, or no address at all
+            counters.countDrop(
+                    DropReason.NOT_SENT); // the address is unreachable at present or malformed
             return;
         }
         counters.countDrop(DropReason.NOT_SENT);
--- a/src/test/java/junipercourse/fleet/transport/UdpTransportTest.java
+++ b/src/test/java/junipercourse/fleet/transport/UdpTransportTest.java
@@ -13,7 +13,9 @@
 import junipercourse.fleet.membership.GossipMessage;
 import org.junit.jupiter.api.Test;
 
-/** The link's rings and rates on real sockets: nobody waits, what finds no room is counted. */
+/**
+ * The transport's rings and rate limits on real sockets: no call blocks, and overflow is counted.
+ */
 class UdpTransportTest {
     private static final RateLimits LIMITS = new RateLimits(1000, 1e6, 1e6, 1e6, 8);
 
@@ -50,7 +52,7 @@
             }
             while (sender.counters().dropped(DropReason.OVER_RATE) == 0
                     || sender.counters().dropped(DropReason.OUT_RING_FULL) == 0) {
-                sender.send(receiverAddress, message(9)); // never waits
+                sender.send(receiverAddress, message(9)); // never blocks
             }
         }
     }
--- a/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
+++ b/src/test/java/junipercourse/multiprocess/DisabledFleetTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Without a product file, no class of what it switches on is loaded, by the JVM's own account. */
+/**
+ * Without a product file, the dispatcher loads no class of the components that the file enables, by
+ * the JVM's class loading log.
+ */
 class DisabledFleetTest {
     private static final Pattern OPTIONAL_CLASSES =
             Pattern.compile(
@@ -73,7 +76,9 @@
                         .anyMatch(line -> line.contains("junipercourse.fleet.FleetService ")));
     }
 
-    /** A file with faults: told with place and element, exit code 2, nothing started. */
+    /**
+     * An invalid product file is reported with its position and element, and nothing is started.
+     */
     @Test
     void invalidProductFileExitsWithCodeTwo() throws Exception {
         Path product = folder.resolve("p.xml");
@@ -100,7 +105,7 @@
                 Files.readString(log));
     }
 
-    /** What the build makes the class archive of does not touch it either. */
+    /** The run from which the build creates the class archive loads no optional class either. */
     @Test
     void rehearsalLoadsNoOptionalClass() throws Exception {
         Path classLog = folder.resolve("classes");
--- a/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
+++ b/src/test/java/junipercourse/multiprocess/DispatcherCluster.java
@@ -18,8 +18,8 @@
 import junipercourse.SocketTestSupport;
 
 /**
- * Dispatchers n0, n1 … as processes of one fleet behind one {@link FaultInjectingProxy}, with an
- * engine and a client for each.
+ * Dispatchers n0, n1 … as processes of one fleet behind one {@link FaultInjectingProxy}, with one
+ * engine for all and a client for each.
  */
 final class DispatcherCluster implements Closeable {
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(20);
@@ -49,7 +49,7 @@
     private final List<FleetObservation> history = new ArrayList<>();
 
     DispatcherCluster(Path folder, int memberCount, long seed) throws IOException {
-        System.out.println("rig of " + memberCount + ", seed " + seed);
+        System.out.println("cluster of " + memberCount + ", seed " + seed);
         this.folder = folder;
         this.memberCount = memberCount;
         this.seed = seed;
@@ -67,7 +67,7 @@
         return "n" + member;
     }
 
-    /** Names of all but these. */
+    /** Returns the names of all members except these. */
     Set<String> namesExcept(Integer... members) {
         Set<Integer> excluded = Set.of(members);
         return allMembers().stream()
@@ -80,12 +80,15 @@
         return IntStream.range(0, memberCount).boxed().collect(Collectors.toSet());
     }
 
-    /** Starts a member, for the first time or again, and returns once it serves. */
+    /** Starts or restarts a member and returns once it accepts clients. */
     void start(int member) throws IOException {
         start(member, "");
     }
 
-    /** The same after a shell command, which may run another build in the shell's place. */
+    /**
+     * Like {@link #start(int)}, but runs a shell command first, which may replace the shell by
+     * another build.
+     */
     void start(int member, String command) throws IOException {
         Path memberFolder =
                 Files.createDirectories(
@@ -131,7 +134,7 @@
                 + "<bounds peer-datagrams='500/s'/></fleet></product>";
     }
 
-    /** Asks one process for its view over and over, and every few times for a query's answer. */
+    /** Polls the view of one process until it is stopped, and sends a query every few polls. */
     private void observe(int member, int startNumber, DispatcherProcess process)
             throws IOException {
         try (SocketTestSupport.Client client = new SocketTestSupport.Client(process.address())) {
@@ -162,7 +165,7 @@
         }
     }
 
-    /** Seconds by the rig's own clock. */
+    /** Returns the test's monotonic clock. */
     static double nowSeconds() {
         return System.nanoTime() / 1e9;
     }
@@ -171,14 +174,14 @@
         return processes[member];
     }
 
-    /** Ends a member at once; what it has told stays in the history. */
+    /** Kills a member; its observations stay in the history. */
     void kill(int member) throws IOException, InterruptedException {
         processes[member].signal("KILL");
         processes[member].close();
         markStopped(member);
     }
 
-    /** From now on nothing is expected of the member. */
+    /** Stops the observation of a member whose process has ended. */
     void markStopped(int member) {
         processes[member] = null;
         synchronized (history) {
@@ -186,14 +189,14 @@
         }
     }
 
-    /** The member's newest look, or null. */
+    /** Returns the latest observation of the member, or null. */
     FleetObservation latestObservation(int member) {
         synchronized (history) {
             return latestObservations[member];
         }
     }
 
-    /** Waits until the newest looks of all these members are so. */
+    /** Waits until the latest observation of each of these members meets the condition. */
     void awaitAll(String description, Set<Integer> members, Predicate<FleetObservation> condition) {
         double startSeconds = nowSeconds();
         try {
@@ -232,7 +235,7 @@
         System.out.printf("%s: after %.2f s%n", description, nowSeconds() - startSeconds);
     }
 
-    /** Waits until these see each other alive, are settled, and hold one digest. */
+    /** Waits until these members see each other alive, have converged, and hold the same digest. */
     void awaitConverged(String description, Set<Integer> members) {
         awaitAll(
                 description,
@@ -255,19 +258,19 @@
                                         == 1);
     }
 
-    /** A copy of all that was seen so far. */
+    /** Returns a copy of all observations so far. */
     List<FleetObservation> history() {
         synchronized (history) {
             return new ArrayList<>(history);
         }
     }
 
-    /** Queries that this member has answered rightly so far. */
+    /** Returns how many queries this member has answered correctly so far. */
     int answeredQueries(int member) {
         return answeredQueries[member].get();
     }
 
-    /** Queries that were answered wrongly. */
+    /** Returns the wrong responses to queries, each with the member's name. */
     List<String> failedQueries() {
         synchronized (failedQueries) {
             return List.copyOf(failedQueries);
--- a/src/test/java/junipercourse/multiprocess/FaultInjectingProxy.java
+++ b/src/test/java/junipercourse/multiprocess/FaultInjectingProxy.java
@@ -20,11 +20,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The network between dispatchers. Each sends to the addresses that the others advertise, which are
- * sockets here: what comes to the one that stands for B from A's own socket goes on to B's, out of
- * the socket that stands for A. So each ordered pair has a way of its own, which cuts, loses,
- * doubles, delays and thereby reorders. The fate of a pair's n-th datagram is drawn from the seed,
- * the pair and n alone.
+ * A UDP proxy between dispatchers. Each dispatcher advertises the address of a proxy socket. A
+ * datagram from A that arrives at the proxy socket of B is forwarded to B from the proxy socket of
+ * A, so each ordered pair has its own link, which can lose, duplicate and delay datagrams and
+ * thereby reorder them. The treatment of a pair's n-th datagram depends on the seed, the pair and n
+ * alone.
  */
 final class FaultInjectingProxy implements Closeable {
     private static final int MAX_DATAGRAM_BYTES = 2000;
@@ -39,11 +39,11 @@
     private long datagramCount;
 
     /**
-     * What becomes of datagrams on one way.
+     * The faults of the link from one member to another.
      *
-     * @param lose part of them lost
-     * @param twice part of them that comes twice
-     * @param delayMs at least, plus up to {@code jitterMs}
+     * @param lossRate fraction of the datagrams that is lost
+     * @param duplicationRate fraction of the datagrams that arrives twice
+     * @param delayMillis minimum delay @param jitterMillis maximum random delay in addition
      */
     record Fault(double lossRate, double duplicationRate, double delayMillis, double jitterMillis) {
         static final Fault NONE = new Fault(0, 0, 0, 0);
@@ -79,17 +79,17 @@
                 randoms[i][j] = new SplittableRandom(seed * 10_007 + i * 101L + j);
             }
         }
-        Thread thread = new Thread(this::run, "hub");
+        Thread thread = new Thread(this::run, "proxy");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Where the member has its own socket. */
+    /** Returns the address to which the member binds its socket. */
     InetSocketAddress listenAddress(int member) {
         return memberAddresses.get(member);
     }
 
-    /** Where the others send to. */
+    /** Returns the address to which other members send: that of the member's proxy socket. */
     String advertisedAddress(int member) {
         try {
             InetSocketAddress address =
@@ -100,14 +100,14 @@
         }
     }
 
-    /** From now on so on the way from one to the other. */
+    /** Sets the fault of the link from one member to another. */
     void setFault(int sender, int receiver, Fault fault) {
         synchronized (faults) {
             faults[sender][receiver] = fault;
         }
     }
 
-    /** From now on so on all ways. */
+    /** Sets the fault of all links. */
     void setAllFaults(Fault fault) {
         for (int sender = 0; sender < faults.length; sender++) {
             for (int receiver = 0; receiver < faults.length; receiver++) {
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Cuts all ways between the two sides. */
+    /** Cuts all links between the two sides, in both directions. */
     void partition(List<Integer> oneSide, List<Integer> otherSide) {
         oneSide.forEach(
                 oneMember ->
@@ -182,7 +182,8 @@
             fault = faults[sender][receiver];
         }
         SplittableRandom random = randoms[sender][receiver];
-        double lossDraw = random.nextDouble(); // always the same number of draws for each datagram
+        double lossDraw =
+                random.nextDouble(); // every datagram draws the same number of random values
         double duplicationDraw = random.nextDouble();
         double[] delayDraws = {random.nextDouble(), random.nextDouble()};
         for (int i = 0;
@@ -198,7 +199,7 @@
         }
     }
 
-    /** Sends what is no member's to a member's own socket. */
+    /** Sends datagrams to a member's own socket from an address that belongs to no member. */
     void sendFromUnknownAddress(int receiver, byte[]... datagrams) throws IOException {
         try (DatagramChannel channel = DatagramChannel.open()) {
             channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/junipercourse/multiprocess/FleetObservation.java
+++ b/src/test/java/junipercourse/multiprocess/FleetObservation.java
@@ -6,14 +6,14 @@
 import java.util.regex.Pattern;
 
 /**
- * One answer of one process to {@code SHOW FLEET}.
+ * One response of one process to {@code SHOW FLEET}.
  *
- * @param at seconds by the test's own clock, when the answer was there
- * @param observer number of the member that was asked
- * @param process which of that member's processes, counted by the test
- * @param self its own incarnation, 0 before it has one
- * @param members all that it knows of, by name
- * @param figures all other rows, such as {@code view.settled}
+ * @param at time of the response by the test's clock
+ * @param observer number of the member that was queried
+ * @param process which of that member's processes responded, counted from its first start
+ * @param self the member's own incarnation; 0 before it has one
+ * @param members the members that it knows, by name
+ * @param figures the values of all other rows, such as {@code view.settled}
  */
 public record FleetObservation(
         double atSeconds,
@@ -25,10 +25,10 @@
     private static final Pattern ROW = Pattern.compile("D\\(([^)]*)\\)");
     private static final int COLUMNS = 7;
 
-    /** A member as shown. */
+    /** A member as listed in the table. */
     public record ObservedMember(String status, long incarnation) {}
 
-    /** Reads what {@code SocketTestSupport.Client} made of the answer. */
+    /** Parses the response as formatted by {@code SocketTestSupport.Client}. */
     public static FleetObservation parse(
             double atSeconds, int observer, int startNumber, String response) {
         Map<String, ObservedMember> members = new HashMap<>();
@@ -53,7 +53,7 @@
         return Long.parseLong(parts[0]) << 32 | Long.parseLong(parts[1], 16);
     }
 
-    /** A count of the link, such as {@code link.in}. */
+    /** Returns a counter, such as {@code link.in}; 0 if it is missing. */
     public long count(String name) {
         return Long.parseLong(valuesByName.getOrDefault(name, "0"));
     }
@@ -62,7 +62,7 @@
         return "true".equals(valuesByName.get("view.settled"));
     }
 
-    /** Whether it sees that member so. */
+    /** Returns true if the member is listed with this status. */
     public boolean reports(String member, String status) {
         return members.containsKey(member) && members.get(member).status().equals(status);
     }
--- a/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
+++ b/src/test/java/junipercourse/multiprocess/FleetProcessTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five dispatchers as processes with faults between them. Each test leaves them settled again. */
+/**
+ * Five dispatcher processes with network and process faults. The cluster converges again after each
+ * test.
+ */
 class FleetProcessTest {
     private static final long SEED = Long.getLong("rig.seed", 28);
     @TempDir private static Path folder;
@@ -33,7 +36,7 @@
         for (int i = 0; i < cluster.memberCount; i++) {
             cluster.start(i);
         }
-        cluster.awaitConverged("five started at once are settled", cluster.allMembers());
+        cluster.awaitConverged("five members started at once converge", cluster.allMembers());
     }
 
     @BeforeEach
@@ -43,17 +46,17 @@
     }
 
     /**
-     * Whatever happened: all are there again, served their clients meanwhile, and the history
-     * holds.
+     * After each test, all members converge, each has answered queries during the test, and the
+     * history violates no invariant.
      */
     @AfterEach
     void verifyRecovery() {
         cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.NONE);
-        cluster.awaitConverged("settled again", cluster.allMembers());
+        cluster.awaitConverged("all members converge again", cluster.allMembers());
         for (int i = 0; i < cluster.memberCount; i++) {
             int member = i;
             cluster.awaitAll(
-                    "n" + i + " serves",
+                    "n" + i + " answers queries",
                     Set.of(i),
                     observation -> cluster.answeredQueries(member) > answeredBefore[member]);
         }
@@ -81,20 +84,21 @@
     }
 
     /**
-     * Silence proves no end: a killed one is unreachable, not gone; its successor is a life above.
+     * A killed member is unreachable, not left, since silence does not prove that it ended. Its
+     * successor has a higher incarnation.
      */
     @Test
     void killedMemberIsUnreachableAndReturnsWithHigherIncarnation() throws Exception {
         long oldIncarnation = cluster.latestObservation(4).self();
         cluster.kill(4);
         cluster.awaitAll(
-                "the kill is seen",
+                "the killed member is unreachable",
                 membersExcept(4),
                 observation -> observation.reports("n4", "unreachable"));
         cluster.start(4);
-        cluster.awaitConverged("back", cluster.allMembers());
+        cluster.awaitConverged("the member has returned", cluster.allMembers());
         cluster.awaitAll(
-                "a life above is seen",
+                "a higher incarnation is seen",
                 cluster.allMembers(),
                 observation -> observation.members().get("n4").incarnation() > oldIncarnation);
         assertNeverUnreachable(membersExcept(4), cluster.namesExcept(4));
@@ -104,13 +108,11 @@
     void memberThatShutsDownGracefullyHasLeft() throws Exception {
         cluster.process(3).signal("TERM");
         cluster.awaitAll(
-                "n3's leaving is heard",
-                membersExcept(3),
-                observation -> observation.reports("n3", "left"));
+                "n3 has left", membersExcept(3), observation -> observation.reports("n3", "left"));
         assertTrue(cluster.process(3).exitsWithin(4), cluster.process(3).log());
         cluster.markStopped(3);
         cluster.start(3);
-        cluster.awaitConverged("back", cluster.allMembers());
+        cluster.awaitConverged("the member has returned", cluster.allMembers());
         assertEquals(
                 List.of(),
                 InvariantChecker.observationsWithStatus(
@@ -127,51 +129,55 @@
         Set<Integer> majority = Set.of(2, 3, 4);
         cluster.proxy.partition(List.copyOf(minority), List.copyOf(majority));
         cluster.awaitAll(
-                "the small side sees the cut",
+                "the minority sees the partition",
                 minority,
                 observation ->
                         observation.reports("n2", "unreachable")
                                 && observation.reports("n3", "unreachable")
                                 && observation.reports("n4", "unreachable"));
         cluster.awaitAll(
-                "the large side sees the cut",
+                "the majority sees the partition",
                 majority,
                 observation ->
                         observation.reports("n0", "unreachable")
                                 && observation.reports("n1", "unreachable"));
-        cluster.awaitConverged("the small side is settled", minority);
-        cluster.awaitConverged("the large side is settled", majority);
+        cluster.awaitConverged("the minority converges", minority);
+        cluster.awaitConverged("the majority converges", majority);
         cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.NONE);
-        cluster.awaitConverged("healed", cluster.allMembers());
+        cluster.awaitConverged("both sides converge after the partition", cluster.allMembers());
         assertNeverUnreachable(minority, Set.of("n0", "n1"));
         assertNeverUnreachable(majority, Set.of("n2", "n3", "n4"));
     }
 
-    /** A stall of our own is held against nobody. */
+    /** A process that was stopped must not take its own stall for silence of the others. */
     @Test
     void stoppedMemberReportsNobodyUnreachableAfterwards() throws Exception {
         long incarnation = cluster.latestObservation(2).self();
         long stallsBefore = cluster.latestObservation(2).count("view.stalls");
         cluster.process(2).signal("STOP");
         cluster.awaitAll(
-                "the others do not hear it",
+                "the stopped member is unreachable",
                 membersExcept(2),
                 observation -> observation.reports("n2", "unreachable"));
         cluster.awaitAll(
-                "it is stopped for 3 s",
+                "the member is stopped for 3 s",
                 membersExcept(2),
                 observation -> observation.atSeconds() > startSeconds + 3);
         cluster.process(2).signal("CONT");
-        cluster.awaitConverged("settled after the stall", cluster.allMembers());
+        cluster.awaitConverged("all members converge after the stall", cluster.allMembers());
         cluster.awaitAll(
                 "the stall is counted",
                 Set.of(2),
                 observation -> observation.count("view.stalls") > stallsBefore);
-        assertEquals(incarnation, cluster.latestObservation(2).self(), "the same life");
+        assertEquals(
+                incarnation, cluster.latestObservation(2).self(), "the incarnation stays the same");
         assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept(2));
     }
 
-    /** Waits until each has sent so many more datagrams, which is time as the fleet counts it. */
+    /**
+     * Waits until each member has sent this many more datagrams, which measures time in protocol
+     * activity.
+     */
     private void awaitDatagramsSent(String description, int count) {
         long[] sentBefore =
                 cluster.allMembers().stream()
@@ -188,18 +194,18 @@
     void oneWayCutsMakeNobodyUnreachable() {
         cluster.proxy.setFault(0, 1, FaultInjectingProxy.Fault.CUT);
         cluster.proxy.setFault(3, 2, FaultInjectingProxy.Fault.CUT);
-        awaitDatagramsSent("two ways are cut in one direction", 150);
+        awaitDatagramsSent("datagrams are sent while two links are cut in one direction", 150);
         assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
     }
 
     @Test
     void lossAndReorderingMakeNobodyUnreachable() {
         cluster.proxy.setAllFaults(FaultInjectingProxy.Fault.UNRELIABLE);
-        awaitDatagramsSent("30% lost, 10% doubled, all out of order", 300);
+        awaitDatagramsSent("datagrams are sent with 30% lost, 10% duplicated, all reordered", 300);
         assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
     }
 
-    /** A datagram of that fleet and version with a good checksum, and no word in it. */
+    /** Returns a datagram of this fleet and version with a valid checksum and no message. */
     private static byte[] datagram(String fleet, int major) throws IOException {
         byte[] body = new byte[fleet.length() + 4];
         CodedOutputStream out = CodedOutputStream.newInstance(body);
@@ -216,7 +222,7 @@
         FleetObservation before = cluster.latestObservation(1);
         for (int round = 1;
                 round <= 5;
-                round++) { // a few at once, so that the socket's buffer holds them
+                round++) { // few at a time, so that the socket's buffer holds them
             for (int i = 0; i < 10; i++) {
                 cluster.proxy.sendFromUnknownAddress(
                         1,
@@ -228,7 +234,7 @@
             }
             int datagramsPerReason = round * 10;
             cluster.awaitAll(
-                    "all are counted",
+                    "all dropped datagrams are counted",
                     Set.of(1),
                     observation ->
                             List.of(
@@ -252,10 +258,10 @@
             }
         }
         cluster.awaitAll(
-                "a flood is held down",
+                "a flood is rate limited",
                 Set.of(1),
                 observation -> observation.count("dropped.too_many") > 0);
-        awaitDatagramsSent("life goes on", 20);
+        awaitDatagramsSent("datagrams are still sent", 20);
         assertNeverUnreachable(cluster.allMembers(), cluster.namesExcept());
         assertEquals(digest, cluster.latestObservation(1).valuesByName().get("view.digest"));
         assertFalse(
--- a/src/test/java/junipercourse/multiprocess/InvariantChecker.java
+++ b/src/test/java/junipercourse/multiprocess/InvariantChecker.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Judges a recorded history: what must hold at any time, whatever was cut, stopped or killed. */
+/** Checks a recorded history for invariants that hold under any network and process faults. */
 final class InvariantChecker {
     private static final Set<String> VALID_STATUSES =
             Set.of("alive", "suspect", "unreachable", "left");
@@ -14,10 +14,10 @@
     private InvariantChecker() {}
 
     /**
-     * All that is wrong in a history in the order of time: a name's incarnation that goes back
-     * within one process's view; a process that begins with a life not above its predecessor's; one
-     * that is shown to have left and comes back in the same life; a standing that says more than
-     * can be known.
+     * Returns all violations in a history in chronological order: an incarnation that decreases
+     * within one process's view; a process that starts with an incarnation not above its
+     * predecessor's; a member that has left and returns with the same incarnation; an unknown
+     * status, since a status must not state more than an observer can know.
      */
     static List<String> violations(List<FleetObservation> history) {
         List<String> violations = new ArrayList<>();
@@ -39,7 +39,7 @@
                                 if (previous != null
                                         && member.incarnation() < previous.incarnation()) {
                                     violations.add(
-                                            "a life went back: "
+                                            "incarnation decreased: "
                                                     + name
                                                     + " from "
                                                     + previous
@@ -53,13 +53,14 @@
                                         && previous.status().equals("left")
                                         && !member.status().equals("left")) {
                                     violations.add(
-                                            "a life that had left came back: "
+                                            "incarnation returned after it had left: "
                                                     + name
                                                     + " at "
                                                     + observation);
                                 }
                                 if (!VALID_STATUSES.contains(member.status())) {
-                                    violations.add("no standing: " + member + " at " + observation);
+                                    violations.add(
+                                            "invalid status: " + member + " at " + observation);
                                 }
                             });
             if (observation.self() != 0) {
@@ -70,7 +71,7 @@
                                 ? observation.self() < previous.self()
                                 : observation.self() <= previous.self())) {
                     violations.add(
-                            "an own life that is not above the one before: "
+                            "own incarnation not above the previous one: "
                                     + previous
                                     + ", "
                                     + observation);
@@ -80,7 +81,10 @@
         return violations;
     }
 
-    /** Looks from a time on in which one of these observers calls one of these members so. */
+    /**
+     * Returns the observations from a time on in which one of these observers reports one of these
+     * members with the status.
+     */
     static List<FleetObservation> observationsWithStatus(
             List<FleetObservation> history,
             double startSeconds,
--- a/src/test/java/junipercourse/multiprocess/InvariantCheckerTest.java
+++ b/src/test/java/junipercourse/multiprocess/InvariantCheckerTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The judge fires on forged histories, and lets a good one pass. */
+/** The checker finds each violation in a forged history and accepts a valid one. */
 class InvariantCheckerTest {
     private static FleetObservation observation(
             int observer, int startNumber, long self, String status, long incarnation) {
@@ -29,16 +29,18 @@
     @Test
     void violationsInForgedHistoriesAreFound() {
         assertViolation(
-                "a life went back",
+                "incarnation decreased",
                 observation(0, 1, 5, "alive", 8),
                 observation(0, 1, 5, "alive", 7));
         assertViolation(
-                "a life that had left came back",
+                "incarnation returned after it had left",
                 observation(0, 1, 5, "left", 8),
                 observation(0, 1, 5, "alive", 8));
-        assertViolation("no standing", observation(0, 1, 5, "stopped", 8));
+        assertViolation("invalid status", observation(0, 1, 5, "stopped", 8));
         assertViolation(
-                "an own life", observation(0, 1, 5, "alive", 8), observation(0, 2, 5, "alive", 8));
+                "own incarnation",
+                observation(0, 1, 5, "alive", 8),
+                observation(0, 2, 5, "alive", 8));
         assertEquals(
                 List.of(),
                 InvariantChecker.violations(
