--- a/src/test/java/junipercourse/scale/page/CapacityPage.java
+++ b/src/test/java/junipercourse/scale/page/CapacityPage.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Writes the generated parts of {@code docs/CAPACITY.md} in place, not part of the build: {@code
- * mvn -o -q -B -ntp test -Dtest=CapacityPage -Dcapacity.write=true}. Without the property it prints
- * the page. {@code -Dcapacity.results=FOLDER} takes other results, to look at them; those are never
- * written.
+ * Writes the generated parts of {@code docs/CAPACITY.md} in place, outside the build: {@code mvn -o
+ * -q -B -ntp test -Dtest=CapacityPage -Dcapacity.write=true}. Without the property it prints the
+ * page. {@code -Dcapacity.results=FOLDER} prints the page with the results of another folder and
+ * never writes it.
  */
 class CapacityPage {
     static final Path PAGE = Path.of("docs/CAPACITY.md");
@@ -18,7 +18,7 @@
 
     static Tables tables(Path results) throws IOException {
         Sizing sizing = Sizing.read(ROLES);
-        return new Tables(Measurements.read(results).without(sizing.voided()), sizing);
+        return new Tables(Measurements.read(results).excludeInvalid(sizing.voided()), sizing);
     }
 
     @Test
@@ -26,10 +26,10 @@
         String results = System.getProperty("capacity.results", "");
         Page page = new Page(Files.readString(PAGE));
         if (Boolean.getBoolean("capacity.write") && results.isEmpty()) {
-            Files.writeString(PAGE, page.generated(tables(RESULTS)));
+            Files.writeString(PAGE, page.generate(tables(RESULTS)));
         } else {
             System.out.println(
-                    page.generated(tables(results.isEmpty() ? RESULTS : Path.of(results))));
+                    page.generate(tables(results.isEmpty() ? RESULTS : Path.of(results))));
         }
     }
 }
--- a/src/test/java/junipercourse/scale/page/CapacityPageTest.java
+++ b/src/test/java/junipercourse/scale/page/CapacityPageTest.java
@@ -9,24 +9,22 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/**
- * The page in the repository says what the results in the repository give, and no number besides.
- */
+/** Checks that the committed page matches the committed results and has no other number. */
 class CapacityPageTest {
-    private static final Path OURS = Path.of("src/main/java/junipercourse");
+    private static final Path MAIN_SOURCES = Path.of("src/main/java/junipercourse");
     private static final Pattern NAME = Pattern.compile("`([^`]*)`");
 
     @Test
-    void thePageSaysWhatTheResultsGive() throws IOException {
+    void pageMatchesTheMeasuredResults() throws IOException {
         assertEquals(
                 List.of(),
                 new Page(Files.readString(CapacityPage.PAGE))
                         .faults(CapacityPage.tables(CapacityPage.RESULTS)));
     }
 
-    /** What carries a need is there: a class that is renamed takes the page with it. */
+    /** Guards against a renamed class that the page still names as a mechanism. */
     @Test
-    void everyMechanismIsAPackageOrClassOfOurs() throws IOException {
+    void everyMechanismNamesAnExistingPackageOrClass() throws IOException {
         List<String> missing =
                 Sizing.read(CapacityPage.ROLES).rows().stream()
                         .flatMap(
@@ -36,9 +34,9 @@
                                                 .map(found -> found.group(1)))
                         .filter(
                                 name ->
-                                        !Files.exists(OURS.resolve(name.replace('.', '/')))
+                                        !Files.exists(MAIN_SOURCES.resolve(name.replace('.', '/')))
                                                 && !Files.exists(
-                                                        OURS.resolve(
+                                                        MAIN_SOURCES.resolve(
                                                                 name.replace('.', '/') + ".java")))
                         .distinct()
                         .toList();
--- a/src/test/java/junipercourse/scale/page/Cells.java
+++ b/src/test/java/junipercourse/scale/page/Cells.java
@@ -8,7 +8,7 @@
 import junipercourse.scale.page.Measurements.Point;
 import junipercourse.scale.page.Series.Statistic;
 
-/** Cells and rows of Markdown tables. */
+/** Formats the cells and rows of Markdown tables. */
 final class Cells {
     private Cells() {}
 
@@ -28,7 +28,7 @@
         return head(Arrays.asList(cells));
     }
 
-    /** How many runs, and of how many seeds if a seed was run more than once. */
+    /** Returns the number of seeds, and the number of runs if a seed was run more than once. */
     static String repeats(List<ResultLine> lines) {
         long seeds = lines.stream().mapToLong(ResultLine::seed).distinct().count();
         int runs =
@@ -40,32 +40,32 @@
         return runs > seeds ? runs + " runs of " + text : text;
     }
 
-    /** Median and worst at one size, with the spread of the repeats. */
+    /** Formats median and worst at one size, with the range of the repeated runs' medians. */
     static String point(Point point) {
         if (point == null) {
             return "";
         }
-        if (!point.counts()) {
-            return point.doesNotCount();
+        if (!point.isValid()) {
+            return point.invalidText();
         }
         double median = point.value(Statistic.MEDIAN);
         double worst = point.value(Statistic.WORST);
         StringBuilder cell = new StringBuilder(Units.number(median));
-        if (point.counting().size() > 1) {
+        if (point.validLines().size() > 1) {
             cell.append(" (")
-                    .append(Units.number(point.least(Statistic.MEDIAN)))
+                    .append(Units.number(point.min(Statistic.MEDIAN)))
                     .append(" to ")
-                    .append(Units.number(point.most(Statistic.MEDIAN)))
+                    .append(Units.number(point.max(Statistic.MEDIAN)))
                     .append(')');
         }
         if (worst != median) {
             cell.append(", worst ").append(Units.number(worst));
         }
-        if (!point.others().isEmpty()) {
+        if (!point.invalidLines().isEmpty()) {
             cell.append("; ")
-                    .append(point.others().size())
+                    .append(point.invalidLines().size())
                     .append(" more ")
-                    .append(point.doesNotCount());
+                    .append(point.invalidText());
         }
         return cell.toString();
     }
@@ -76,18 +76,20 @@
         return cells;
     }
 
-    /** What one more costs, and how far the points are from the line. */
-    static String slope(Slope slope, String unit) {
-        if (slope == null) {
+    /**
+     * Formats the cost of one more unit of size, the residual and the exponent of the power law.
+     */
+    static String fitCell(Slope fit, String unit) {
+        if (fit == null) {
             return "none: one size or less";
         }
-        return Units.with(slope.rise(), unit)
+        return Units.with(fit.slope(), unit)
                 + " each"
-                + (Double.isNaN(slope.residual())
+                + (Double.isNaN(fit.residual())
                         ? ", two points"
-                        : ", ± " + Units.number(slope.residual()))
-                + (Double.isNaN(slope.exponent())
+                        : ", ± " + Units.number(fit.residual()))
+                + (Double.isNaN(fit.exponent())
                         ? ""
-                        : ", exponent " + Units.number(slope.exponent()));
+                        : ", exponent " + Units.number(fit.exponent()));
     }
 }
--- a/src/test/java/junipercourse/scale/page/Measurements.java
+++ b/src/test/java/junipercourse/scale/page/Measurements.java
@@ -17,12 +17,12 @@
 import java.util.stream.Stream;
 import junipercourse.scale.page.Series.Statistic;
 
-/** All results, as measured. Numbers come from here alone, and only from lines that count. */
+/** All measured results, the only source of the page's numbers. Only valid lines give numbers. */
 final class Measurements {
     private final List<ResultLine> lines;
     private final Map<Series, TreeMap<Integer, Point>> series = new HashMap<>();
 
-    /** Fails if a series has two units: its numbers could not be compared. */
+    /** Rejects a series with two units, since its numbers cannot be compared. */
     Measurements(List<ResultLine> lines) {
         this.lines = List.copyOf(lines);
         Map<Series, String> units = new HashMap<>();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** All {@code *.jsonl} of a folder; a fault is told with file and line. */
+    /** Reads all {@code *.jsonl} files of a folder; an error names file and line. */
     static Measurements read(Path folder) throws IOException {
         List<ResultLine> all = new ArrayList<>();
         if (Files.isDirectory(folder)) {
@@ -58,78 +58,79 @@
         return new Measurements(all);
     }
 
-    private static void add(List<ResultLine> all, String text, String place) {
+    private static void add(List<ResultLine> all, String text, String location) {
         try {
             if (!text.isBlank()) {
                 all.add(ResultLine.read(text));
             }
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(place + ": " + e.getMessage(), e);
+            throw new IllegalArgumentException(location + ": " + e.getMessage(), e);
         }
     }
 
     /**
-     * Without what turned out to be no measurement: figures that a tool's fault has spoilt, and
-     * calm that was played before the fleet had settled.
+     * Marks results as invalid that are no measurement: metrics that a tool's fault has falsified,
+     * and runs of the calm scenario that began before the fleet had settled.
      */
-    Measurements without(Map<String, String> voided) {
-        List<ResultLine> left = new ArrayList<>();
+    Measurements excludeInvalid(Map<String, String> voided) {
+        List<ResultLine> checked = new ArrayList<>();
         for (ResultLine line : lines) {
-            String why = voided.get(line.suite() + "/" + line.figure() + "/" + line.commit());
+            String voidReason =
+                    voided.get(line.suite() + "/" + line.metric() + "/" + line.commit());
             boolean unsettled =
-                    line.play().equals("calm")
+                    line.scenario().equals("calm")
                             && lines.stream()
                                     .anyMatch(
                                             other ->
-                                                    other.figure().equals("unsettled")
+                                                    other.metric().equals("unsettled")
                                                             && other.median() > 0
-                                                            && other.play().equals("calm")
+                                                            && other.scenario().equals("calm")
                                                             && other.size() == line.size()
                                                             && other.variant()
                                                                     .equals(line.variant())
                                                             && other.commit().equals(line.commit())
                                                             && other.seed() == line.seed());
-            left.add(
-                    !line.counts()
+            checked.add(
+                    !line.isValid()
                             ? line
-                            : why != null
-                                    ? line.not(why)
+                            : voidReason != null
+                                    ? line.asInvalid(voidReason)
                                     : unsettled
-                                            ? line.not(
+                                            ? line.asInvalid(
                                                     "the fleet had not settled when the play began")
                                             : line);
         }
-        return new Measurements(left);
+        return new Measurements(checked);
     }
 
     List<ResultLine> lines() {
         return lines;
     }
 
-    boolean holds(String suite) {
+    boolean hasResults(String suite) {
         return lines.stream().anyMatch(line -> line.suite().equals(suite));
     }
 
-    boolean holdsPlay(String suite, String play) {
+    boolean hasScenario(String suite, String play) {
         return lines.stream()
-                .anyMatch(line -> line.suite().equals(suite) && line.play().equals(play));
+                .anyMatch(line -> line.suite().equals(suite) && line.scenario().equals(play));
     }
 
-    boolean holds(String suite, String figure) {
+    boolean hasResults(String suite, String figure) {
         return lines.stream()
-                .anyMatch(line -> line.suite().equals(suite) && line.figure().equals(figure));
+                .anyMatch(line -> line.suite().equals(suite) && line.metric().equals(figure));
     }
 
-    /** Distinct words of a suite's lines, in the order in which they were measured. */
-    Set<String> distinct(String suite, Function<ResultLine, String> word) {
+    /** Returns the distinct values of a field over a suite's lines, in the order of measurement. */
+    Set<String> distinct(String suite, Function<ResultLine, String> field) {
         Set<String> all = new LinkedHashSet<>();
         lines.stream()
                 .filter(line -> line.suite().equals(suite))
-                .forEach(line -> all.add(word.apply(line)));
+                .forEach(line -> all.add(field.apply(line)));
         return all;
     }
 
-    /** Series of a suite, by the order of the results, then by variant. */
+    /** Returns the distinct series of a suite in the order of the results. */
     List<Series> series(String suite) {
         Set<Series> all = new LinkedHashSet<>();
         lines.stream()
@@ -138,7 +139,7 @@
         return all.stream().toList();
     }
 
-    /** Sizes that a suite was run at, also in lines that do not count. */
+    /** Returns the sizes that a suite was run at, including those of invalid lines. */
     SortedSet<Integer> sizes(String suite) {
         SortedSet<Integer> all = new TreeSet<>();
         lines.stream()
@@ -147,13 +148,13 @@
         return all;
     }
 
-    /** The points of a series by size; none if it was not measured. */
-    Map<Integer, Point> points(Series which) {
-        return series.getOrDefault(which, new TreeMap<>());
+    /** Returns the points of a series by size; empty if it was not measured. */
+    Map<Integer, Point> points(Series key) {
+        return series.getOrDefault(key, new TreeMap<>());
     }
 
-    /** The first of some variants that holds this; null if none does. */
-    Series first(List<String> variants, String suite, String play, String figure) {
+    /** Returns the series of the first variant that has results; null if none has. */
+    Series firstMeasured(List<String> variants, String suite, String play, String figure) {
         return variants.stream()
                 .map(variant -> new Series(suite, play, figure, variant))
                 .filter(series::containsKey)
@@ -161,58 +162,60 @@
                 .orElse(null);
     }
 
-    /** Why nothing of a play counts, by what its runs say; empty if something counts. */
-    String notRun(String suite, String play) {
+    /** Returns why no line of a scenario is valid; empty if one is, or if there are no lines. */
+    String noValidResultText(String suite, String play) {
         List<ResultLine> left =
                 lines.stream()
-                        .filter(line -> line.suite().equals(suite) && line.play().equals(play))
+                        .filter(line -> line.suite().equals(suite) && line.scenario().equals(play))
                         .toList();
-        return left.isEmpty() || left.stream().anyMatch(ResultLine::counts)
+        return left.isEmpty() || left.stream().anyMatch(ResultLine::isValid)
                 ? ""
-                : new Point(List.of(), left).doesNotCount();
+                : new Point(List.of(), left).invalidText();
     }
 
-    String unit(Series which) {
-        return points(which).values().iterator().next().any().unit();
+    String unit(Series key) {
+        return points(key).values().iterator().next().any().unit();
     }
 
-    /** The line through all that counts of a series; null with fewer than two sizes. */
-    Slope slope(Series which, Statistic statistic) {
+    /** Fits a line to all valid lines of a series; null with fewer than two sizes. */
+    Slope fit(Series key, Statistic statistic) {
         List<double[]> all = new ArrayList<>();
-        points(which)
+        points(key)
                 .forEach(
                         (size, point) ->
-                                point.counting()
+                                point.validLines()
                                         .forEach(
                                                 line ->
                                                         all.add(
                                                                 new double[] {
                                                                     size, statistic.of(line)
                                                                 })));
-        return Slope.through(all);
+        return Slope.fitPoints(all);
     }
 
-    /** What was measured of a series at one size: the repeats that count, and those that do not. */
-    record Point(List<ResultLine> counting, List<ResultLine> others) {
+    /** The results of a series at one size: the valid and the invalid repeated runs. */
+    record Point(List<ResultLine> validLines, List<ResultLine> invalidLines) {
         private void add(ResultLine line) {
-            (line.counts() ? counting : others).add(line);
+            (line.isValid() ? validLines : invalidLines).add(line);
         }
 
         ResultLine any() {
-            return counting.isEmpty() ? others.get(0) : counting.get(0);
+            return validLines.isEmpty() ? invalidLines.get(0) : validLines.get(0);
         }
 
-        boolean counts() {
-            return !counting.isEmpty();
+        boolean isValid() {
+            return !validLines.isEmpty();
         }
 
-        /** The median over the repeats' medians, or the worst of their worst. */
+        /**
+         * Returns the median of the repeated runs' medians, or the maximum of their worst values.
+         */
         double value(Statistic statistic) {
-            if (!counts()) {
+            if (!isValid()) {
                 throw new IllegalStateException(
-                        Series.of(any()) + " at " + any().size() + " " + doesNotCount());
+                        Series.of(any()) + " at " + any().size() + " " + invalidText());
             }
-            double[] all = counting.stream().mapToDouble(statistic::of).sorted().toArray();
+            double[] all = validLines.stream().mapToDouble(statistic::of).sorted().toArray();
             if (statistic == Statistic.WORST) {
                 return all[all.length - 1];
             }
@@ -220,18 +223,18 @@
             return all.length % 2 == 1 ? all[middle] : (all[middle - 1] + all[middle]) / 2;
         }
 
-        double least(Statistic statistic) {
-            return counting.stream().mapToDouble(statistic::of).min().orElse(Double.NaN);
+        double min(Statistic statistic) {
+            return validLines.stream().mapToDouble(statistic::of).min().orElse(Double.NaN);
         }
 
-        double most(Statistic statistic) {
-            return counting.stream().mapToDouble(statistic::of).max().orElse(Double.NaN);
+        double max(Statistic statistic) {
+            return validLines.stream().mapToDouble(statistic::of).max().orElse(Double.NaN);
         }
 
-        String doesNotCount() {
+        String invalidText() {
             return "did not count: "
-                    + others.stream()
-                            .map(ResultLine::why)
+                    + invalidLines.stream()
+                            .map(ResultLine::invalidReason)
                             .distinct()
                             .sorted(Comparator.naturalOrder())
                             .reduce((a, b) -> a + "; " + b)
--- a/src/test/java/junipercourse/scale/page/MeasurementsTest.java
+++ b/src/test/java/junipercourse/scale/page/MeasurementsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Results are read strictly; repeats are joined; what does not count gives no number. */
+/** Tests strict parsing, merging of repeated runs and exclusion of invalid results. */
 class MeasurementsTest {
     private static final Series CALM = new Series("fleet", "calm", "bytes_out", "before");
     private static final String GOOD =
@@ -50,7 +50,7 @@
                 "\"play\":\"calm\"=\"play\":\"<!-- end -->\"",
                 "\"seed\":1=\"seed\":1,\"seed\":2"
             })
-    void refusesWhatIsNoResult(String change) {
+    void malformedLineIsRejected(String change) {
         String[] parts = change.split("=", 2);
         assertThrows(
                 IllegalArgumentException.class,
@@ -58,21 +58,21 @@
     }
 
     @Test
-    void aFaultInAFileIsToldWithItsPlace() throws IOException {
+    void errorInAFileNamesFileAndLine() throws IOException {
         Files.writeString(folder.resolve("a.jsonl"), GOOD + "\n\n{}\n");
-        String told =
+        String message =
                 assertThrows(IllegalArgumentException.class, () -> Measurements.read(folder))
                         .getMessage();
-        assertTrue(told.startsWith(folder.resolve("a.jsonl") + ":3: members"), told);
+        assertTrue(message.startsWith(folder.resolve("a.jsonl") + ":3: members"), message);
     }
 
     @Test
-    void aFolderThatIsNotThereHoldsNothing() throws IOException {
+    void missingFolderGivesNoResults() throws IOException {
         assertEquals(List.of(), Measurements.read(folder.resolve("none")).lines());
     }
 
     @Test
-    void repeatsGiveTheMedianOfTheirMediansAndTheWorstOfAll() {
+    void repeatsGiveMedianOfMediansAndWorstOfAll() {
         Point point =
                 new Measurements(
                                 List.of(
@@ -86,11 +86,11 @@
         assertEquals(99, point.value(Statistic.WORST));
         assertEquals(
                 "14 (10 to 30), worst 99; 1 more did not count: cut short", Cells.point(point));
-        assertEquals("3 seeds", Cells.repeats(point.counting()));
+        assertEquals("3 seeds", Cells.repeats(point.validLines()));
     }
 
     @Test
-    void whatDoesNotCountHasNoNumber() {
+    void invalidResultsGiveNoNumber() {
         Measurements results =
                 new Measurements(
                         List.of(
@@ -99,51 +99,52 @@
         Point point = results.points(CALM).get(45);
         assertThrows(IllegalStateException.class, () -> point.value(Statistic.MEDIAN));
         assertEquals("did not count: processor full", Cells.point(point));
-        assertEquals(null, results.slope(CALM, Statistic.MEDIAN));
-        Need need = Need.at(results, CALM, Statistic.MEDIAN, 45);
+        assertEquals(null, results.fit(CALM, Statistic.MEDIAN));
+        Need need = Need.estimate(results, CALM, Statistic.MEDIAN, 45);
         assertEquals("did not count: processor full", need.text());
-        assertEquals(Need.How.NONE, need.how());
+        assertEquals(Need.How.NONE, need.origin());
     }
 
     @Test
-    void whatAToolSpoiltOrWasNotSettledDoesNotCount() {
+    void voidedAndUnsettledResultsAreInvalid() {
         ResultLine calm = ResultLine.read(GOOD);
-        String key = calm.suite() + "/" + calm.figure() + "/" + calm.commit();
-        Measurements spoilt =
-                new Measurements(List.of(calm)).without(Map.of(key, "the meter was wrong"));
+        String key = calm.suite() + "/" + calm.metric() + "/" + calm.commit();
+        Measurements voided =
+                new Measurements(List.of(calm)).excludeInvalid(Map.of(key, "the meter was wrong"));
         assertEquals(
                 "did not count: the meter was wrong",
-                Cells.point(spoilt.points(Series.of(calm)).get(calm.size())));
+                Cells.point(voided.points(Series.of(calm)).get(calm.size())));
         Measurements other =
-                new Measurements(List.of(calm)).without(Map.of("fleet/other/x", "no such"));
-        assertEquals(calm.counts(), other.lines().get(0).counts());
+                new Measurements(List.of(calm)).excludeInvalid(Map.of("fleet/other/x", "no such"));
+        assertEquals(calm.isValid(), other.lines().get(0).isValid());
         ResultLine unsettled =
-                ResultLine.read(GOOD.replace("\"" + calm.figure() + "\"", "\"unsettled\""));
-        Measurements early = new Measurements(List.of(calm, unsettled)).without(Map.of());
-        assertEquals(calm.play().equals("calm"), !early.lines().get(0).counts());
+                ResultLine.read(GOOD.replace("\"" + calm.metric() + "\"", "\"unsettled\""));
+        Measurements early = new Measurements(List.of(calm, unsettled)).excludeInvalid(Map.of());
+        assertEquals(calm.scenario().equals("calm"), !early.lines().get(0).isValid());
     }
 
     @Test
-    void oneSeriesHasOneUnit() {
+    void twoUnitsInOneSeriesAreRejected() {
         ResultLine line = ResultLine.read(GOOD);
         ResultLine other = ResultLine.read(GOOD.replace("B/s", "KB/s"));
         assertThrows(IllegalArgumentException.class, () -> new Measurements(List.of(line, other)));
     }
 
     @Test
-    void measuredAtTheSizeGoesBeforeReckoned() {
+    void measuredValueIsPreferredToExtrapolation() {
         Measurements results =
                 new Measurements(
                         List.of(
                                 Samples.line(45, 1, 100, 100, ""),
                                 Samples.line(90, 1, 200, 200, ""),
                                 Samples.line(720, 1, 500, 500, "")));
-        assertEquals("500 B/s", Need.at(results, CALM, Statistic.MEDIAN, 720).text());
-        assertEquals("at 720, 1 seed", Need.at(results, CALM, Statistic.MEDIAN, 720).step());
+        assertEquals("500 B/s", Need.estimate(results, CALM, Statistic.MEDIAN, 720).text());
+        assertEquals(
+                "at 720, 1 seed", Need.estimate(results, CALM, Statistic.MEDIAN, 720).derivation());
     }
 
     @Test
-    void aReckonedValueSaysSoWithItsStep() {
+    void extrapolatedValueIsMarkedWithItsDerivation() {
         Measurements results =
                 new Measurements(
                         List.of(
@@ -152,15 +153,15 @@
                                 Samples.line(90, 1, 190, 0, ""),
                                 Samples.line(90, 2, 190, 0, ""),
                                 Samples.line(720, 1, 9, 9, "processor full")));
-        Need need = Need.at(results, CALM, Statistic.MEDIAN, 720);
+        Need need = Need.estimate(results, CALM, Statistic.MEDIAN, 720);
         assertEquals("*reckoned* 820 B/s", need.text());
         assertEquals(
                 "from 45 to 90 by the line, 2 seeds; at 720 it did not count: processor full",
-                need.step());
+                need.derivation());
     }
 
     @Test
-    void nothingIsReckonedFromOneSizeNorBelowZero() {
+    void oneSizeOrNegativeValueIsNotExtrapolated() {
         Measurements one =
                 new Measurements(
                         List.of(
@@ -168,7 +169,7 @@
                                 Samples.line(45, 2, 120, 120, "")));
         assertEquals(
                 "not measured (at 45 alone, so there is no slope)",
-                Need.at(one, CALM, Statistic.MEDIAN, 720).text());
+                Need.estimate(one, CALM, Statistic.MEDIAN, 720).text());
         Measurements falling =
                 new Measurements(
                         List.of(
@@ -176,7 +177,7 @@
                                 Samples.line(90, 1, 50, 50, "")));
         assertEquals(
                 "not measured (the line is below zero there)",
-                Need.at(falling, CALM, Statistic.MEDIAN, 720).text());
+                Need.estimate(falling, CALM, Statistic.MEDIAN, 720).text());
     }
 
     @ParameterizedTest
@@ -194,12 +195,12 @@
                 "999.6;1,000"
             },
             delimiter = ';')
-    void numbersHaveThreeDigits(double value, String text) {
+    void numbersAreRoundedToThreeSignificantDigits(double value, String text) {
         assertEquals(text, Units.number(value));
     }
 
     @Test
-    void unitsAreComparedOrRefused() {
+    void incompatibleUnitsAreRejected() {
         assertEquals(4.3, Units.convert(43, "ms/s", "% of a core"), 1e-9);
         assertEquals(6000, Units.convert(6, "KB/s", "B/s"), 1e-9);
         assertEquals(1.048576, Units.convert(1, "MiB", "MB"), 1e-9);
--- a/src/test/java/junipercourse/scale/page/Need.java
+++ b/src/test/java/junipercourse/scale/page/Need.java
@@ -6,18 +6,24 @@
 import junipercourse.scale.page.Series.Statistic;
 
 /**
- * What something needs at the size that is coming, and how that is known.
+ * What a role needs at the target size, and how the value was obtained.
  *
- * @param value NaN unless measured or reckoned
- * @param why what stands in the cell instead of a number
- * @param step how it is known: the sizes, the repeats, the line
- * @param slope through all sizes; null with one alone
+ * @param value NaN unless measured or extrapolated
+ * @param why text of the cell if there is no number
+ * @param derivation how the value was obtained: sizes, repeated runs, fitted line
+ * @param fit line through all sizes; null if there is only one
  */
 record Need(
-        How how, double value, String unit, String why, String step, Series series, Slope slope) {
+        How origin,
+        double value,
+        String unit,
+        String why,
+        String derivation,
+        Series series,
+        Slope fit) {
     enum How {
         MEASURED,
-        RECKONED,
+        EXTRAPOLATED,
         NONE
     }
 
@@ -28,31 +34,31 @@
     }
 
     /**
-     * Measured at that size if it was and counts; else reckoned by the line; else the reason why
-     * not.
+     * Returns the value measured at that size if it is valid; otherwise the value extrapolated by
+     * the fitted line, or the reason why there is none.
      */
-    static Need at(Measurements results, Series series, Statistic statistic, int size) {
+    static Need estimate(Measurements results, Series series, Statistic statistic, int size) {
         if (series == null) {
             return none(NOT_MEASURED, null);
         }
         Map<Integer, Point> points = results.points(series);
-        Slope slope = results.slope(series, statistic);
+        Slope fit = results.fit(series, statistic);
         Point point = points.get(size);
-        if (point != null && point.counts()) {
+        if (point != null && point.isValid()) {
             return new Need(
                     How.MEASURED,
                     point.value(statistic),
                     results.unit(series),
                     "",
-                    "at " + size + ", " + Cells.repeats(point.counting()),
+                    "at " + size + ", " + Cells.repeats(point.validLines()),
                     series,
-                    slope);
+                    fit);
         }
-        String why = point == null ? NOT_MEASURED : point.doesNotCount();
-        if (slope == null) {
+        String why = point == null ? NOT_MEASURED : point.invalidText();
+        if (fit == null) {
             String sizes =
                     points.values().stream()
-                            .filter(Point::counts)
+                            .filter(Point::isValid)
                             .map(each -> String.valueOf(each.any().size()))
                             .findFirst()
                             .orElse(null);
@@ -60,69 +66,79 @@
                     point != null
                             ? why
                             : points.values().stream()
-                                    .filter(each -> !each.counts())
-                                    .map(Point::doesNotCount)
+                                    .filter(each -> !each.isValid())
+                                    .map(Point::invalidText)
                                     .reduce((a, b) -> b)
                                     .orElse(why);
             return none(
                     sizes == null ? last : why + " (at " + sizes + " alone, so there is no slope)",
                     series);
         }
-        if (slope.at(size) < 0) {
+        if (fit.valueAt(size) < 0) {
             return none(why + " (the line is below zero there)", series);
         }
-        String step =
+        String derivation =
                 "from "
-                        + slope.from()
+                        + fit.minSize()
                         + " to "
-                        + slope.to()
+                        + fit.maxSize()
                         + " by the line, "
                         + Cells.repeats(
                                 points.values().stream()
-                                        .flatMap(each -> each.counting().stream())
+                                        .flatMap(each -> each.validLines().stream())
                                         .toList())
-                        + (slope.faster() ? ", a lower bound: it grows faster than a line" : "")
-                        + (point == null ? "" : "; at " + size + " it " + point.doesNotCount());
+                        + (fit.isSuperlinear()
+                                ? ", a lower bound: it grows faster than a line"
+                                : "")
+                        + (point == null ? "" : "; at " + size + " it " + point.invalidText());
         return new Need(
-                How.RECKONED, slope.at(size), results.unit(series), "", step, series, slope);
+                How.EXTRAPOLATED,
+                fit.valueAt(size),
+                results.unit(series),
+                "",
+                derivation,
+                series,
+                fit);
     }
 
-    boolean known() {
-        return how != How.NONE;
+    boolean isKnown() {
+        return origin != How.NONE;
     }
 
-    /** The same, worked on: times how many there are of it, or in another unit. */
-    Need with(DoubleUnaryOperator change, String newUnit, String how2) {
-        if (!known()) {
+    /**
+     * Returns this need with value and line converted: multiplied by a count, or in another unit.
+     */
+    Need transform(DoubleUnaryOperator conversion, String newUnit, String extraDerivation) {
+        if (!isKnown()) {
             return this;
         }
         Slope line =
-                slope == null
+                fit == null
                         ? null
                         : new Slope(
-                                change.applyAsDouble(slope.rise()),
-                                change.applyAsDouble(slope.start()),
-                                change.applyAsDouble(slope.residual()),
-                                slope.exponent(),
-                                slope.from(),
-                                slope.to(),
-                                slope.sizes());
+                                conversion.applyAsDouble(fit.slope()),
+                                conversion.applyAsDouble(fit.intercept()),
+                                conversion.applyAsDouble(fit.residual()),
+                                fit.exponent(),
+                                fit.minSize(),
+                                fit.maxSize(),
+                                fit.sizeCount());
         return new Need(
-                how2.isEmpty() ? how : How.RECKONED,
-                change.applyAsDouble(value),
+                extraDerivation.isEmpty() ? origin : How.EXTRAPOLATED,
+                conversion.applyAsDouble(value),
                 newUnit,
                 why,
-                how2.isEmpty() ? step : step + ", " + how2,
+                extraDerivation.isEmpty() ? derivation : derivation + ", " + extraDerivation,
                 series,
                 line);
     }
 
-    /** The cell: a number, marked if it is reckoned, or why there is none. */
+    /** Returns the text of the cell: a number, marked if extrapolated, or why there is none. */
     String text() {
-        return switch (how) {
+        return switch (origin) {
             case NONE -> why;
             case MEASURED -> Units.with(value, unit);
-            case RECKONED -> "*reckoned* " + Units.with(value, unit);
+            case EXTRAPOLATED -> "*reckoned* " + Units.with(value, unit);
         };
     }
 }
--- a/src/test/java/junipercourse/scale/page/Page.java
+++ b/src/test/java/junipercourse/scale/page/Page.java
@@ -11,11 +11,13 @@
 /**
  * The page's text with its markers. {@code <!-- table NAME -->} to {@code <!-- end -->} and {@code
  * <!--=NAME-->} to {@code <!--/-->} are generated; {@code <!-- stated SOURCE -->} to {@code <!--
- * end -->} holds numbers that somebody stated and nobody measured.
+ * end -->} encloses numbers that were stated, not measured.
  */
 final class Page {
-    /** Who may state numbers: the operators' letter, and defaults in the code or the settings. */
-    private static final List<String> SOURCES = List.of("letter", "settings");
+    /**
+     * Allowed sources of stated numbers: the operators' letter, and defaults in code or settings.
+     */
+    private static final List<String> ALLOWED_SOURCES = List.of("letter", "settings");
 
     private static final Pattern TABLE =
             Pattern.compile("(?s)(<!-- table ([^>]*?) -->\\n)(.*?)(<!-- " + "end -->)");
@@ -29,16 +31,19 @@
         this.text = text;
     }
 
-    /** The page as the results have it; fails if a marker or what it names is not known. */
-    String generated(Tables tables) {
+    /**
+     * Fills the markers from the results; fails if a marker's end is missing or its name is
+     * unknown.
+     */
+    String generate(Tables tables) {
         for (MatchResult found : TABLE.matcher(text).results().toList()) {
             if (MARKER.matcher(found.group(3)).find()) {
                 throw new IllegalArgumentException(
                         "table " + found.group(2) + ": its end is missing");
             }
         }
-        String all = replace(TABLE, text, found -> tables.table(found.group(2)));
-        return replace(INLINE, all, found -> tables.inline(found.group(2)));
+        String withTables = replace(TABLE, text, found -> tables.table(found.group(2)));
+        return replace(INLINE, withTables, found -> tables.inlineValue(found.group(2)));
     }
 
     private static String replace(
@@ -50,14 +55,14 @@
                                         found.group(1) + value.apply(found) + found.group(4)));
     }
 
-    /** All that is wrong with the page, by the results; none if it may stand. */
+    /** Returns all differences between page and results and all misplaced markers and numbers. */
     List<String> faults(Tables tables) {
         List<String> faults = new ArrayList<>();
         compare(TABLE, tables::table, "table ", faults);
-        compare(INLINE, tables::inline, "value ", faults);
+        compare(INLINE, tables::inlineValue, "value ", faults);
         for (MatchResult found : STATED.matcher(text).results().toList()) {
-            if (!SOURCES.contains(found.group(1))) {
-                faults.add("stated by " + found.group(1) + ", who is none of " + SOURCES);
+            if (!ALLOWED_SOURCES.contains(found.group(1))) {
+                faults.add("stated by " + found.group(1) + ", who is none of " + ALLOWED_SOURCES);
             }
             if (MARKER.matcher(found.group(2)).find()) {
                 faults.add(
@@ -88,7 +93,7 @@
         }
     }
 
-    /** What stands outside all markers. */
+    /** Returns the text outside all markers. */
     private String prose() {
         String rest = text;
         for (Pattern pattern : List.of(TABLE, STATED, INLINE)) {
--- a/src/test/java/junipercourse/scale/page/PageTest.java
+++ b/src/test/java/junipercourse/scale/page/PageTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A page of sample results, and forged ones: each forgery is told. */
+/** Tests that a generated page has no faults and that every alteration is reported. */
 class PageTest {
     private static final String EMPTY =
             """
@@ -42,7 +42,7 @@
             """;
 
     private static String page() throws IOException {
-        return new Page(EMPTY).generated(Samples.tables());
+        return new Page(EMPTY).generate(Samples.tables());
     }
 
     private static List<String> faults(String page) throws IOException {
@@ -50,9 +50,9 @@
     }
 
     @Test
-    void theGeneratedPageStandsAndIsTheSameAgain() throws IOException {
+    void generatedPageHasNoFaultsAndIsStable() throws IOException {
         assertEquals(List.of(), faults(page()));
-        assertEquals(page(), new Page(page()).generated(Samples.tables()));
+        assertEquals(page(), new Page(page()).generate(Samples.tables()));
         assertTrue(
                 page().contains(
                                 "At <!--=target.members-->720<!--/--> the least is"
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void thePageBeforeItIsWrittenIsRefused() throws IOException {
+    void pageWithoutGeneratedValuesIsRejected() throws IOException {
         assertTrue(faults(EMPTY).contains("table roles is not what the results give"));
         assertTrue(faults(EMPTY).contains("value least.factor is not what the results give"));
     }
@@ -92,60 +92,60 @@
                 "6 KB a second;6 KB <!--=target.members-->720<!--/-->;stated by letter: a marker"
                         + " stands in it.*"
             })
-    void aForgedPageIsRefused(String from, String to, String fault) throws IOException {
+    void alteredPageIsRejected(String from, String to, String fault) throws IOException {
         assertTrue(page().contains(from), from);
-        List<String> told = faults(page().replace(from, to));
-        assertTrue(told.stream().anyMatch(each -> each.matches(fault)), told.toString());
+        List<String> found = faults(page().replace(from, to));
+        assertTrue(found.stream().anyMatch(each -> each.matches(fault)), found.toString());
     }
 
     @Test
-    void aMissingResultIsRefused() throws IOException {
+    void removedResultIsReported() throws IOException {
         List<ResultLine> lines = new ArrayList<>(Samples.lines());
         assertTrue(
                 lines.removeIf(
                         line ->
-                                line.play().equals("cut")
+                                line.scenario().equals("cut")
                                         && line.size() == 90
-                                        && line.figure().equals("bytes_out")));
-        List<String> told = new Page(page()).faults(Samples.tables(lines));
+                                        && line.metric().equals("bytes_out")));
+        List<String> found = new Page(page()).faults(Samples.tables(lines));
         assertTrue(
-                told.contains("table fleet bytes_out is not what the results give"),
-                told.toString());
+                found.contains("table fleet bytes_out is not what the results give"),
+                found.toString());
     }
 
     @Test
-    void aTableWhoseFigureIsGoneFromTheResultsIsRefused() throws IOException {
+    void tableOfAMetricWithoutResultsIsReported() throws IOException {
         List<ResultLine> lines = new ArrayList<>(Samples.lines());
-        assertTrue(lines.removeIf(line -> line.figure().equals("cpu")));
-        List<String> told = new Page(page()).faults(Samples.tables(lines));
+        assertTrue(lines.removeIf(line -> line.metric().equals("cpu")));
+        List<String> found = new Page(page()).faults(Samples.tables(lines));
         assertTrue(
-                told.contains("table roles: the results of fleet hold no figure cpu"),
-                told.toString());
+                found.contains("table roles: the results of fleet hold no figure cpu"),
+                found.toString());
     }
 
-    /** A play that is not there is a misspelt name or a gap: either is to be said. */
+    /** A scenario without results is a misspelt name or a gap; either must be reported. */
     @Test
-    void aPlayThatWasNotRunNeedsItsReason() throws IOException {
+    void scenarioNotRunRequiresAReason() throws IOException {
         assertTrue(
                 Samples.row(Samples.tables().table("roles"), "| zone |")
                         .contains("not measured: the sample left it out"));
         Sizing without =
                 Sizing.read(Samples.rolesText().replace("fleet/zone_lost", "fleet/zone_back"));
-        String told =
+        String message =
                 assertThrows(
                                 IllegalArgumentException.class,
                                 () ->
                                         new Tables(new Measurements(Samples.lines()), without)
                                                 .table("roles"))
                         .getMessage();
-        assertTrue(told.startsWith("the results of fleet hold no play zone_lost"), told);
+        assertTrue(message.startsWith("the results of fleet hold no play zone_lost"), message);
     }
 
-    /** A tool that is cut short leaves a line that does not count in the figure's place. */
+    /** An interrupted tool writes an invalid line instead of the metric. */
     @Test
-    void aPlayThatWasCutShortShowsItsReason() throws IOException {
+    void interruptedScenarioShowsItsReason() throws IOException {
         List<ResultLine> lines = new ArrayList<>(Samples.lines());
-        assertTrue(lines.removeIf(line -> line.play().equals("cut")));
+        assertTrue(lines.removeIf(line -> line.scenario().equals("cut")));
         lines.add(
                 new ResultLine(
                         "fleet",
@@ -188,23 +188,23 @@
     }
 
     @Test
-    void aTableWithoutEndTakesNoProseWithIt() throws IOException {
+    void tableWithoutEndMarkerIsRejected() throws IOException {
         String page = page().replaceFirst("(?s)(<!-- table roles -->.*?)<!-- end -->", "$1");
         assertFalse(faults(page).isEmpty());
         assertThrows(
-                IllegalArgumentException.class, () -> new Page(page).generated(Samples.tables()));
+                IllegalArgumentException.class, () -> new Page(page).generate(Samples.tables()));
     }
 
     @Test
-    void whatDoesNotCountIsNowhereAsANumber() throws IOException {
+    void invalidResultsAppearNowhereAsNumbers() throws IOException {
         assertFalse(page().matches("(?s).*(99[,.]?9|100,000|77[,.]?[78]).*"), page());
         assertTrue(page().contains("did not count: processor full"));
         assertTrue(page().contains("did not count: cut short"));
     }
 
     @Test
-    void withoutResultsEveryCellSaysSo() throws IOException {
-        String page = new Page(EMPTY).generated(Samples.tables(List.of()));
+    void cellsWithoutResultsSayNotMeasured() throws IOException {
+        String page = new Page(EMPTY).generate(Samples.tables(List.of()));
         assertTrue(
                 page.contains("<!-- table fleet bytes_out -->\nnot measured\n<!-- end -->"), page);
         assertTrue(page.contains("<!--=least.factor-->not measured<!--/-->"), page);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void theRolesNameRunStepBudgetFactorAndWhereItBreaks() throws IOException {
+    void roleRowsNameRunDerivationBudgetFactorAndLimit() throws IOException {
         String table = Samples.tables().table("roles");
         assertEquals(
                 "| control | cut | *reckoned* 108 KB/s | fleet/cut/bytes_out (before) from 45 to"
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void whatIsMissingIsOrderedByTheFactorLeft() throws IOException {
+    void missingTableIsOrderedByRemainingFactor() throws IOException {
         List<String> rows =
                 Samples.tables()
                         .table("missing")
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void witnessesThatDifferByOverAFifthAreMarkedWithTheReason() throws IOException {
+    void witnessRatiosOverAFifthApartAreMarkedWithTheReason() throws IOException {
         String table = Samples.tables().table("witness");
         assertTrue(Samples.row(table, "| 45 |").endsWith("| 1 |  |"), table);
         assertTrue(
@@ -295,7 +295,7 @@
     }
 
     @Test
-    void aFaultNamesCostTimeAndWhatClientsSee() throws IOException {
+    void faultRowNamesCostDurationAndClientImpact() throws IOException {
         assertEquals(
                 "| regions apart | 2 a year | *reckoned* 144,000 B/s (from 45 to 360 by the line, 1"
                     + " seed) | not measured (at 360 alone, so there is no slope) | not measured"
@@ -313,7 +313,7 @@
                 "\"what\": \"cut\"=\"need\": \"cut\"",
                 "\"seen\": \"nothing\"=\"seen\": \"2 s\""
             })
-    void rolesWithTypedNumbersOrUnknownNamesAreRefused(String change) throws IOException {
+    void rolesWithTypedNumbersOrUnknownNamesAreRejected(String change) throws IOException {
         String[] parts = change.split("=", 2);
         String text = Samples.rolesText();
         assertTrue(text.contains(parts[0]), parts[0]);
--- a/src/test/java/junipercourse/scale/page/Prose.java
+++ b/src/test/java/junipercourse/scale/page/Prose.java
@@ -3,11 +3,10 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Finds numbers that somebody typed: those that come from no result and from no named source. */
+/** Finds hand-typed numbers, which come from no result and no named source. */
 final class Prose {
     /**
-     * What names things and tells no size: code, links, comments, headings' and lists' numbers,
-     * issues.
+     * Text whose digits are no quantity: code, links, comments, numbers of list items and issues.
      */
     private static final Pattern NAMES =
             Pattern.compile(
--- a/src/test/java/junipercourse/scale/page/ResultLine.java
+++ b/src/test/java/junipercourse/scale/page/ResultLine.java
@@ -9,30 +9,29 @@
 import java.util.TreeSet;
 
 /**
- * One figure as a measuring tool wrote it: a line of {@code docs/capacity/*.jsonl}.
+ * One metric as written by a measuring tool: a line of {@code docs/capacity/*.jsonl}.
  *
- * @param size what grows in this play
- * @param median over {@code count} members or repeats; NaN in a line that does not count and gives
- *     none
- * @param counts false where the machine was the bound or the run was cut short
- * @param why the cause, if it does not count
+ * @param size the quantity that the scenario scales
+ * @param median over {@code count} members or repeated runs; NaN in an invalid line without a value
+ * @param isValid false if the machine was the bottleneck or the run was interrupted
+ * @param invalidReason why the line is invalid
  */
 record ResultLine(
         String suite,
-        String play,
+        String scenario,
         int size,
         String variant,
         long seed,
         String day,
         String commit,
         String machine,
-        String figure,
+        String metric,
         String unit,
         double median,
         double worst,
         int count,
-        boolean counts,
-        String why) {
+        boolean isValid,
+        String invalidReason) {
     static final List<String> SUITES = List.of("fleet", "world", "serving", "module");
     private static final Set<String> MEMBERS =
             Set.of(
@@ -46,15 +45,15 @@
         if (size < 0) {
             throw new IllegalArgumentException("size: " + size + " is below 0");
         }
-        if (counts && (!Double.isFinite(median) || !Double.isFinite(worst))) {
+        if (isValid && (!Double.isFinite(median) || !Double.isFinite(worst))) {
             throw new IllegalArgumentException("median, worst: a line that counts has numbers");
         }
-        if (!counts && why.isBlank()) {
+        if (!isValid && invalidReason.isBlank()) {
             throw new IllegalArgumentException("why: a line that does not count says why");
         }
     }
 
-    /** Fails with IllegalArgumentException that names the member at fault. */
+    /** Parses a line; throws an IllegalArgumentException that names the wrong field. */
     static ResultLine read(String json) {
         try {
             JsonObject line = Json.parse(json).asObject();
@@ -86,11 +85,11 @@
         }
     }
 
-    /** The same line, which does not count. */
-    ResultLine not(String reason) {
+    /** Returns this line marked as invalid. */
+    ResultLine asInvalid(String reason) {
         return new ResultLine(
-                suite, play, size, variant, seed, day, commit, machine, figure, unit, median, worst,
-                count, false, reason);
+                suite, scenario, size, variant, seed, day, commit, machine, metric, unit, median,
+                worst, count, false, reason);
     }
 
     private static String text(JsonObject line, String name) {
--- a/src/test/java/junipercourse/scale/page/RoleRows.java
+++ b/src/test/java/junipercourse/scale/page/RoleRows.java
@@ -6,7 +6,7 @@
 import junipercourse.scale.page.Sizing.Budget;
 import junipercourse.scale.page.Sizing.Row;
 
-/** What each role needs at the size that is coming, held against what it may spend. */
+/** Compares the need of each role at the target size with its budget. */
 final class RoleRows {
     private final Measurements results;
     private final Sizing sizing;
@@ -17,12 +17,12 @@
     }
 
     /**
-     * A row with its need.
+     * A row with its need and budget.
      *
-     * @param factor budget over need; NaN if one of the two is not known
+     * @param factor budget divided by need; NaN if one of the two is unknown
      */
-    record Answer(Row row, Need need, Budget budget, double factor, String breaks) {
-        boolean known() {
+    record Answer(Row row, Need need, Budget budget, double factor, String limit) {
+        boolean isKnown() {
             return !Double.isNaN(factor);
         }
     }
@@ -30,22 +30,22 @@
     List<Answer> all() {
         List<Answer> all = new ArrayList<>();
         for (Row row : sizing.rows()) {
-            all.add(answer(row));
+            all.add(evaluate(row));
         }
         return all;
     }
 
-    /** Those with a budget, the least factor left first; then those that nobody has measured. */
+    /** Returns the rows with a budget by ascending factor, those not measured last. */
     List<Answer> byFactor() {
         return all().stream()
                 .filter(each -> each.budget() != null)
                 .sorted(
                         Comparator.comparingDouble(
-                                each -> each.known() ? each.factor() : Double.MAX_VALUE))
+                                each -> each.isKnown() ? each.factor() : Double.MAX_VALUE))
                 .toList();
     }
 
-    private Answer answer(Row row) {
+    private Answer evaluate(Row row) {
         Budget budget = sizing.budgets().get(row.budget());
         if (row.ref() == null) {
             return new Answer(
@@ -60,34 +60,37 @@
                     "");
         }
         Need need = sizing.need(results, row.ref());
-        if (budget == null || !need.known()) {
+        if (budget == null || !need.isKnown()) {
             return new Answer(row, need, budget, Double.NaN, "");
         }
         String unit = need.unit();
-        Need held =
-                need.with(value -> Units.convert(value, unit, budget.unit()), budget.unit(), "");
-        String counted = sizing.counted(row.ref().suite(), row.ref().play());
+        Need converted =
+                need.transform(
+                        value -> Units.convert(value, unit, budget.unit()), budget.unit(), "");
+        String counted = sizing.sizeUnit(row.ref().suite(), row.ref().scenario());
         return new Answer(
                 row,
-                held,
+                converted,
                 budget,
-                held.value() > 0 ? budget.value() / held.value() : Double.POSITIVE_INFINITY,
-                breaks(held, budget, counted));
+                converted.value() > 0
+                        ? budget.value() / converted.value()
+                        : Double.POSITIVE_INFINITY,
+                limitText(converted, budget, counted));
     }
 
-    private static String breaks(Need need, Budget budget, String counted) {
-        if (need.slope() == null) {
+    private static String limitText(Need need, Budget budget, String counted) {
+        if (need.fit() == null) {
             return "not reckoned: one size";
         }
-        double size = need.slope().meets(budget.value());
+        double size = need.fit().sizeAtValue(budget.value());
         if (Double.isNaN(size)) {
             return "does not grow";
         }
-        if (size < need.slope().from()) {
-            return "under " + need.slope().from() + " " + counted + ", the least that was run";
+        if (size < need.fit().minSize()) {
+            return "under " + need.fit().minSize() + " " + counted + ", the least that was run";
         }
         return "*reckoned* "
-                + (need.slope().faster() ? "at most " : "")
+                + (need.fit().isSuperlinear() ? "at most " : "")
                 + Units.number(size)
                 + " "
                 + counted;
@@ -119,12 +122,12 @@
                             each.row().role(),
                             each.row().what(),
                             text,
-                            need.series() == null ? "" : need.series() + " " + need.step(),
-                            need.known() ? Cells.slope(need.slope(), need.unit()) : "",
+                            need.series() == null ? "" : need.series() + " " + need.derivation(),
+                            need.isKnown() ? Cells.fitCell(need.fit(), need.unit()) : "",
                             each.row().mechanism(),
                             budget(each),
                             factor(each),
-                            each.breaks()));
+                            each.limit()));
         }
         return table.toString();
     }
@@ -145,20 +148,20 @@
         for (Answer each : byFactor()) {
             table.append(
                     Cells.row(
-                            each.known() ? String.valueOf(++order) : "",
+                            each.isKnown() ? String.valueOf(++order) : "",
                             each.row().role(),
                             each.row().what(),
                             each.need().text(),
                             budget(each),
                             factor(each),
-                            each.breaks(),
+                            each.limit(),
                             each.row().mechanism()));
         }
         return table.toString();
     }
 
     static String factor(Answer each) {
-        if (!each.known()) {
+        if (!each.isKnown()) {
             return each.budget() == null ? "" : Need.NOT_MEASURED;
         }
         String text =
--- a/src/test/java/junipercourse/scale/page/Samples.java
+++ b/src/test/java/junipercourse/scale/page/Samples.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Made-up results that only tests read: no page shows them. */
+/** Invented results for tests; no page shows them. */
 final class Samples {
     private static final Path FOLDER = Path.of("src/test/resources/capacity");
 
@@ -32,7 +32,7 @@
         return Files.readString(FOLDER.resolve("sample-roles.json"));
     }
 
-    /** A result of the calm play; {@code why} is empty if it counts. */
+    /** Creates a result of the calm scenario; it is valid if {@code why} is empty. */
     static ResultLine line(int size, long seed, double median, double worst, String why) {
         return new ResultLine(
                 "fleet",
@@ -52,7 +52,7 @@
                 why);
     }
 
-    /** The row of a table whose cells hold all these texts. */
+    /** Returns the only row of a table that contains all these texts. */
     static String row(String table, String... texts) {
         List<String> rows =
                 table.lines().filter(row -> Stream.of(texts).allMatch(row::contains)).toList();
--- a/src/test/java/junipercourse/scale/page/Series.java
+++ b/src/test/java/junipercourse/scale/page/Series.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** What is measured over sizes: one figure of one play, in one variant of the code. */
-record Series(String suite, String play, String figure, String variant) {
-    /** Which of a line's two numbers. */
+/** Identifies what is measured over sizes: a metric of a scenario in a variant of the code. */
+record Series(String suite, String scenario, String metric, String variant) {
+    /** Selects one of the two numbers of a line. */
     enum Statistic {
         MEDIAN,
         WORST;
@@ -19,11 +19,11 @@
     }
 
     static Series of(ResultLine line) {
-        return new Series(line.suite(), line.play(), line.figure(), line.variant());
+        return new Series(line.suite(), line.scenario(), line.metric(), line.variant());
     }
 
     @Override
     public String toString() {
-        return suite + "/" + play + "/" + figure + " (" + variant + ")";
+        return suite + "/" + scenario + "/" + metric + " (" + variant + ")";
     }
 }
--- a/src/test/java/junipercourse/scale/page/Sizing.java
+++ b/src/test/java/junipercourse/scale/page/Sizing.java
@@ -15,16 +15,17 @@
 import junipercourse.scale.page.Series.Statistic;
 
 /**
- * {@code docs/capacity/roles.json}: which figure stands for which need of which role, the budgets
- * and the size that is coming. It holds no measured number.
+ * {@code docs/capacity/roles.json}: which metric stands for which need of which role, the budgets
+ * and the target sizes. It contains no measured number.
  *
- * @param targets how many there are of what, by the letter
- * @param sizes the target that a play's size is counted in, by {@code suite/play} or {@code suite}
- * @param variants of the code, the one that the roles' table shows first
- * @param differences why real sockets and the virtual world differ, by {@code play/figure}
- * @param notRun why a play was not run, by {@code suite/play}
- * @param voided why a figure does not count, by {@code suite/figure/commit}: a tool's fault that
- *     was found after the run
+ * @param targets target counts by name, as the letter states them
+ * @param sizes the target that a scenario's size is counted in, by {@code suite/play} or {@code
+ *     suite}
+ * @param variants of the code, the one preferred in the roles' table first
+ * @param differences why real sockets and the simulation differ, by {@code play/figure}
+ * @param notRun why a scenario was not run, by {@code suite/play}
+ * @param voided why a metric is invalid, by {@code suite/figure/commit}: a tool's fault that was
+ *     found after the run
  */
 record Sizing(
         Map<String, Integer> targets,
@@ -36,12 +37,12 @@
         Map<String, String> differences,
         Map<String, String> notRun,
         Map<String, String> voided) {
-    /** What may be spent; {@code source} says who set it. */
+    /** The limit of a need; {@code source} names who set it. */
     record Budget(double value, String unit, String source) {}
 
     /**
-     * One need of a role; without {@code ref} nothing can be measured yet, and {@code why} says
-     * why.
+     * One need of a role; without {@code ref} it cannot be measured yet, for the reason {@code
+     * why}.
      */
     record Row(
             String role,
@@ -52,13 +53,18 @@
             String mechanism,
             String why) {}
 
-    /** A figure of a play; {@code times} names the target it is multiplied by, or is empty. */
-    record Ref(String suite, String play, String figure, Statistic statistic, String times) {}
+    /**
+     * A metric of a scenario; {@code multiplier} names the target it is multiplied by, or is empty.
+     */
+    record Ref(
+            String suite, String scenario, String metric, Statistic statistic, String multiplier) {}
 
-    /** A fault and the play that measures it. {@code often} is the letter's word. */
-    record Fault(String name, String often, String play, String seen) {}
+    /** A fault and the scenario that measures it. {@code frequency} is quoted from the letter. */
+    record Fault(String name, String frequency, String scenario, String clientImpact) {}
 
-    /** Words of a row or fault are prose: a number there would be a typed one. */
+    /**
+     * Rejects numbers in the texts of a row or fault, which would be neither measured nor sourced.
+     */
     Sizing {
         for (Row row : rows) {
             for (String text :
@@ -78,14 +84,14 @@
                 throw new IllegalArgumentException("roles.json: unknown budget " + row.budget());
             }
             if (row.ref() != null
-                    && !row.ref().times().isEmpty()
-                    && !targets.containsKey(row.ref().times())) {
+                    && !row.ref().multiplier().isEmpty()
+                    && !targets.containsKey(row.ref().multiplier())) {
                 throw new IllegalArgumentException(
-                        "roles.json: unknown target " + row.ref().times());
+                        "roles.json: unknown target " + row.ref().multiplier());
             }
         }
         for (Fault fault : faults) {
-            if (!Prose.typedNumbers(fault.name() + " " + fault.seen()).isEmpty()) {
+            if (!Prose.typedNumbers(fault.name() + " " + fault.clientImpact()).isEmpty()) {
                 throw new IllegalArgumentException(
                         "roles.json: typed number in fault " + fault.name());
             }
@@ -111,23 +117,25 @@
                         all,
                         "budgets",
                         value -> {
-                            JsonObject budget = only(value, Set.of("value", "unit", "source"));
+                            JsonObject budget =
+                                    requireFields(value, Set.of("value", "unit", "source"));
                             return new Budget(
                                     budget.get("value").asDouble(),
-                                    word(budget, "unit"),
-                                    word(budget, "source"));
+                                    stringField(budget, "unit"),
+                                    stringField(budget, "source"));
                         }),
                 list(all, "rows", Sizing::row),
                 list(
                         all,
                         "faults",
                         value -> {
-                            JsonObject fault = only(value, Set.of("name", "often", "play", "seen"));
+                            JsonObject fault =
+                                    requireFields(value, Set.of("name", "often", "play", "seen"));
                             return new Fault(
-                                    word(fault, "name"),
-                                    word(fault, "often"),
-                                    word(fault, "play"),
-                                    word(fault, "seen"));
+                                    stringField(fault, "name"),
+                                    stringField(fault, "often"),
+                                    stringField(fault, "play"),
+                                    stringField(fault, "seen"));
                         }),
                 map(all, "differences", JsonValue::asString),
                 map(all, "not_run", JsonValue::asString),
@@ -136,7 +144,7 @@
 
     private static Row row(JsonValue value) {
         JsonObject row =
-                only(
+                requireFields(
                         value,
                         Set.of(
                                 "role",
@@ -154,26 +162,26 @@
                 row.get("suite") == null
                         ? null
                         : new Ref(
-                                word(row, "suite"),
-                                word(row, "play"),
-                                word(row, "figure"),
+                                stringField(row, "suite"),
+                                stringField(row, "play"),
+                                stringField(row, "figure"),
                                 Statistic.named(row.getString("statistic", "median")),
-                                word(row, "times"));
+                                stringField(row, "times"));
         return new Row(
-                word(row, "role"),
-                word(row, "what"),
-                word(row, "text"),
+                stringField(row, "role"),
+                stringField(row, "what"),
+                stringField(row, "text"),
                 ref,
-                word(row, "budget"),
-                word(row, "mechanism"),
-                word(row, "why"));
+                stringField(row, "budget"),
+                stringField(row, "mechanism"),
+                stringField(row, "why"));
     }
 
-    private static String word(JsonObject object, String name) {
+    private static String stringField(JsonObject object, String name) {
         return object.getString(name, "");
     }
 
-    private static JsonObject only(JsonValue value, Set<String> names) {
+    private static JsonObject requireFields(JsonValue value, Set<String> names) {
         for (String name : value.asObject().names()) {
             if (!names.contains(name)) {
                 throw new IllegalArgumentException("roles.json: " + name + " is none of " + names);
@@ -197,13 +205,13 @@
         return list;
     }
 
-    /** How large a play gets. */
+    /** Returns the target size of a scenario. */
     int target(String suite, String play) {
-        return targets.get(counted(suite, play));
+        return targets.get(sizeUnit(suite, play));
     }
 
-    /** What a play's size counts; fails if the file does not say. */
-    String counted(String suite, String play) {
+    /** Returns the target that a scenario's size is counted in; fails if the file names none. */
+    String sizeUnit(String suite, String play) {
         String counted = sizes.getOrDefault(suite + "/" + play, sizes.get(suite));
         if (counted == null) {
             throw new IllegalArgumentException(
@@ -213,18 +221,18 @@
     }
 
     /**
-     * What a figure comes to at the target. Without any result of the suite it is "not measured"; a
-     * figure or play that its results do not hold is refused, since nobody would notice a misspelt
-     * name otherwise.
+     * Returns the value of a metric at the target size. Without any result of the suite it is "not
+     * measured"; a metric or scenario that its results lack is rejected, since a misspelt name
+     * would go unnoticed otherwise.
      */
     Need need(Measurements results, Ref ref) {
-        return need(results, ref, target(ref.suite(), ref.play()));
+        return need(results, ref, target(ref.suite(), ref.scenario()));
     }
 
-    /** The same at any size. */
+    /** Returns the value of a metric at any size. */
     Need need(Measurements results, Ref ref, int size) {
-        String key = ref.suite() + "/" + ref.play();
-        if (results.holds(ref.suite()) && !results.holdsPlay(ref.suite(), ref.play())) {
+        String key = ref.suite() + "/" + ref.scenario();
+        if (results.hasResults(ref.suite()) && !results.hasScenario(ref.suite(), ref.scenario())) {
             if (notRun.containsKey(key)) {
                 return Need.none(Need.NOT_MEASURED + ": " + notRun.get(key), null);
             }
@@ -232,34 +240,37 @@
                     "the results of "
                             + ref.suite()
                             + " hold no play "
-                            + ref.play()
+                            + ref.scenario()
                             + "; if it was not run, say why under not_run in roles.json");
         }
-        String left = results.notRun(ref.suite(), ref.play());
+        String left = results.noValidResultText(ref.suite(), ref.scenario());
         if (!left.isEmpty()) {
             return Need.none(left, null);
         }
-        if (results.holds(ref.suite()) && !results.holds(ref.suite(), ref.figure())) {
+        if (results.hasResults(ref.suite()) && !results.hasResults(ref.suite(), ref.metric())) {
             throw new IllegalArgumentException(
-                    "the results of " + ref.suite() + " hold no figure " + ref.figure());
+                    "the results of " + ref.suite() + " hold no figure " + ref.metric());
         }
         Need need =
-                Need.at(
+                Need.estimate(
                         results,
-                        results.first(variants, ref.suite(), ref.play(), ref.figure()),
+                        results.firstMeasured(variants, ref.suite(), ref.scenario(), ref.metric()),
                         ref.statistic(),
                         size);
-        if (ref.times().isEmpty() || !need.known()) {
+        if (ref.multiplier().isEmpty() || !need.isKnown()) {
             return need;
         }
-        int times = targets.get(ref.times());
+        int times = targets.get(ref.multiplier());
         String each =
                 need.unit()
                         .replaceAll(
                                 "( a | per |/)(query|connection|engine|attempt|member|event)$", "");
-        return need.with(
+        return need.transform(
                 value -> value * times,
-                ref.times().endsWith("_per_s") ? each + "/s" : each,
-                "times " + Units.number(times) + " " + ref.times().replace("_per_s", " a second"));
+                ref.multiplier().endsWith("_per_s") ? each + "/s" : each,
+                "times "
+                        + Units.number(times)
+                        + " "
+                        + ref.multiplier().replace("_per_s", " a second"));
     }
 }
--- a/src/test/java/junipercourse/scale/page/Slope.java
+++ b/src/test/java/junipercourse/scale/page/Slope.java
@@ -3,30 +3,35 @@
 import java.util.List;
 
 /**
- * The least-squares line through points of at least two sizes.
+ * A least-squares line through points of at least two sizes.
  *
- * @param rise what one more of the size adds
- * @param start the line at size 0
- * @param residual root of the mean square of what the line misses, with two degrees of freedom
- *     taken; NaN if there are just two points, which any line meets
- * @param exponent of the power law, by a line through the logarithms; NaN if a size or value is not
- *     above 0
- * @param from least size
- * @param to greatest size
- * @param sizes how many sizes
+ * @param slope increase per unit of size
+ * @param intercept value at size 0
+ * @param residual residual standard error with two degrees of freedom subtracted; NaN with just two
+ *     points, which the line meets exactly
+ * @param exponent of the power law, fitted to the logarithms; NaN if a size or value is not above 0
+ * @param minSize smallest size
+ * @param maxSize largest size
+ * @param sizeCount number of distinct sizes
  */
 record Slope(
-        double rise, double start, double residual, double exponent, int from, int to, int sizes) {
-    /** From here on a line is too low: the page says that it is a lower bound. */
-    private static final double FASTER = 1.2;
+        double slope,
+        double intercept,
+        double residual,
+        double exponent,
+        int minSize,
+        int maxSize,
+        int sizeCount) {
+    /** Above this exponent a line underestimates, and the page calls the value a lower bound. */
+    private static final double SUPERLINEAR_EXPONENT = 1.2;
 
-    /** Through pairs of size and value; null with fewer than two sizes. */
-    static Slope through(List<double[]> points) {
+    /** Fits pairs of size and value; null with fewer than two sizes. */
+    static Slope fitPoints(List<double[]> points) {
         int sizes = (int) points.stream().mapToDouble(point -> point[0]).distinct().count();
         if (sizes < 2) {
             return null;
         }
-        double[] line = line(points);
+        double[] line = leastSquares(points);
         double squares =
                 points.stream()
                         .mapToDouble(point -> Math.pow(point[1] - line[1] - line[0] * point[0], 2))
@@ -36,7 +41,7 @@
         double exponent =
                 points.stream().anyMatch(point -> point[0] <= 0 || point[1] <= 0)
                         ? Double.NaN
-                        : line(
+                        : leastSquares(
                                 points.stream()
                                         .map(
                                                 point ->
@@ -54,28 +59,30 @@
                 sizes);
     }
 
-    private static double[] line(List<double[]> points) {
-        double x = points.stream().mapToDouble(point -> point[0]).average().orElseThrow();
-        double y = points.stream().mapToDouble(point -> point[1]).average().orElseThrow();
-        double across = 0;
-        double square = 0;
+    private static double[] leastSquares(List<double[]> points) {
+        double meanX = points.stream().mapToDouble(point -> point[0]).average().orElseThrow();
+        double meanY = points.stream().mapToDouble(point -> point[1]).average().orElseThrow();
+        double crossProductSum = 0;
+        double squareSum = 0;
         for (double[] point : points) {
-            across += (point[0] - x) * (point[1] - y);
-            square += (point[0] - x) * (point[0] - x);
+            crossProductSum += (point[0] - meanX) * (point[1] - meanY);
+            squareSum += (point[0] - meanX) * (point[0] - meanX);
         }
-        return new double[] {across / square, y - across / square * x};
+        return new double[] {
+            crossProductSum / squareSum, meanY - crossProductSum / squareSum * meanX
+        };
     }
 
-    double at(double size) {
-        return start + rise * size;
+    double valueAt(double size) {
+        return intercept + slope * size;
     }
 
-    boolean faster() {
-        return exponent > FASTER;
+    boolean isSuperlinear() {
+        return exponent > SUPERLINEAR_EXPONENT;
     }
 
-    /** The size at which the line meets a bound; NaN if it does not grow. */
-    double meets(double bound) {
-        return rise > 0 ? (bound - start) / rise : Double.NaN;
+    /** Returns the size at which the line reaches a value; NaN if it does not rise. */
+    double sizeAtValue(double value) {
+        return slope > 0 ? (value - intercept) / slope : Double.NaN;
     }
 }
--- a/src/test/java/junipercourse/scale/page/Tables.java
+++ b/src/test/java/junipercourse/scale/page/Tables.java
@@ -13,9 +13,9 @@
 import junipercourse.scale.page.Sizing.Fault;
 import junipercourse.scale.page.Sizing.Ref;
 
-/** The tables of the page by their markers' names. */
+/** Creates the page's tables and inline values by the names of their markers. */
 final class Tables {
-    private static final double FIFTH = 0.2;
+    private static final double MAX_RELATIVE_DIFFERENCE = 0.2;
     private static final String NOT_MEASURED = Need.NOT_MEASURED + "\n";
     private final Measurements results;
     private final Sizing sizing;
@@ -28,8 +28,7 @@
     }
 
     /**
-     * Fails with IllegalArgumentException if there is no such table, or if it names an unknown
-     * figure.
+     * Returns a table; throws an IllegalArgumentException if the table or its metric is unknown.
      */
     String table(String name) {
         String[] words = name.split(" ");
@@ -47,7 +46,7 @@
         };
     }
 
-    /** Where the results come from. */
+    /** Lists the runs that the results come from. */
     private String runs() {
         StringBuilder table = new StringBuilder();
         for (String suite : ResultLine.SUITES) {
@@ -59,15 +58,16 @@
                                                 line.suite().equals(suite)
                                                         && line.variant().equals(variant))
                                 .toList();
-                long not = lines.stream().filter(line -> !line.counts()).count();
+                long not = lines.stream().filter(line -> !line.isValid()).count();
                 table.append(
                         Cells.row(
                                 suite,
                                 variant,
-                                words(lines.stream().map(ResultLine::day)),
-                                words(lines.stream().map(ResultLine::commit)),
-                                words(lines.stream().map(ResultLine::machine)),
-                                words(lines.stream().map(line -> String.valueOf(line.seed()))),
+                                joinDistinct(lines.stream().map(ResultLine::day)),
+                                joinDistinct(lines.stream().map(ResultLine::commit)),
+                                joinDistinct(lines.stream().map(ResultLine::machine)),
+                                joinDistinct(
+                                        lines.stream().map(line -> String.valueOf(line.seed()))),
                                 String.valueOf(lines.size()),
                                 String.valueOf(not)));
             }
@@ -86,22 +86,22 @@
                         + table;
     }
 
-    private static String words(Stream<String> all) {
+    private static String joinDistinct(Stream<String> all) {
         return String.join(", ", all.distinct().toList());
     }
 
     /**
-     * One figure of a suite: a row for each play and variant, the variants side by side, a column a
-     * size.
+     * Shows one metric of a suite: a row for each scenario and variant, with the variants in
+     * adjacent rows, and a column for each size.
      */
     private String figure(String suite, String figure) {
-        if (!results.holds(suite)) {
+        if (!results.hasResults(suite)) {
             return NOT_MEASURED;
         }
         Predicate<Series> wanted =
                 figure.endsWith("*")
-                        ? each -> each.figure().startsWith(figure.substring(0, figure.length() - 1))
-                        : each -> each.figure().equals(figure);
+                        ? each -> each.metric().startsWith(figure.substring(0, figure.length() - 1))
+                        : each -> each.metric().equals(figure);
         if (results.series(suite).stream().noneMatch(wanted)) {
             throw new IllegalArgumentException(
                     "the results of " + suite + " hold no figure " + figure);
@@ -110,11 +110,11 @@
     }
 
     private String plays(String suite, String play) {
-        if (results.holds(suite)
-                && results.series(suite).stream().noneMatch(each -> each.play().equals(play))) {
+        if (results.hasResults(suite)
+                && results.series(suite).stream().noneMatch(each -> each.scenario().equals(play))) {
             throw new IllegalArgumentException("the results of " + suite + " hold no play " + play);
         }
-        return suite(suite, each -> each.play().equals(play));
+        return suite(suite, each -> each.scenario().equals(play));
     }
 
     private String suite(String suite, Predicate<Series> wanted) {
@@ -135,18 +135,18 @@
             List<String> row =
                     new ArrayList<>(
                             List.of(
-                                    each.play(),
-                                    each.figure(),
+                                    each.scenario(),
+                                    each.metric(),
                                     results.unit(each),
                                     each.variant()));
             row.addAll(Cells.points(results.points(each), sizes));
-            row.add(Cells.slope(results.slope(each, Statistic.MEDIAN), results.unit(each)));
+            row.add(Cells.fitCell(results.fit(each, Statistic.MEDIAN), results.unit(each)));
             table.append(Cells.row(row));
         }
         return table.toString();
     }
 
-    /** Variants of one play and figure follow each other, "before" ahead of "after". */
+    /** Groups the variants of one scenario and metric, "before" ahead of "after". */
     private static List<Series> sideBySide(Collection<Series> all) {
         List<Series> rows = new ArrayList<>();
         for (Series each : all) {
@@ -154,8 +154,8 @@
                 all.stream()
                         .filter(
                                 other ->
-                                        other.play().equals(each.play())
-                                                && other.figure().equals(each.figure()))
+                                        other.scenario().equals(each.scenario())
+                                                && other.metric().equals(each.metric()))
                         .sorted((a, b) -> rank(a) - rank(b))
                         .forEach(rows::add);
             }
@@ -167,15 +167,15 @@
         return each.variant().equals("before") ? 0 : each.variant().equals("after") ? 1 : 2;
     }
 
-    /** Real sockets beside the virtual world, where both were measured at one size. */
+    /** Compares real sockets with the simulation where both were measured at the same size. */
     private String witness() {
         StringBuilder table = new StringBuilder();
         for (Series real : results.series("fleet")) {
-            Series virtual = new Series("world", real.play(), real.figure(), real.variant());
+            Series virtual = new Series("world", real.scenario(), real.metric(), real.variant());
             for (Map.Entry<Integer, Point> at : results.points(real).entrySet()) {
                 Point other = results.points(virtual).get(at.getKey());
-                if (other != null && other.counts() && at.getValue().counts()) {
-                    table.append(compared(real, virtual, at.getKey()));
+                if (other != null && other.isValid() && at.getValue().isValid()) {
+                    table.append(comparisonRow(real, virtual, at.getKey()));
                 }
             }
         }
@@ -194,33 +194,39 @@
                         + table;
     }
 
-    private String compared(Series real, Series virtual, int size) {
+    private String comparisonRow(Series real, Series virtual, int size) {
         String unit = results.unit(real);
-        double one = results.points(real).get(size).value(Statistic.MEDIAN);
-        double two =
+        double realValue = results.points(real).get(size).value(Statistic.MEDIAN);
+        double virtualValue =
                 Units.convert(
                         results.points(virtual).get(size).value(Statistic.MEDIAN),
                         results.unit(virtual),
                         unit);
-        boolean apart = Math.abs(one - two) > FIFTH * Math.max(Math.abs(one), Math.abs(two));
-        String ratio = two == 0 ? one == 0 ? "1" : "none" : Units.number(one / two);
-        String key = real.play() + "/" + real.figure();
+        boolean isFarApart =
+                Math.abs(realValue - virtualValue)
+                        > MAX_RELATIVE_DIFFERENCE
+                                * Math.max(Math.abs(realValue), Math.abs(virtualValue));
+        String ratio =
+                virtualValue == 0
+                        ? realValue == 0 ? "1" : "none"
+                        : Units.number(realValue / virtualValue);
+        String key = real.scenario() + "/" + real.metric();
         return Cells.row(
-                real.play(),
-                real.figure(),
+                real.scenario(),
+                real.metric(),
                 unit,
                 real.variant(),
                 String.valueOf(size),
-                Units.number(one),
-                Units.number(two),
-                apart ? "**" + ratio + "**" : ratio,
-                apart
+                Units.number(realValue),
+                Units.number(virtualValue),
+                isFarApart ? "**" + ratio + "**" : ratio,
+                isFarApart
                         ? sizing.differences()
                                 .getOrDefault(
                                         key,
                                         sizing.differences()
                                                 .getOrDefault(
-                                                        "any/" + real.figure(),
+                                                        "any/" + real.metric(),
                                                         "not explained yet"))
                         : "");
     }
@@ -239,29 +245,30 @@
             table.append(
                     Cells.row(
                             fault.name(),
-                            fault.often(),
-                            cost(fault, "bytes_out_worst_second"),
-                            cost(fault, "settled"),
-                            cost(fault, "false_unreachable"),
-                            fault.seen()));
+                            fault.frequency(),
+                            faultCell(fault, "bytes_out_worst_second"),
+                            faultCell(fault, "settled"),
+                            faultCell(fault, "false_unreachable"),
+                            fault.clientImpact()));
         }
         return table.toString();
     }
 
-    private String cost(Fault fault, String figure) {
-        if (fault.play().isEmpty()) {
+    private String faultCell(Fault fault, String figure) {
+        if (fault.scenario().isEmpty()) {
             return Need.NOT_MEASURED;
         }
         Need need =
-                sizing.need(results, new Ref("fleet", fault.play(), figure, Statistic.WORST, ""));
-        return need.known() ? need.text() + " (" + need.step() + ")" : need.text();
+                sizing.need(
+                        results, new Ref("fleet", fault.scenario(), figure, Statistic.WORST, ""));
+        return need.isKnown() ? need.text() + " (" + need.derivation() + ")" : need.text();
     }
 
     /**
-     * A value in the prose: {@code target.NAME}, {@code least.…} or {@code
-     * suite/play/figure[/worst][@SIZE]}.
+     * Returns a value in the prose: {@code target.NAME}, {@code least.…}, {@code sizes.SUITE} or
+     * {@code suite/play/figure[/worst][@SIZE]}.
      */
-    String inline(String name) {
+    String inlineValue(String name) {
         if (name.startsWith("target.") && sizing.targets().containsKey(name.substring(7))) {
             return Units.number(sizing.targets().get(name.substring(7)));
         }
@@ -271,7 +278,10 @@
         if (name.startsWith("sizes.") && ResultLine.SUITES.contains(name.substring(6))) {
             List<String> sizes =
                     results.lines().stream()
-                            .filter(line -> line.counts() && line.suite().equals(name.substring(6)))
+                            .filter(
+                                    line ->
+                                            line.isValid()
+                                                    && line.suite().equals(name.substring(6)))
                             .map(ResultLine::size)
                             .distinct()
                             .sorted()
@@ -280,8 +290,8 @@
             return sizes.isEmpty() ? Need.NOT_MEASURED : String.join(", ", sizes);
         }
         String[] words = name.split("[/@]");
-        boolean sized = name.contains("@");
-        int parts = words.length - (sized ? 1 : 0);
+        boolean hasSize = name.contains("@");
+        int parts = words.length - (hasSize ? 1 : 0);
         if (parts < 3 || parts > 4 || !ResultLine.SUITES.contains(words[0])) {
             throw new IllegalArgumentException("no value is named " + name);
         }
@@ -292,7 +302,7 @@
                         words[2],
                         parts == 4 ? Statistic.named(words[3]) : Statistic.MEDIAN,
                         "");
-        return (sized
+        return (hasSize
                         ? sizing.need(results, ref, Integer.parseInt(words[words.length - 1]))
                         : sizing.need(results, ref))
                 .text();
@@ -300,7 +310,7 @@
 
     private String least(String what) {
         RoleRows.Answer least =
-                roles.byFactor().stream().filter(RoleRows.Answer::known).findFirst().orElse(null);
+                roles.byFactor().stream().filter(RoleRows.Answer::isKnown).findFirst().orElse(null);
         return switch (what) {
             case "role" ->
                     least == null
@@ -308,7 +318,7 @@
                             : least.row().role() + ", " + least.row().what();
             case "need" -> least == null ? Need.NOT_MEASURED : least.need().text();
             case "factor" -> least == null ? Need.NOT_MEASURED : RoleRows.factor(least);
-            case "breaks" -> least == null ? Need.NOT_MEASURED : least.breaks();
+            case "breaks" -> least == null ? Need.NOT_MEASURED : least.limit();
             case "mechanism" -> least == null ? Need.NOT_MEASURED : least.row().mechanism();
             default -> throw new IllegalArgumentException("no value is named least." + what);
         };
--- a/src/test/java/junipercourse/scale/page/Units.java
+++ b/src/test/java/junipercourse/scale/page/Units.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Units of results and budgets: what can be compared, and numbers as the page writes them. */
+/** Converts the units of results and budgets and formats the numbers of the page. */
 final class Units {
     private record Unit(String dimension, double factor) {}
 
@@ -40,7 +40,7 @@
         return KNOWN.getOrDefault(name, new Unit(name, 1));
     }
 
-    /** Fails if the two cannot be compared: a factor between them would mean nothing. */
+    /** Rejects units of different dimensions, since a factor between them is meaningless. */
     static double convert(double value, String from, String to) {
         if (!unit(from).dimension().equals(unit(to).dimension())) {
             throw new IllegalArgumentException(
@@ -49,7 +49,7 @@
         return value * unit(from).factor() / unit(to).factor();
     }
 
-    /** A number to three digits, with separators. */
+    /** Formats a number with three significant digits and thousands separators. */
     static String number(double value) {
         if (value == 0) {
             return "0";
