--- a/src/main/java/junipercourse/fleet/membership/AntiEntropy.java
+++ b/src/main/java/junipercourse/fleet/membership/AntiEntropy.java
@@ -7,13 +7,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Anti-entropy between members. If the digest of a peer differs from ours, we send it our digests
- * by bucket; it responds with its records of the buckets that differ, as far as one datagram and
- * its budget allow. Each side pulls for itself.
+ * Anti-entropy between members. A member whose digest differs from a peer's sends the peer its
+ * bucket digests; the peer responds with its records of the buckets that differ, as many as one
+ * datagram and its send budget allow. Synchronization is pull-only: each side requests what it
+ * lacks.
  */
 final class AntiEntropy {
-    /** Records in the first response to a member that knows nobody yet. */
-    private static final int MAX_RECORDS_TO_NEWCOMER = 8;
+    /** Maximum number of records in a response to a member that knows no other members yet. */
+    private static final int MAX_RECORDS_TO_JOINING_MEMBER = 8;
 
     private final MembershipSettings settings;
     private final MemberTable memberTable;
@@ -22,8 +23,8 @@
     private long requestSequence;
     private double nextRequestAt;
 
-    /** Members that the last response announced. */
-    private int reportedMembers;
+    /** Number of members that the peer knows, estimated from the last incomplete response. */
+    private int estimatedPeerMembers;
 
     AntiEntropy(
             MembershipSettings settings,
@@ -36,41 +37,41 @@
         this.random = random;
     }
 
-    /** Requests the differing records of a peer whose message carried another digest than ours. */
-    void digestDiffers(PeerState peer, double now) {
+    /** Sends a {@code SYNC_REQUEST} to a peer whose digest differs from ours, if one is due. */
+    void requestDifferingRecords(PeerState peer, double now) {
         if (now < nextRequestAt) {
             return;
         }
         long sequence = sender.nextSequence();
-        boolean newcomer = memberTable.size() < reportedMembers / 2;
+        boolean knowsFewMembers = memberTable.size() < estimatedPeerMembers / 2;
         List<Integer> bucketDigests =
                 memberTable
                         .membershipDigest()
-                        .bucketDigests(Math.max(memberTable.size(), reportedMembers));
+                        .bucketDigests(Math.max(memberTable.size(), estimatedPeerMembers));
         if (sender.sendToAddress(
                 peer.record.address(),
                 new MessageContent(Kind.SYNC_REQUEST, sequence, "", List.of(), 0, bucketDigests),
-                newcomer ? MessagePriority.PROBE : MessagePriority.ANTI_ENTROPY)) {
+                knowsFewMembers ? MessagePriority.PROBE : MessagePriority.ANTI_ENTROPY)) {
             requestSequence = sequence;
             nextRequestAt = now + settings.syncInterval();
         }
     }
 
-    /** Takes in a response; if it is incomplete, the next peer that differs is asked at once. */
-    void responseReceived(GossipMessage response) {
+    /** Handles a response; if it is incomplete, the next differing peer is asked without delay. */
+    void handleResponse(GossipMessage response) {
         if (response.sequence() == requestSequence && response.pageCount() > 1) {
             nextRequestAt = Double.NEGATIVE_INFINITY;
-            reportedMembers =
+            estimatedPeerMembers =
                     Math.min(
                             settings.maxMembers(),
                             response.pageCount() * response.records().size());
         }
     }
 
-    /** Responds to a request; the record of its subject comes first, if it names one. */
+    /** Responds to a request; if it names a subject, the subject's record comes first. */
     void respond(String address, GossipMessage request) {
-        boolean newcomer = request.bucketDigests().isEmpty();
-        MessagePriority priority = newcomer ? MessagePriority.PROBE : MessagePriority.ANTI_ENTROPY;
+        boolean isJoining = request.bucketDigests().isEmpty();
+        MessagePriority priority = isJoining ? MessagePriority.PROBE : MessagePriority.ANTI_ENTROPY;
         int availableBytes =
                 Math.min(
                         sender.availableRecordBytes(priority),
@@ -78,7 +79,7 @@
         if (availableBytes < 0) {
             return;
         }
-        List<MemberRecord> candidates = candidates(request);
+        List<MemberRecord> candidates = selectCandidates(request);
         List<MemberRecord> records = new ArrayList<>();
         MemberRecord subjectRecord =
                 request.subject().isEmpty() ? null : memberTable.latestRecord(request.subject());
@@ -86,23 +87,24 @@
             records.add(subjectRecord);
             availableBytes -= subjectRecord.encodedSize();
         }
-        int maxRecords = newcomer ? MAX_RECORDS_TO_NEWCOMER : settings.maxRecordsPerMessage() - 2;
-        int from = candidates.isEmpty() ? 0 : random.nextInt(candidates.size());
-        int added = 0;
-        while (added < candidates.size() && records.size() < maxRecords) {
-            MemberRecord next = candidates.get((from + added) % candidates.size());
-            availableBytes -= next.encodedSize();
+        int maxRecords =
+                isJoining ? MAX_RECORDS_TO_JOINING_MEMBER : settings.maxRecordsPerMessage() - 2;
+        int startIndex = candidates.isEmpty() ? 0 : random.nextInt(candidates.size());
+        int addedCount = 0;
+        while (addedCount < candidates.size() && records.size() < maxRecords) {
+            MemberRecord candidate = candidates.get((startIndex + addedCount) % candidates.size());
+            availableBytes -= candidate.encodedSize();
             if (availableBytes < 0) {
                 break;
             }
-            records.add(next);
-            added++;
+            records.add(candidate);
+            addedCount++;
         }
-        int pageCount = 1 + (candidates.size() - added) / Math.max(1, added);
-        sender.sendToAddress(address, response(request, records, pageCount), priority);
+        int pageCount = 1 + (candidates.size() - addedCount) / Math.max(1, addedCount);
+        sender.sendToAddress(address, buildResponse(request, records, pageCount), priority);
     }
 
-    private static MessageContent response(
+    private static MessageContent buildResponse(
             GossipMessage request, List<MemberRecord> records, int pageCount) {
         return new MessageContent(
                 Kind.SYNC_RESPONSE,
@@ -113,12 +115,12 @@
                 List.of());
     }
 
-    private List<MemberRecord> candidates(GossipMessage request) {
+    private List<MemberRecord> selectCandidates(GossipMessage request) {
         if (!request.bucketDigests().isEmpty()) {
             return memberTable.differingRecords(request.bucketDigests());
         }
-        List<MemberRecord> all = new ArrayList<>();
-        memberTable.peers().forEach(peer -> all.add(peer.record));
-        return all;
+        List<MemberRecord> allRecords = new ArrayList<>();
+        memberTable.peers().forEach(peer -> allRecords.add(peer.record));
+        return allRecords;
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/DisseminationQueue.java
+++ b/src/main/java/junipercourse/fleet/membership/DisseminationQueue.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * Changes to be piggybacked on other messages, each a bounded number of times: first what members
- * say about themselves (new incarnations, refutations, leaves), then what others say about them; of
- * these the least transmitted ones first.
+ * Updates to piggyback on outgoing messages, each a limited number of times. Updates by which
+ * members describe themselves (new incarnations, refutations, leaves) go before those that others
+ * created (suspicions, unreachability); within each group the least transmitted go first.
  */
 final class DisseminationQueue {
     private final Map<String, Update> updates = new LinkedHashMap<>();
 
-    /** A record and how often it still has to be transmitted. */
+    /** A record and its number of remaining transmissions. */
     private static final class Update implements Comparable<Update> {
         private final MemberRecord record;
 
-        /** Whether other members than its subject created the record. */
-        private final boolean aboutOthers;
+        /** Whether a member other than its subject created the record. */
+        private final boolean createdByOthers;
 
-        /** Whether the digest shows the change: a peer with our digest knows it. */
+        /** Whether the update changed the digest: then a peer with our digest already has it. */
         private final boolean coveredByDigest;
 
         private int transmissionsLeft;
 
         Update(MemberRecord record, boolean coveredByDigest, int transmissionsLeft) {
             this.record = record;
-            this.aboutOthers =
+            this.createdByOthers =
                     record.status() == MemberStatus.SUSPECT
                             || record.status() == MemberStatus.UNREACHABLE;
             this.coveredByDigest = coveredByDigest;
@@ -38,7 +38,7 @@
 
         @Override
         public int compareTo(Update other) {
-            int order = Boolean.compare(aboutOthers, other.aboutOthers);
+            int order = Boolean.compare(createdByOthers, other.createdByOthers);
             return order == 0 ? Integer.compare(other.transmissionsLeft, transmissionsLeft) : order;
         }
     }
@@ -46,8 +46,8 @@
     /**
      * Queues a record. A later record of the same name replaces the queued one.
      *
-     * @param coveredByDigest whether the change moved our digest
-     * @param transmissions how often it is transmitted
+     * @param coveredByDigest whether the update changed our digest
+     * @param transmissions how many times it is to be transmitted
      */
     void add(MemberRecord record, boolean coveredByDigest, int transmissions) {
         Update queued = updates.get(record.name());
@@ -63,7 +63,7 @@
         updates.clear();
     }
 
-    /** Drops the updates that all peers know, since all have our digest. */
+    /** Drops the updates that are covered by the digest; called when all peers have our digest. */
     void dropCoveredByDigest() {
         updates.values().removeIf(update -> update.coveredByDigest);
     }
@@ -72,41 +72,45 @@
      * Adds updates to a message and counts them as transmitted.
      *
      * @param records the message's records, to which updates are added
-     * @param maxRecords most records of the message
-     * @param availableBytes most bytes that may be added
-     * @param peerAgrees whether the peer has our digest, so that it needs only what no digest shows
+     * @param maxRecords maximum number of records in the message
+     * @param availableBytes maximum number of bytes to add
+     * @param peerHasSameDigest whether the peer has our digest, so that it needs only updates that
+     *     the digest does not cover
      * @return whether any update was added
      */
     boolean piggyback(
-            List<MemberRecord> records, int maxRecords, int availableBytes, boolean peerAgrees) {
+            List<MemberRecord> records,
+            int maxRecords,
+            int availableBytes,
+            boolean peerHasSameDigest) {
         if (updates.isEmpty() || availableBytes <= 0) {
             return false;
         }
-        int before = records.size();
-        int bytes = 0;
+        int initialSize = records.size();
+        int usedBytes = 0;
         for (MemberRecord record : records) {
-            bytes += record.encodedSize();
+            usedBytes += record.encodedSize();
         }
-        int bound = Math.min(GossipMessage.MAX_RECORD_BYTES, bytes + availableBytes);
-        List<Update> order = new ArrayList<>(updates.values());
-        Collections.sort(order);
-        for (Update update : order) {
+        int maxBytes = Math.min(GossipMessage.MAX_RECORD_BYTES, usedBytes + availableBytes);
+        List<Update> sorted = new ArrayList<>(updates.values());
+        Collections.sort(sorted);
+        for (Update update : sorted) {
             if (records.size() >= maxRecords) {
                 break;
             }
-            if (!(peerAgrees && update.coveredByDigest)
-                    && bytes + update.record.encodedSize() <= bound
+            if (!(peerHasSameDigest && update.coveredByDigest)
+                    && usedBytes + update.record.encodedSize() <= maxBytes
                     && !records.contains(update.record)) {
-                bytes += update.record.encodedSize();
+                usedBytes += update.record.encodedSize();
                 records.add(update.record);
                 update.transmissionsLeft--;
             }
         }
-        for (Iterator<Update> all = updates.values().iterator(); all.hasNext(); ) {
-            if (all.next().transmissionsLeft <= 0) {
-                all.remove();
+        for (Iterator<Update> iterator = updates.values().iterator(); iterator.hasNext(); ) {
+            if (iterator.next().transmissionsLeft <= 0) {
+                iterator.remove();
             }
         }
-        return records.size() > before;
+        return records.size() > initialSize;
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/FailureDetector.java
+++ b/src/main/java/junipercourse/fleet/membership/FailureDetector.java
@@ -10,26 +10,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Failure detection as in SWIM: probes members in turn, and asks others to probe a member that does
- * not answer; a member that misses two probes in a row becomes suspect. A probe that the budget
- * held back, or for which no other member could be asked, proves nothing.
+ * SWIM failure detection: probes members in turn, and requests indirect probes of a member that
+ * does not acknowledge; a member that misses two probes in a row becomes suspect. A probe that the
+ * send budget dropped, or whose indirect probes could not be sent, does not count as missed.
  */
 final class FailureDetector {
     private static final int MAX_OPEN_PROBES = 128;
 
     /**
-     * Seconds between probes of one member: a member that knows few others at the start of a fleet
-     * would otherwise probe these more often than they can answer.
+     * Minimum average interval between probes of the same member. Without it, a member that knows
+     * few others while a fleet starts would probe them more often than they can answer.
      */
     private static final double MIN_PEER_INTERVAL_SECONDS = 0.5;
 
-    /** Intervals by which a member that receives nothing probes less often, at most. */
+    /** Limits how far poor local health lengthens the probe interval: it doubles at most. */
     private static final int MAX_SLOWDOWN = 1;
 
-    /** Members that we may examine at once: each takes several indirect probes. */
+    /** Limit of concurrently unresponsive peers, since each costs several indirect probes. */
     private static final int MAX_UNRESPONSIVE_PEERS = 4;
 
-    /** Bytes that an indirect probe needs after its first message; without them none is begun. */
+    /** Send budget that must be available for the messages of an indirect probe. */
     private static final int INDIRECT_PROBE_BYTES = 300;
 
     private final MembershipSettings settings;
@@ -37,13 +37,13 @@
     private final MessageSender sender;
     private final UniformRandomProvider random;
     private final SuspicionTracker suspicions;
-    private final Map<Long, OpenProbe> probes = new LinkedHashMap<>();
+    private final Map<Long, OpenProbe> openProbes = new LinkedHashMap<>();
     private final IndirectProbes indirectProbes;
     private final ProbeOrder probeOrder;
     private double nextProbeAt;
-    private double lastHeardAnyAt;
+    private double lastMessageReceivedAt;
 
-    /** Local health score of Lifeguard: 0 while we receive messages. */
+    /** Lifeguard's local health score: 0 is healthy; each probe timeout in total silence adds 1. */
     private int localHealth;
 
     FailureDetector(
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Starts afresh, at the start of an incarnation or after a stall: open probes are dropped, and
-     * silence is counted from now.
+     * Resets failure detection at the start of an incarnation or after a stall: drops open probes
+     * and restarts suspicion timeouts, and measures silence from now.
      */
     void restart(double now) {
-        probes.clear();
+        openProbes.clear();
         indirectProbes.clear();
-        lastHeardAnyAt = now;
+        lastMessageReceivedAt = now;
         nextProbeAt = now + random.nextDouble() * settings.probeInterval();
         for (PeerState peer : memberTable.peers()) {
             peer.unresponsive = false;
@@ -82,14 +82,14 @@
         suspicions.startSuspicion(peer, localHealth, now);
     }
 
-    /** Notes that another member considers a peer unreachable. */
-    void reportedUnreachable(PeerState peer, double now) {
-        suspicions.reportedUnreachable(peer, now);
+    /** Handles another member's report that a peer is unreachable. */
+    void handleUnreachableReport(PeerState peer, double now) {
+        suspicions.handleUnreachableReport(peer, now);
     }
 
-    /** Notes a message of a peer's present incarnation. */
-    void heard(PeerState peer, double now) {
-        lastHeardAnyAt = now;
+    /** Records that a message of a peer's current incarnation was received. */
+    void recordHeard(PeerState peer, double now) {
+        lastMessageReceivedAt = now;
         peer.lastHeardAt = now;
         peer.unresponsive = false;
         if (peer.record.status() == MemberStatus.SUSPECT) {
@@ -97,76 +97,76 @@
         }
     }
 
-    /**
-     * Takes in an acknowledgement of a probe of ours, or of one that we made for another member.
-     */
-    void ackReceived(long sequence, String subject, double now) {
-        OpenProbe probe = probes.get(sequence);
+    /** Handles an acknowledgement of our own probe or of one sent on behalf of another member. */
+    void handleAck(long sequence, String subject, double now) {
+        OpenProbe probe = openProbes.get(sequence);
         if (probe != null && !isObsolete(probe) && probe.peer.record.name().equals(subject)) {
-            probes.remove(sequence);
+            openProbes.remove(sequence);
             localHealth = Math.max(0, localHealth - 1);
-            heard(probe.peer, now);
+            recordHeard(probe.peer, now);
         } else {
-            indirectProbes.ackReceived(sequence, subject);
+            indirectProbes.forwardAck(sequence, subject);
         }
     }
 
     /** Probes a member on behalf of another one. */
-    void probeRequested(PeerState requester, long sequence, String subject, double now) {
+    void handleProbeRequest(PeerState requester, long sequence, String subject, double now) {
         indirectProbes.probe(requester, sequence, subject, now);
     }
 
-    /** Does what is due: timeouts, probes of suspects, and the next probe in turn. */
+    /** Handles probe timeouts, probes suspects, and sends the next regular probe when due. */
     void tick(double now, StatusChangeListener listener) {
-        indirectProbes.tick(now);
+        indirectProbes.dropExpired(now);
         checkOpenProbes(now, listener);
         suspicions.tick(
-                now - lastHeardAnyAt,
+                now - lastMessageReceivedAt,
                 now,
-                (peer, at) -> probe(peer, at, MessagePriority.SUSPECT_PROBE),
+                (peer, probeTime) -> probe(peer, probeTime, MessagePriority.SUSPECT_PROBE),
                 listener);
         if (now >= nextProbeAt) {
-            PeerState next = probeOrder.next(sender.localRecord().name());
-            if (next != null) {
-                probe(next, now, MessagePriority.PROBE);
+            PeerState target = probeOrder.nextPeer(sender.localRecord().name());
+            if (target != null) {
+                probe(target, now, MessagePriority.PROBE);
             }
-            double wait =
+            double interval =
                     Math.max(
                             settings.probeInterval(),
                             MIN_PEER_INTERVAL_SECONDS
                                     / Math.max(1, memberTable.presentCount() - 1));
             nextProbeAt =
-                    Math.max(nextProbeAt + wait * (1 + Math.min(localHealth, MAX_SLOWDOWN)), now);
+                    Math.max(
+                            nextProbeAt + interval * (1 + Math.min(localHealth, MAX_SLOWDOWN)),
+                            now);
         }
     }
 
     private void checkOpenProbes(double now, StatusChangeListener listener) {
         double timeout = settings.probeTimeout() * (1 + localHealth);
         List<OpenProbe> timedOut = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, OpenProbe>> all = probes.entrySet().iterator();
-                all.hasNext(); ) {
-            Map.Entry<Long, OpenProbe> entry = all.next();
+        for (Iterator<Map.Entry<Long, OpenProbe>> iterator = openProbes.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Long, OpenProbe> entry = iterator.next();
             OpenProbe probe = entry.getValue();
             double age = now - probe.sentAt;
             if (isObsolete(probe)) {
-                all.remove();
+                iterator.remove();
             } else if (age >= 2 * timeout) {
-                all.remove();
-                if (probe.indirect) {
+                iterator.remove();
+                if (probe.isIndirect) {
                     timedOut.add(probe);
                 }
-            } else if (!probe.indirect && age >= timeout && mayMarkUnresponsive(probe.peer)) {
+            } else if (!probe.isIndirect && age >= timeout && mayMarkUnresponsive(probe.peer)) {
                 probeIndirectly(probe, entry.getKey());
             }
         }
-        timedOut.forEach(probe -> probeTimedOut(probe, now, listener));
+        timedOut.forEach(probe -> handleProbeTimeout(probe, now, listener));
     }
 
-    /** Asks other members for a probe, and repeats our own. */
+    /** Requests indirect probes from other members, and repeats the direct probe. */
     private void probeIndirectly(OpenProbe probe, long sequence) {
         PeerState peer = probe.peer;
-        probe.indirect = peer.reportedUnreachable || indirectProbes.request(peer, sequence);
-        if (probe.indirect) {
+        probe.isIndirect = peer.reportedUnreachable || indirectProbes.requestProbes(peer, sequence);
+        if (probe.isIndirect) {
             sender.sendToPeer(
                     peer,
                     Kind.PING,
@@ -177,34 +177,34 @@
         }
     }
 
-    /** Returns true if the bounds allow to examine one more peer that nobody else suspects. */
+    /** Returns true if the peer is unresponsive or suspect already, or may become unresponsive. */
     private boolean mayMarkUnresponsive(PeerState peer) {
         if (peer.record.status() == MemberStatus.SUSPECT || peer.unresponsive) {
             return true;
         }
-        int unresponsive = 0;
-        for (PeerState each : memberTable.peers()) {
-            unresponsive += each.unresponsive || each.suspectedByUs ? 1 : 0;
+        int count = 0;
+        for (PeerState other : memberTable.peers()) {
+            count += other.unresponsive || other.suspectedByUs ? 1 : 0;
         }
-        return unresponsive < MAX_UNRESPONSIVE_PEERS
+        return count < MAX_UNRESPONSIVE_PEERS
                 && sender.availableRecordBytes(MessagePriority.SUSPECT_PROBE)
                         >= INDIRECT_PROBE_BYTES;
     }
 
-    private void probeTimedOut(OpenProbe probe, double now, StatusChangeListener listener) {
+    private void handleProbeTimeout(OpenProbe probe, double now, StatusChangeListener listener) {
         PeerState peer = probe.peer;
-        boolean isolated = lastHeardAnyAt < probe.sentAt;
+        boolean isIsolated = lastMessageReceivedAt < probe.sentAt;
         localHealth =
-                isolated
+                isIsolated
                         ? Math.min(settings.maxLocalHealth(), localHealth + 1)
                         : Math.max(0, localHealth - 1);
         if (peer.record.status() == MemberStatus.SUSPECT) {
             peer.failedProbes++;
-            if (!peer.suspectedByUs) { // the member that raised the suspicion may be gone
+            if (!peer.suspectedByUs) { // the member that raised the suspicion may have failed
                 peer.suspectedByUs = true;
                 peer.nextProbeAt = now;
             }
-        } else if (isolated || missedAnother(probe)) { // isolated: nobody else can help
+        } else if (isIsolated || missedEarlierProbe(probe)) { // isolated: nobody else can probe
             peer.suspectedByUs = true;
             listener.accept(peer.record.with(MemberStatus.SUSPECT));
         } else if (!peer.unresponsive) {
@@ -214,8 +214,8 @@
         }
     }
 
-    /** Returns true if the peer had missed an earlier probe when this one was sent. */
-    private static boolean missedAnother(OpenProbe probe) {
+    /** Returns true if the peer had already missed a probe when this one was sent. */
+    private static boolean missedEarlierProbe(OpenProbe probe) {
         return probe.peer.unresponsive && probe.sentAt >= probe.peer.unresponsiveSince;
     }
 
@@ -234,8 +234,8 @@
         long sequence = sender.nextSequence();
         boolean sent =
                 sender.sendToPeer(peer, Kind.PING, sequence, peer.record.name(), null, priority);
-        if (sent && probes.size() < MAX_OPEN_PROBES) {
-            probes.put(sequence, new OpenProbe(peer, now));
+        if (sent && openProbes.size() < MAX_OPEN_PROBES) {
+            openProbes.put(sequence, new OpenProbe(peer, now));
         }
         return sent;
     }
--- a/src/main/java/junipercourse/fleet/membership/GossipMessage.java
+++ b/src/main/java/junipercourse/fleet/membership/GossipMessage.java
@@ -4,20 +4,20 @@
 
 /**
  * The content of one datagram. The first record is the sender's own, except in messages that only
- * pass on a record of another member; one with incarnation 0 only states the address for replies.
+ * forward a record of another member; a record with incarnation 0 only gives the reply address.
  *
  * @param sender the sender's name
  * @param senderIncarnation the sender's incarnation; 0 while it has none
  * @param kind the purpose
  * @param sequence the number of a request, repeated in its response
  * @param subject {@code PING}, {@code PING_REQ}: the member that is probed; {@code ACK}: the member
- *     that was heard; {@code SYNC_REQUEST}, {@code SYNC_RESPONSE}: the name whose record must come
- *     first, or empty
+ *     that acknowledged; {@code SYNC_REQUEST}, {@code SYNC_RESPONSE}: the name whose record comes
+ *     first in the response, or empty
  * @param digest digest of the sender's members; 0 while it has no incarnation
  * @param records at most {@link #MAX_RECORDS}, together at most {@link #MAX_RECORD_BYTES} bytes
- * @param page 0; earlier versions numbered their pages
- * @param pageCount {@code SYNC_RESPONSE}: messages that all differing records would take; 0
- *     otherwise
+ * @param page always 0; earlier versions numbered the pages of a response
+ * @param pageCount {@code SYNC_RESPONSE}: estimated number of messages that all differing records
+ *     would take; 0 otherwise
  * @param bucketDigests {@code SYNC_REQUEST}: digests of the sender's members by {@link
  *     MembershipDigest#bucketOf}, a power of two of them; empty if the sender knows no members
  */
@@ -32,18 +32,19 @@
         int page,
         int pageCount,
         List<Integer> bucketDigests) {
-    /** Most bucket digests in a message. */
+    /** Maximum number of bucket digests in a message. */
     public static final int MAX_BUCKETS = 64;
 
     /**
-     * Most bytes of all records in a message, as {@link MemberRecord#encodedSize} counts. A
-     * datagram has 1,200 bytes; 40 go to the fleet's name, 40 to the sender's, 40 to the subject,
-     * 80 to numbers, checksum and tags.
+     * Maximum total size of the records in a message, as {@link MemberRecord#encodedSize} counts
+     * it, together with the bucket digests. Of the 1,200 bytes of a datagram, 40 each are reserved
+     * for the names of fleet, sender and subject, and 80 for numbers, checksum and tags.
      */
     public static final int MAX_RECORD_BYTES = 1000;
 
     /**
-     * Most records in a message: as many as {@link #MAX_RECORD_BYTES} hold with the shortest texts.
+     * Maximum number of records in a message: as many as fit {@link #MAX_RECORD_BYTES} with the
+     * shortest texts.
      */
     public static final int MAX_RECORDS = MAX_RECORD_BYTES / (MemberRecord.OVERHEAD_BYTES + 2);
 
@@ -57,22 +58,20 @@
     public enum Kind {
         /** Requests an acknowledgement. */
         PING,
-        /**
-         * Acknowledges that {@code subject} was heard after the request with this sequence number.
-         */
+        /** Acknowledges the probe of {@code subject} with this sequence number. */
         ACK,
         /** Requests a probe of {@code subject} on the sender's behalf. */
         PING_REQ,
         /** Requests the records that differ from the sender's. */
         SYNC_REQUEST,
-        /** Carries differing records, as far as they fit. */
+        /** Carries as many of the differing records as fit. */
         SYNC_RESPONSE
     }
 
     /**
      * Validates the message.
      *
-     * @throws IllegalArgumentException if a bound is broken; its message names the field
+     * @throws IllegalArgumentException if a value is out of range; its message names the field
      */
     public GossipMessage {
         MemberRecord.checkText("from", sender, MemberRecord.MAX_NAME_LENGTH, 1);
@@ -135,13 +134,13 @@
 
     private static int encodedSize(List<MemberRecord> records) {
         int sum = 0;
-        for (MemberRecord statement : records) {
-            sum += statement.encodedSize();
+        for (MemberRecord record : records) {
+            sum += record.encodedSize();
         }
         return sum;
     }
 
-    /** Returns the bytes of its datagram, without the fleet's name and the network's headers. */
+    /** Returns the size of the datagram in bytes, without the fleet's name and network headers. */
     public int encodedSize() {
         return OVERHEAD_BYTES
                 + sender.length()
--- a/src/main/java/junipercourse/fleet/membership/IndirectProbes.java
+++ b/src/main/java/junipercourse/fleet/membership/IndirectProbes.java
@@ -10,23 +10,24 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Probes that we make on behalf of other members, and the acknowledgements that we forward to them.
+ * Sends indirect probes on behalf of other members and forwards the acknowledgements to them, and
+ * requests indirect probes from other members.
  */
 final class IndirectProbes {
-    /** Bounds the open probes; further requests are ignored. */
-    private static final int MAX_OPEN_PROBES = 256;
+    /** Maximum number of relayed probes in progress; further requests are ignored. */
+    private static final int MAX_RELAYED_PROBES = 256;
 
-    private static final int LIFETIME_TIMEOUTS = 10; // probe timeouts until one is dropped
+    private static final int LIFETIME_IN_PROBE_TIMEOUTS = 10;
 
     private final MembershipSettings settings;
     private final MemberTable memberTable;
     private final MessageSender sender;
     private final UniformRandomProvider random;
-    private final Map<Long, OpenProbe> openProbes = new HashMap<>();
+    private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
 
-    /** A probe on behalf of a requester. */
-    private record OpenProbe(
-            String requester, long requesterSequence, String subject, double expiresAt) {}
+    /** A probe in progress on behalf of a requester. */
+    private record RelayedProbe(
+            String requesterName, long requesterSequence, String subject, double expiresAt) {}
 
     IndirectProbes(
             MembershipSettings settings,
@@ -39,48 +40,48 @@
         this.random = random;
     }
 
-    /** Drops all open probes. */
+    /** Drops all relayed probes. */
     void clear() {
-        openProbes.clear();
+        relayedProbes.clear();
     }
 
-    /** Drops the probes that were not acknowledged in time. */
-    void tick(double now) {
-        openProbes.values().removeIf(openProbe -> now > openProbe.expiresAt);
+    /** Drops the relayed probes that were not acknowledged in time. */
+    void dropExpired(double now) {
+        relayedProbes.values().removeIf(relayedProbe -> now > relayedProbe.expiresAt);
     }
 
     /** Probes a member for a requester. */
     void probe(PeerState requester, long sequence, String subject, double now) {
         PeerState target = memberTable.find(subject);
         if (target == null
-                || openProbes.size() >= MAX_OPEN_PROBES
+                || relayedProbes.size() >= MAX_RELAYED_PROBES
                 || subject.equals(sender.localRecord().name())) {
             return;
         }
         long ownSequence = sender.nextSequence();
-        openProbes.put(
+        relayedProbes.put(
                 ownSequence,
-                new OpenProbe(
+                new RelayedProbe(
                         requester.record.name(),
                         sequence,
                         subject,
-                        now + LIFETIME_TIMEOUTS * settings.probeTimeout()));
+                        now + LIFETIME_IN_PROBE_TIMEOUTS * settings.probeTimeout()));
         sender.sendToPeer(
                 target, Kind.PING, ownSequence, subject, null, MessagePriority.SUSPECT_PROBE);
     }
 
-    /** Forwards an acknowledgement if it belongs to an open probe. */
-    void ackReceived(long sequence, String subject) {
-        OpenProbe openProbe = openProbes.get(sequence);
-        if (openProbe != null && openProbe.subject.equals(subject)) {
-            openProbes.remove(sequence);
-            PeerState requester = memberTable.find(openProbe.requester);
+    /** Forwards an acknowledgement to the requester if it belongs to a relayed probe. */
+    void forwardAck(long sequence, String subject) {
+        RelayedProbe relayedProbe = relayedProbes.get(sequence);
+        if (relayedProbe != null && relayedProbe.subject.equals(subject)) {
+            relayedProbes.remove(sequence);
+            PeerState requester = memberTable.find(relayedProbe.requesterName);
             PeerState target = memberTable.find(subject);
             if (requester != null && target != null) {
                 sender.sendToPeer(
                         requester,
                         Kind.ACK,
-                        openProbe.requesterSequence,
+                        relayedProbe.requesterSequence,
                         subject,
                         target.record,
                         MessagePriority.SUSPECT_PROBE);
@@ -89,9 +90,10 @@
     }
 
     /**
-     * Asks other members to probe a peer; returns true if at least one was asked or there is none.
+     * Requests indirect probes of a peer from random alive members. Returns true if at least one
+     * request was sent, or there was none to send.
      */
-    boolean request(PeerState target, long sequence) {
+    boolean requestProbes(PeerState target, long sequence) {
         List<PeerState> helpers = new ArrayList<>();
         for (PeerState peer : memberTable.peers()) {
             if (peer.record.status() == MemberStatus.ALIVE && peer != target && !isLocal(peer)) {
--- a/src/main/java/junipercourse/fleet/membership/InjectedFault.java
+++ b/src/main/java/junipercourse/fleet/membership/InjectedFault.java
@@ -6,8 +6,8 @@
     NONE,
     /** A member begins with an incarnation that was used before. */
     REUSED_INCARNATION,
-    /** A member does not notice its own stalls. */
+    /** A member ignores its own stalls and blames the silence on its peers. */
     LOCAL_STALL_IGNORED,
-    /** Records are merged that are older than the known ones. */
+    /** Members merge records that are older than the known ones. */
     STALE_RECORDS_ACCEPTED
 }
--- a/src/main/java/junipercourse/fleet/membership/LocalIncarnation.java
+++ b/src/main/java/junipercourse/fleet/membership/LocalIncarnation.java
@@ -8,20 +8,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The incarnation of the local member: how it is chosen, defended and given up.
+ * Chooses the incarnation of the local member, refutes claims about it, and yields it on conflict.
  *
- * <p>Before anything else, the seeds are asked for the records of our name; the incarnation is the
- * highest known one plus one. If nobody answers in time, one is begun all the same, and raised at
- * once when a higher one of ours is reported.
+ * <p>At the start, it requests the records of the local name from the seeds; the new incarnation
+ * follows the highest known one. If no member responds in time, it begins one without, and raises
+ * it as soon as a higher incarnation of the name is received.
  *
- * <p>If two processes use one name, the higher incarnation holds. A process that learns of a higher
- * one at its own address has found a predecessor and raises its own. If it learns of it at another
- * address, it gives up its incarnation and probes that address. Only when the other process has
- * been silent for a time that doubles each time, or has left, does it begin a new incarnation.
+ * <p>If two processes use one name, the higher incarnation wins. A higher incarnation at the same
+ * address belongs to a predecessor: the process raises its own above it. If the address differs,
+ * the process yields: it drops its incarnation and probes that address. It begins a new one only
+ * once the other process has left or has been silent for a time that doubles with each reclaim.
  */
 final class LocalIncarnation {
     private static final double REQUEST_INTERVAL_SECONDS = 0.2;
-    private static final double CONFLICT_REQUEST_INTERVAL_SECONDS = 0.5; // to a conflicting member
+    private static final double CONFLICT_REQUEST_INTERVAL_SECONDS = 0.5; // while yielding
     private static final int MAX_BACKOFF_DOUBLINGS = 12;
 
     boolean reuseIncarnation; // set by tests only
@@ -33,16 +33,16 @@
     private final UniformRandomProvider random;
     private final MemberRecord recordWithoutIncarnation;
     private final MembershipListener listener;
-    private final YieldingProcess yielding;
-    private final Set<String> answeredSeeds = new TreeSet<>();
+    private final YieldingProcess yieldingProcess;
+    private final Set<String> respondedSeeds = new TreeSet<>();
     private double requestingSince;
     private double nextRequestAt;
     private long requestSequence;
-    private long highestIncarnation;
-    private boolean memberAnswered;
+    private long highestKnownIncarnation;
+    private boolean memberResponded;
     private MemberRecord conflictingMember;
     private double conflictingHeardAt;
-    private int takeovers;
+    private int reclaimCount;
 
     LocalIncarnation(
             MembershipSettings settings,
@@ -59,7 +59,7 @@
         this.seeds = seeds;
         this.random = random;
         this.listener = listener;
-        this.yielding = new YieldingProcess(listener);
+        this.yieldingProcess = new YieldingProcess(listener);
         sender.localRecord(recordWithoutIncarnation);
     }
 
@@ -69,16 +69,16 @@
     }
 
     /**
-     * Returns the other process that uses our name, whether we yielded to it or it yielded to us;
-     * null if there is none.
+     * Returns the other process that uses the local name, whether we yielded to it or it yielded to
+     * us; null if there is none.
      */
     MemberRecord conflictingMember(double now) {
-        return conflictingMember != null ? conflictingMember : yielding.recent(now);
+        return conflictingMember != null ? conflictingMember : yieldingProcess.recentRecord(now);
     }
 
-    /** Notes that another process at another address uses our name and yields to us. */
-    void nameConflictDetected(MemberRecord other, double now) {
-        yielding.seen(other, sender.localRecord(), now);
+    /** Records that a process at another address uses the local name and has yielded to us. */
+    void recordYieldingProcess(MemberRecord other, double now) {
+        yieldingProcess.recordHeard(other, sender.localRecord(), now);
     }
 
     void start(double now) {
@@ -87,32 +87,32 @@
         requestSequence = sender.nextSequence();
     }
 
-    /** Restarts the timeouts after a stall: what we did not read then is no silence of others. */
-    void stalled(double now) {
+    /** Restarts the timeouts after a stall: unread messages do not count as silence of others. */
+    void handleStall(double now) {
         requestingSince = Math.max(requestingSince, now - settings.joinWait());
         conflictingHeardAt = now;
     }
 
-    /** Sends the requests that are due; returns true if a new incarnation must begin now. */
+    /** Sends requests that are due; returns true if a new incarnation must begin now. */
     boolean tick(double now) {
         if (conflictingMember != null) {
             if (conflictingMember.status() == MemberStatus.LEFT
                     || now - conflictingHeardAt
                             >= settings.nameConflictWait()
-                                    * (1L << Math.min(takeovers, MAX_BACKOFF_DOUBLINGS))) {
-                takeovers++;
+                                    * (1L << Math.min(reclaimCount, MAX_BACKOFF_DOUBLINGS))) {
+                reclaimCount++;
                 return true;
             }
-        } else if (answeredSeeds.size() >= seeds.size()
-                || memberAnswered && now - requestingSince >= settings.joinWait()) {
+        } else if (respondedSeeds.size() >= seeds.size()
+                || memberResponded && now - requestingSince >= settings.joinWait()) {
             return true;
         } else if (now - requestingSince >= settings.joinTimeout()) {
             listener.log(
-                    "no seed knows an earlier incarnation of "
+                    "no member answered a request for earlier incarnations of "
                             + recordWithoutIncarnation.name()
-                            + " in "
+                            + " within "
                             + settings.joinTimeout()
-                            + " s; starting without");
+                            + " s; starting without an answer");
             return true;
         }
         if (now >= nextRequestAt) {
@@ -159,13 +159,13 @@
         }
     }
 
-    /** Takes in a message while the local member has no incarnation. */
-    void messageReceived(GossipMessage message, double now) {
+    /** Handles a message while the local member has no incarnation. */
+    void handleMessage(GossipMessage message, double now) {
         if (message.kind() == Kind.SYNC_RESPONSE
                 && message.sequence() == requestSequence
                 && !message.sender().equals(recordWithoutIncarnation.name())) {
-            answeredSeeds.add(message.sender());
-            memberAnswered |= message.senderIncarnation() > 0;
+            respondedSeeds.add(message.sender());
+            memberResponded |= message.senderIncarnation() > 0;
         }
         if (conflictingMember != null
                 && message.sender().equals(recordWithoutIncarnation.name())
@@ -174,9 +174,9 @@
         }
     }
 
-    /** Takes in a record of our own name while the local member has no incarnation. */
-    void recordReceived(MemberRecord record) {
-        highestIncarnation = Math.max(highestIncarnation, record.incarnation());
+    /** Handles a record of the local name while the local member has no incarnation. */
+    void handleRecord(MemberRecord record) {
+        highestKnownIncarnation = Math.max(highestKnownIncarnation, record.incarnation());
         if (conflictingMember != null && record.compareTo(conflictingMember) > 0) {
             conflictingMember = record;
         }
@@ -185,29 +185,29 @@
     /** Begins a new incarnation above all known ones; returns its first record. */
     MemberRecord begin() {
         conflictingMember = null;
-        MemberRecord latest = memberTable.latestRecord(recordWithoutIncarnation.name());
-        if (latest != null) {
-            highestIncarnation = Math.max(highestIncarnation, latest.incarnation());
+        MemberRecord latestRecord = memberTable.latestRecord(recordWithoutIncarnation.name());
+        if (latestRecord != null) {
+            highestKnownIncarnation = Math.max(highestKnownIncarnation, latestRecord.incarnation());
         }
-        highestIncarnation =
+        highestKnownIncarnation =
                 reuseIncarnation
                         ? MemberId.nextIncarnation(0, 1)
-                        : MemberId.nextIncarnation(highestIncarnation, random.nextInt());
-        MemberRecord first =
+                        : MemberId.nextIncarnation(highestKnownIncarnation, random.nextInt());
+        MemberRecord firstRecord =
                 new MemberRecord(
                         recordWithoutIncarnation.name(),
-                        highestIncarnation,
+                        highestKnownIncarnation,
                         0,
                         MemberStatus.ALIVE,
                         recordWithoutIncarnation.address(),
                         recordWithoutIncarnation.zone());
-        sender.localRecord(first);
-        listener.log("starting as " + first.memberId() + " at " + first.address());
-        return first;
+        sender.localRecord(firstRecord);
+        listener.log("starting as " + firstRecord.memberId() + " at " + firstRecord.address());
+        return firstRecord;
     }
 
-    /** Returns our answer to a greater record of our own name; null if we yield the name. */
-    MemberRecord challenge(MemberRecord received, double now) {
+    /** Returns the new local record, greater than the received one; null if we yield the name. */
+    MemberRecord refuteOrYield(MemberRecord received, double now) {
         MemberRecord localRecord = sender.localRecord();
         boolean sameAddress = received.address().equals(localRecord.address());
         if (received.incarnation() == localRecord.incarnation()
@@ -217,16 +217,16 @@
             sender.localRecord(refutation);
             return refutation;
         }
-        highestIncarnation = Math.max(highestIncarnation, received.incarnation());
+        highestKnownIncarnation = Math.max(highestKnownIncarnation, received.incarnation());
         if (sameAddress
                 || received.status() == MemberStatus.LEFT
                 || received.incarnation() == localRecord.incarnation()) {
             listener.log(
-                    "received a record of "
+                    "beginning a new incarnation: received a record of "
                             + received.memberId()
                             + " at "
                             + received.address()
-                            + " while we are "
+                            + ", but the local member is "
                             + localRecord.memberId());
             return begin();
         }
@@ -239,7 +239,7 @@
                         + localRecord.memberId()
                         + " at "
                         + localRecord.address()
-                        + " yields while that one is heard");
+                        + " yields the name while the other responds");
         conflictingMember = received;
         conflictingHeardAt = now;
         nextRequestAt = now;
--- a/src/main/java/junipercourse/fleet/membership/MemberRecord.java
+++ b/src/main/java/junipercourse/fleet/membership/MemberRecord.java
@@ -1,19 +1,19 @@
 package junipercourse.fleet.membership;
 
 /**
- * What is known of one incarnation of a member. Idempotent: records may be lost, duplicated,
- * delayed or reordered.
+ * What is known of one incarnation of a member. Merging is idempotent and commutative, so records
+ * may be lost, duplicated, delayed or reordered.
  *
  * <p>Records of one name are merged by taking the greatest ({@link #compareTo}): the higher
  * incarnation; within an incarnation {@code LEFT}, which only its subject declares; then the higher
- * version; then the graver status; and last address and zone, so that any two members choose the
- * same one.
+ * version; then the later status in the order of {@link MemberStatus}; and last address and zone,
+ * so that all members choose the same one.
  *
- * <p>Versions of an incarnation are increased by two, by its subject alone: it refutes a suspicion
- * by the next even version. An odd version makes the record a <em>tombstone</em>: others create it
- * of an unreachable or left incarnation after a configured time; it is neither shown nor counted in
- * the digest. Since it is the greater record, delayed ones do not bring the member back; its
- * subject can, by the next even version.
+ * <p>Only the subject increases the version, in steps of two: it refutes a suspicion with the next
+ * even version. An odd version marks a <em>tombstone</em>, which other members create for an
+ * incarnation that was unreachable or left for a configured time; it appears neither in snapshots
+ * nor in the digest. Because it is the greater record, delayed records do not revive the member;
+ * its subject can, with the next even version.
  *
  * @param name the member's name, at most {@link #MAX_NAME_LENGTH} characters
  * @param incarnation the incarnation
@@ -30,16 +30,16 @@
         String address,
         String zone)
         implements Comparable<MemberRecord> {
-    /** Most characters of a name. */
+    /** Maximum length of a name in characters. */
     public static final int MAX_NAME_LENGTH = 40;
 
-    /** Most characters of an address: a numeric IPv6 address in brackets, a colon and a port. */
+    /** Maximum length of an address: a numeric IPv6 address in brackets, a colon and a port. */
     public static final int MAX_ADDRESS_LENGTH = 48;
 
-    /** Most characters of a zone. */
+    /** Maximum length of a zone in characters. */
     public static final int MAX_ZONE_LENGTH = 40;
 
-    /** Most bytes of a record beyond its texts: tags, lengths, two numbers, status. */
+    /** Maximum size of a record without its texts: tags, lengths, two numbers, status. */
     static final int OVERHEAD_BYTES = 32;
 
     private static final int VARINT_BITS = 7;
@@ -65,15 +65,15 @@
         }
     }
 
-    /** Checks a text; the message of the exception begins with {@code key}. */
-    static void checkText(String key, String value, int most, int least) {
-        if (value == null || value.length() < least || value.length() > most) {
+    /** Checks length and characters of a text; the exception's message begins with {@code key}. */
+    static void checkText(String key, String value, int maxLength, int minLength) {
+        if (value == null || value.length() < minLength || value.length() > maxLength) {
             throw new IllegalArgumentException(
                     key
                             + ": "
-                            + least
+                            + minLength
                             + " to "
-                            + most
+                            + maxLength
                             + " characters are allowed, got "
                             + (value == null ? "none" : value.length()));
         }
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Returns true if the incarnation was unreachable or left for so long that it is no longer
-     * shown.
+     * Returns true if the incarnation was unreachable or left for so long that it was removed from
+     * the membership.
      */
     public boolean isTombstone() {
         return (version & 1) == 1;
@@ -103,7 +103,7 @@
         return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECT;
     }
 
-    /** Returns its bytes in a datagram, tag and length included. */
+    /** Returns the size in bytes within a datagram, tag and length included. */
     public int encodedSize() {
         int content =
                 2
@@ -120,17 +120,17 @@
         return 1 + varintSize(content) + content;
     }
 
-    /** Returns the bytes of a number in protobuf's encoding of seven bits a byte. */
-    static int varintSize(long number) {
-        return (Long.SIZE - Long.numberOfLeadingZeros(number | 1) + VARINT_BITS - 1) / VARINT_BITS;
+    /** Returns the size in bytes of a protobuf varint, which holds seven bits a byte. */
+    static int varintSize(long value) {
+        return (Long.SIZE - Long.numberOfLeadingZeros(value | 1) + VARINT_BITS - 1) / VARINT_BITS;
     }
 
-    MemberRecord with(MemberStatus next) {
-        return new MemberRecord(name, incarnation, version, next, address, zone);
+    MemberRecord with(MemberStatus newStatus) {
+        return new MemberRecord(name, incarnation, version, newStatus, address, zone);
     }
 
-    MemberRecord with(long nextVersion) {
-        return new MemberRecord(name, incarnation, nextVersion, status, address, zone);
+    MemberRecord with(long newVersion) {
+        return new MemberRecord(name, incarnation, newVersion, status, address, zone);
     }
 
     @Override
--- a/src/main/java/junipercourse/fleet/membership/MemberStatus.java
+++ b/src/main/java/junipercourse/fleet/membership/MemberStatus.java
@@ -1,16 +1,16 @@
 package junipercourse.fleet.membership;
 
 /**
- * The status of a member. None of these states that a process has stopped: silence proves only that
- * it is not heard.
+ * The status of a member. No status means that the process has stopped: silence proves only that no
+ * messages arrive from it.
  */
 public enum MemberStatus {
-    /** It is heard, by us or by a member that reported so. */
+    /** Messages arrive from it, here or at a member that reported so. */
     ALIVE,
-    /** It did not answer probes; it has some time to refute the suspicion. */
+    /** It missed probes; it can refute the suspicion until the suspicion timeout. */
     SUSPECT,
-    /** It did not refute the suspicion in time. It may still run and act as before. */
+    /** It did not refute the suspicion in time. It may still be running. */
     UNREACHABLE,
-    /** It has declared that this incarnation is over. */
+    /** It has announced the end of this incarnation. */
     LEFT
 }
--- a/src/main/java/junipercourse/fleet/membership/MemberTable.java
+++ b/src/main/java/junipercourse/fleet/membership/MemberTable.java
@@ -10,15 +10,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The known members, each with its greatest record, and tombstones of removed ones that outrank
- * delayed records. Records only grow in their order; bounded by {@link
- * MembershipSettings#maxMembers} and {@link MembershipSettings#maxTombstones}.
+ * The known members, each with its greatest record, and tombstones of removed members, which are
+ * greater than delayed records. A record is only replaced by a greater one. The size is limited by
+ * {@link MembershipSettings#maxMembers} and {@link MembershipSettings#maxTombstones}.
  */
 final class MemberTable {
-    /** Members that {@link #allDigestsMatch} examines if there are more. */
+    /** Number of matching digests that {@link #allDigestsMatch} requires in a larger fleet. */
     static final int AGREEMENT_SAMPLE_SIZE = 24;
 
-    /** Largest age of a digest in that sample. */
+    /** Maximum age of a digest in that sample. */
     static final double AGREEMENT_SAMPLE_SECONDS = 2.5;
 
     private final MembershipSettings settings;
@@ -30,15 +30,15 @@
     /** Set by tests only: merges records that are older than the known ones. */
     boolean acceptStaleRecords;
 
-    /** What became of a record. */
+    /** The result of merging a record. */
     enum MergeResult {
-        /** A greater record is known. */
+        /** A greater record is already known. */
         STALE,
-        /** The record is known. */
+        /** The same record is already known. */
         UNCHANGED,
-        /** It is the greatest record now, and the digest shows the change. */
+        /** The record was stored, and the digest has changed. */
         DIGEST_CHANGED,
-        /** It is the greatest record now; the digest does not show the change. */
+        /** The record was stored; the digest is the same. */
         CHANGED,
         /** The table has no capacity for another member. */
         TABLE_FULL
@@ -70,47 +70,47 @@
 
     /** Returns a random member that meets a condition; null if there is none. */
     PeerState randomMatching(UniformRandomProvider random, Predicate<MemberRecord> condition) {
-        PeerState drawn = null;
-        int count = 0;
+        PeerState selected = null;
+        int matches = 0;
         for (PeerState peer : peers.values()) {
-            if (condition.test(peer.record) && random.nextInt(++count) == 0) {
-                drawn = peer;
+            if (condition.test(peer.record) && random.nextInt(++matches) == 0) {
+                selected = peer;
             }
         }
-        return drawn;
+        return selected;
     }
 
     /**
-     * Returns true if every present member but {@code self} last sent our digest. In a fleet of
-     * over {@link #AGREEMENT_SAMPLE_SIZE} others, every one that was heard recently must agree, and
-     * at least that many: to hear all of them would take messages between every pair of members.
+     * Returns true if every present member but the local one last sent our digest. In a fleet of
+     * over {@link #AGREEMENT_SAMPLE_SIZE} others, all recent digests must match, and there must be
+     * at least that many: recent digests of all would take messages between every pair of members.
      */
-    boolean allDigestsMatch(String self, double now) {
+    boolean allDigestsMatch(String localName, double now) {
         long ownDigest = digest();
-        boolean allMustAgree = presentCount - 1 <= AGREEMENT_SAMPLE_SIZE;
-        int agreeing = 0;
+        boolean allMustMatch = presentCount - 1 <= AGREEMENT_SAMPLE_SIZE;
+        int matching = 0;
         for (PeerState peer : peers.values()) {
-            if (!peer.record.isPresent() || peer.record.name().equals(self)) {
+            if (!peer.record.isPresent() || peer.record.name().equals(localName)) {
                 continue;
             }
-            boolean fresh = now - peer.digestReceivedAt <= AGREEMENT_SAMPLE_SECONDS;
-            if (peer.digest != ownDigest && (allMustAgree || fresh)) {
+            boolean isFresh = now - peer.digestReceivedAt <= AGREEMENT_SAMPLE_SECONDS;
+            if (peer.digest != ownDigest && (allMustMatch || isFresh)) {
                 return false;
             }
-            agreeing += fresh && peer.digest == ownDigest ? 1 : 0;
+            matching += isFresh && peer.digest == ownDigest ? 1 : 0;
         }
-        return allMustAgree || agreeing >= AGREEMENT_SAMPLE_SIZE;
+        return allMustMatch || matching >= AGREEMENT_SAMPLE_SIZE;
     }
 
-    /** Returns all members as a snapshot shows them. */
+    /** Returns views of all members for a snapshot. */
     List<MembershipSnapshot.MemberView> snapshotMembers() {
-        List<MembershipSnapshot.MemberView> seen = new ArrayList<>(peers.size());
+        List<MembershipSnapshot.MemberView> views = new ArrayList<>(peers.size());
         for (PeerState peer : peers.values()) {
-            seen.add(
+            views.add(
                     new MembershipSnapshot.MemberView(
                             peer.record, peer.statusSince, peer.lastHeardAt));
         }
-        return seen;
+        return views;
     }
 
     /** Returns the greatest record of a name, tombstones included; null if there is none. */
@@ -119,36 +119,38 @@
         return peer != null ? peer.record : tombstones.get(name);
     }
 
-    /** Takes over a record if it is greater than the known one. */
-    MergeResult merge(MemberRecord next, double now) {
-        MemberRecord known = latestRecord(next.name());
-        int order = known == null ? 1 : next.compareTo(known);
+    /** Stores a record if it is greater than the known one. */
+    MergeResult merge(MemberRecord newRecord, double now) {
+        MemberRecord knownRecord = latestRecord(newRecord.name());
+        int order = knownRecord == null ? 1 : newRecord.compareTo(knownRecord);
         if (order <= 0 && !(acceptStaleRecords && order < 0)) {
             return order < 0 ? MergeResult.STALE : MergeResult.UNCHANGED;
         }
-        PeerState peer = peers.get(next.name());
-        long before = digest.value();
-        if (next.isTombstone() || peer == null && next.status() == MemberStatus.LEFT) {
-            addTombstone(next);
-            return before == digest.value() ? MergeResult.CHANGED : MergeResult.DIGEST_CHANGED;
+        PeerState peer = peers.get(newRecord.name());
+        long previousDigest = digest.value();
+        if (newRecord.isTombstone() || peer == null && newRecord.status() == MemberStatus.LEFT) {
+            addTombstone(newRecord);
+            return previousDigest == digest.value()
+                    ? MergeResult.CHANGED
+                    : MergeResult.DIGEST_CHANGED;
         }
-        if (peer == null && peers.size() >= settings.maxMembers() && !evictOneThatLeft()) {
+        if (peer == null && peers.size() >= settings.maxMembers() && !evictLeftMember()) {
             return MergeResult.TABLE_FULL;
         }
         if (peer == null) {
-            tombstones.remove(next.name());
-            peer = new PeerState(next, MembershipDigest.bucketOf(next.name()), now);
-            peers.put(next.name(), peer);
+            tombstones.remove(newRecord.name());
+            peer = new PeerState(newRecord, MembershipDigest.bucketOf(newRecord.name()), now);
+            peers.put(newRecord.name(), peer);
         } else {
-            remove(peer);
-            peer.update(next, now);
+            removeFromTotals(peer);
+            peer.update(newRecord, now);
         }
-        presentCount += next.isPresent() ? 1 : 0;
+        presentCount += newRecord.isPresent() ? 1 : 0;
         digest.add(peer);
-        return before == digest.value() ? MergeResult.CHANGED : MergeResult.DIGEST_CHANGED;
+        return previousDigest == digest.value() ? MergeResult.CHANGED : MergeResult.DIGEST_CHANGED;
     }
 
-    private void remove(PeerState peer) {
+    private void removeFromTotals(PeerState peer) {
         presentCount -= peer.record.isPresent() ? 1 : 0;
         digest.remove(peer);
     }
@@ -156,7 +158,7 @@
     private void addTombstone(MemberRecord record) {
         PeerState removed = peers.remove(record.name());
         if (removed != null) {
-            remove(removed);
+            removeFromTotals(removed);
         }
         tombstones.remove(record.name());
         tombstones.put(record.name(), record);
@@ -167,7 +169,7 @@
         }
     }
 
-    private boolean evictOneThatLeft() {
+    private boolean evictLeftMember() {
         for (PeerState peer : peers.values()) {
             if (peer.record.status() == MemberStatus.LEFT) {
                 addTombstone(peer.record);
@@ -177,29 +179,29 @@
         return false;
     }
 
-    /** Returns tombstones for the members whose time is over, to be merged and disseminated. */
-    List<MemberRecord> expiredRecords(double now) {
-        List<MemberRecord> due = new ArrayList<>();
+    /** Returns tombstones to merge and disseminate for members whose retention time is over. */
+    List<MemberRecord> expiryTombstones(double now) {
+        List<MemberRecord> expired = new ArrayList<>();
         for (PeerState peer : peers.values()) {
-            double after =
+            double retentionSeconds =
                     peer.record.status() == MemberStatus.LEFT
                             ? settings.forgetLeft()
                             : peer.record.status() == MemberStatus.UNREACHABLE
                                     ? settings.forgetUnreachable()
                                     : Double.MAX_VALUE;
-            if (now - peer.statusSince > after) {
-                due.add(peer.record.with(peer.record.version() | 1));
+            if (now - peer.statusSince > retentionSeconds) {
+                expired.add(peer.record.with(peer.record.version() | 1));
             }
         }
-        return due;
+        return expired;
     }
 
     /**
-     * Returns what a member with these bucket digests must learn: all records of each bucket that
-     * differs, tombstones included, since it may still list those members.
+     * Returns the records that a peer with these bucket digests may lack: all records of each
+     * bucket that differs, tombstones included, since the peer may still list those members.
      */
-    List<MemberRecord> differingRecords(List<Integer> theirBuckets) {
-        Predicate<String> differs = digest.differsFrom(theirBuckets);
+    List<MemberRecord> differingRecords(List<Integer> peerBucketDigests) {
+        Predicate<String> differs = digest.differsFrom(peerBucketDigests);
         List<MemberRecord> differing = new ArrayList<>();
         for (PeerState peer : peers.values()) {
             if (differs.test(peer.record.name())) {
--- a/src/main/java/junipercourse/fleet/membership/MembershipDigest.java
+++ b/src/main/java/junipercourse/fleet/membership/MembershipDigest.java
@@ -10,17 +10,17 @@
 /**
  * The digest that members compare: sums of a hash of each record, one over all and one for each
  * bucket of names, so that two members whose digests differ exchange only the buckets that differ.
- * Updated at each change, without a look at other members. Members that have left are not included.
+ * Each change updates it in constant time. Members that have left are not included.
  */
 final class MembershipDigest {
     private static final int MAX_TEXT_BYTES =
             MemberRecord.MAX_NAME_LENGTH
                     + MemberRecord.MAX_ADDRESS_LENGTH
                     + MemberRecord.MAX_ZONE_LENGTH;
-    private static final int TEXT_COUNT = 3; // each with a length of one byte
+    private static final int TEXT_COUNT = 3; // each is preceded by a length byte
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-    /** Members for each bucket digest: a response holds the records of about three buckets. */
+    /** Members for each bucket digest; a response has space for the records of about 3 buckets. */
     private static final int MEMBERS_PER_BUCKET = 8;
 
     private final long[] bucketSums = new long[GossipMessage.MAX_BUCKETS];
@@ -37,7 +37,7 @@
         addHash(peer, peer.recordHash);
     }
 
-    /** Removes a member's record as it was added. */
+    /** Removes a member's record, by the hash with which it was added. */
     void remove(PeerState peer) {
         addHash(peer, -peer.recordHash);
     }
@@ -53,39 +53,40 @@
                 & GossipMessage.MAX_BUCKETS - 1;
     }
 
-    /** Returns the digest of each bucket, as many as suit a number of members. */
-    List<Integer> bucketDigests(int members) {
+    /** Returns the bucket digests; their number is a power of two that suits the member count. */
+    List<Integer> bucketDigests(int memberCount) {
         return foldTo(
                 Integer.highestOneBit(
                         Math.max(
                                 1,
                                 Math.min(
-                                        GossipMessage.MAX_BUCKETS, members / MEMBERS_PER_BUCKET))));
+                                        GossipMessage.MAX_BUCKETS,
+                                        memberCount / MEMBERS_PER_BUCKET))));
     }
 
-    /** Folds the buckets to a power of two, by the lower bits of their numbers. */
-    private List<Integer> foldTo(int count) {
-        List<Integer> digests = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
+    /** Combines the buckets into a smaller power of two, by the lower bits of their numbers. */
+    private List<Integer> foldTo(int bucketCount) {
+        List<Integer> digests = new ArrayList<>(bucketCount);
+        for (int bucket = 0; bucket < bucketCount; bucket++) {
             long sum = 0;
-            for (int j = i; j < bucketSums.length; j += count) {
-                sum += bucketSums[j];
+            for (int sourceBucket = bucket;
+                    sourceBucket < bucketSums.length;
+                    sourceBucket += bucketCount) {
+                sum += bucketSums[sourceBucket];
             }
             digests.add((int) (sum ^ sum >>> Integer.SIZE));
         }
         return digests;
     }
 
-    /**
-     * Returns a condition on names: whether their bucket differs between our digests and others.
-     */
-    Predicate<String> differsFrom(List<Integer> theirBuckets) {
-        List<Integer> ownBuckets = foldTo(theirBuckets.size());
-        int bucketMask = theirBuckets.size() - 1;
+    /** Returns a predicate that tells whether a name's bucket differs from that of a peer. */
+    Predicate<String> differsFrom(List<Integer> peerBucketDigests) {
+        List<Integer> ownBucketDigests = foldTo(peerBucketDigests.size());
+        int bucketMask = peerBucketDigests.size() - 1;
         return name ->
-                !ownBuckets
+                !ownBucketDigests
                         .get(bucketOf(name) & bucketMask)
-                        .equals(theirBuckets.get(bucketOf(name) & bucketMask));
+                        .equals(peerBucketDigests.get(bucketOf(name) & bucketMask));
     }
 
     private static long hash(MemberRecord record) {
--- a/src/main/java/junipercourse/fleet/membership/MembershipListener.java
+++ b/src/main/java/junipercourse/fleet/membership/MembershipListener.java
@@ -1,16 +1,16 @@
 package junipercourse.fleet.membership;
 
 /**
- * Carries out what the membership protocol decides. Called within the protocol's own methods; must
- * not call it back.
+ * Receives the output of the membership protocol. Called within the protocol's methods, which it
+ * must not call in turn.
  */
 public interface MembershipListener {
-    /** Sends one datagram. It may be lost: whatever matters is sent again. */
+    /** Sends one datagram. Datagrams may be lost: the protocol repeats what matters. */
     void send(String address, GossipMessage message);
 
-    /** Reports that the membership has changed; only the latest snapshot is valid. */
+    /** Handles a change of the membership; each snapshot replaces the earlier ones. */
     void membershipChanged(MembershipSnapshot snapshot);
 
-    /** Writes one line to the operators' log; at most a few for each change. */
-    void log(String line);
+    /** Logs a line for operators; there are at most a few for each change. */
+    void log(String message);
 }
--- a/src/main/java/junipercourse/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/junipercourse/fleet/membership/MembershipProtocol.java
@@ -6,15 +6,16 @@
 
 /**
  * The membership protocol of one member: SWIM with Lifeguard's local health, as described in {@code
- * docs/design/fleet-view.md}. Pure: messages and times come in, messages and snapshots go out; no
- * I/O, no clock, no threads. Times are seconds of one monotonic clock. Must be used by one thread.
+ * docs/design/fleet-view.md}. Performs no I/O, reads no clock and starts no threads: callers pass
+ * messages and times in, and messages and snapshots go to a listener. Times are seconds of one
+ * monotonic clock. Not thread-safe.
  *
  * <p>{@link #nextTickAt} states when {@link #tick} is due. A tick that is late by more than {@link
- * #STALL_SECONDS} is taken for a stall of our own, as if {@link #handleStall} had been called: no
- * silence of that time counts against other members.
+ * #STALL_SECONDS} counts as a stall of the local process, as if {@link #handleStall} had been
+ * called: silence during a stall does not count against other members.
  */
 public final class MembershipProtocol {
-    /** Seconds of delay from which a tick counts as stalled. */
+    /** Delay of a tick beyond which the local process counts as stalled. */
     static final double STALL_SECONDS = 0.3;
 
     private static final double EXPIRY_INTERVAL_SECONDS = 1;
@@ -31,11 +32,11 @@
     private final PeerContact peerContact;
     private final MessageHandler messageHandler;
     private final MembershipListener listener;
-    private InjectedFault faults = InjectedFault.NONE;
+    private InjectedFault injectedFault = InjectedFault.NONE;
     private double nextTickAt = Double.POSITIVE_INFINITY;
     private double lastEventAt;
     private double nextExpiryAt;
-    private boolean left;
+    private boolean hasLeft;
     private boolean converged;
 
     /**
@@ -44,12 +45,12 @@
      * @param name the member's name in the fleet
      * @param address {@code host:port} for messages; fixed for the incarnation
      * @param zone the zone in which it runs; may be empty
-     * @param seeds addresses that are contacted at the start and while they are no members; at most
-     *     32; the own address is ignored
-     * @param seed seeds all random numbers; must differ at each start, or an incarnation may be
-     *     mistaken for an earlier one
-     * @param listener carries out what the protocol decides
-     * @throws IllegalArgumentException if a text is out of bounds; its message names the key
+     * @param seeds addresses to contact at the start and whenever no present member has them; at
+     *     most 32; the local address is ignored
+     * @param randomSeed seed of the random generator; must differ at each start, or an incarnation
+     *     may be mistaken for an earlier one
+     * @param listener receives messages, snapshots and log lines
+     * @throws IllegalArgumentException if an argument is invalid; its message names the key
      */
     public MembershipProtocol(
             MembershipSettings settings,
@@ -57,12 +58,12 @@
             String address,
             String zone,
             List<String> seeds,
-            long seed,
+            long randomSeed,
             MembershipListener listener) {
         this.settings = settings;
         List<String> otherSeeds = otherSeeds(seeds, address);
         this.listener = listener;
-        UniformRandomProvider random = new SplitMix64(seed);
+        UniformRandomProvider random = new SplitMix64(randomSeed);
         this.memberTable = new MemberTable(settings);
         this.sender = new MessageSender(settings, memberTable, dissemination, listener);
         this.failureDetector = new FailureDetector(settings, memberTable, sender, random);
@@ -100,30 +101,30 @@
 
     private static List<String> otherSeeds(List<String> seeds, String address) {
         List<String> others =
-                seeds.stream().filter(each -> !each.equals(address)).distinct().toList();
+                seeds.stream().filter(seed -> !seed.equals(address)).distinct().toList();
         if (others.size() > MAX_SEEDS) {
             throw new IllegalArgumentException(
-                    "seeds: " + MAX_SEEDS + " are allowed, got " + others.size());
+                    "seeds: at most " + MAX_SEEDS + " are allowed, got " + others.size());
         }
         others.forEach(
-                each -> MemberRecord.checkText("seed", each, MemberRecord.MAX_ADDRESS_LENGTH, 1));
+                seed -> MemberRecord.checkText("seed", seed, MemberRecord.MAX_ADDRESS_LENGTH, 1));
         return others;
     }
 
     /** Injects a fault; for tests only. */
     void inject(InjectedFault fault) {
-        faults = fault;
+        injectedFault = fault;
         memberTable.acceptStaleRecords = fault == InjectedFault.STALE_RECORDS_ACCEPTED;
         localIncarnation.reuseIncarnation = fault == InjectedFault.REUSED_INCARNATION;
     }
 
     /**
-     * Starts to look for earlier incarnations of the name; the own one begins once that is answered
-     * or has timed out.
+     * Starts the search for earlier incarnations of the name; the local incarnation begins once
+     * that is answered or has timed out.
      */
     public void start(double now) {
         if (nextTickAt != Double.POSITIVE_INFINITY) {
-            throw new IllegalStateException("was started");
+            throw new IllegalStateException("membership protocol has already been started");
         }
         nextTickAt = now;
         sender.setTime(now);
@@ -136,17 +137,17 @@
         return nextTickAt;
     }
 
-    /** Takes in a message; {@code fromAddress} is for replies if it states no other. */
-    public void handleMessage(double now, String fromAddress, GossipMessage message) {
-        if (left || nextTickAt == Double.POSITIVE_INFINITY) {
+    /** Handles a message; replies go to {@code sourceAddress} unless it gives another address. */
+    public void handleMessage(double now, String sourceAddress, GossipMessage message) {
+        if (hasLeft || nextTickAt == Double.POSITIVE_INFINITY) {
             return;
         }
         sender.setTime(now);
-        messageHandler.handle(now, fromAddress, message);
+        messageHandler.handle(now, sourceAddress, message);
         publishIfChanged(now);
     }
 
-    /** Does what is due. */
+    /** Performs all periodic work that is due, and detects stalls of the local process. */
     public void tick(double now) {
         if (now - nextTickAt > STALL_SECONDS) {
             handleStall(now, now - nextTickAt);
@@ -156,7 +157,7 @@
         }
         nextTickAt = Math.max(nextTickAt, now) + settings.tickInterval();
         sender.setTime(now);
-        if (left) {
+        if (hasLeft) {
             nextTickAt = peerContact.broadcastLeave() ? Double.POSITIVE_INFINITY : nextTickAt;
         } else if (!localIncarnation.isActive()) {
             if (localIncarnation.tick(now)) {
@@ -166,11 +167,11 @@
         } else {
             failureDetector.tick(now, record -> recordMerger.merge(record, true, now));
             peerContact.reconnect(now);
-            peerContact.probeDiffering(now);
+            peerContact.probeDifferingPeers(now);
             if (now >= nextExpiryAt) {
                 nextExpiryAt = now + EXPIRY_INTERVAL_SECONDS;
                 memberTable
-                        .expiredRecords(now)
+                        .expiryTombstones(now)
                         .forEach(record -> recordMerger.merge(record, true, now));
             }
         }
@@ -178,26 +179,26 @@
     }
 
     /**
-     * Notes that a stall of our own has just ended, in which nothing was read: probes and suspicion
-     * timeouts start afresh.
+     * Handles the end of a stall, during which no messages were read: restarts probes and suspicion
+     * timeouts.
      */
-    public void handleStall(double now, double seconds) {
+    public void handleStall(double now, double stallSeconds) {
         nextTickAt = Math.max(nextTickAt, now);
-        if (faults != InjectedFault.LOCAL_STALL_IGNORED) {
+        if (injectedFault != InjectedFault.LOCAL_STALL_IGNORED) {
             failureDetector.restart(now);
-            localIncarnation.stalled(now);
+            localIncarnation.handleStall(now);
         }
     }
 
     /**
-     * Declares that this incarnation is over, and repeats that for some ticks, until {@link
+     * Announces the end of this incarnation, and repeats that for some ticks, until {@link
      * #nextTickAt} is infinity.
      */
     public void leave(double now) {
-        if (left) {
+        if (hasLeft) {
             return;
         }
-        left = true;
+        hasLeft = true;
         sender.setTime(now);
         if (localIncarnation.isActive()) {
             MemberRecord localRecord = sender.localRecord();
@@ -210,19 +211,19 @@
         publishIfChanged(now);
     }
 
-    /** Returns another process that uses our name, as last heard; null if there is none. */
+    /** Returns the last record of another process that uses our name; null if there is none. */
     public MemberRecord conflictingMember() {
         return localIncarnation.conflictingMember(lastEventAt);
     }
 
     private void publishIfChanged(double now) {
         lastEventAt = now;
-        boolean nowConverged = isConverged();
-        if (nowConverged) {
+        boolean isConverged = isConverged();
+        if (isConverged) {
             dissemination.dropCoveredByDigest();
         }
-        if (recordMerger.takeChanged() || nowConverged != converged) {
-            converged = nowConverged;
+        if (recordMerger.getAndClearChanged() || isConverged != converged) {
+            converged = isConverged;
             listener.membershipChanged(snapshot());
         }
     }
@@ -232,9 +233,9 @@
                 && memberTable.allDigestsMatch(sender.localRecord().name(), lastEventAt);
     }
 
-    /** Returns the number of messages that the budget has held back. */
+    /** Returns the number of messages that were dropped because they exceeded the send budget. */
     public long messagesDroppedByBudget() {
-        return sender.heldBack();
+        return sender.droppedByBudget();
     }
 
     /** Returns the current membership. */
--- a/src/main/java/junipercourse/fleet/membership/MembershipSettings.java
+++ b/src/main/java/junipercourse/fleet/membership/MembershipSettings.java
@@ -1,35 +1,37 @@
 package junipercourse.fleet.membership;
 
 /**
- * Times in seconds and bounds of the membership protocol.
+ * Settings of the membership protocol. All times are in seconds.
  *
- * @param tickInterval seconds between ticks; all times below are kept to within it
- * @param probeInterval seconds between probes of members in turn; 0.15 finds a silent one soon at
- *     14 messages a second
+ * @param tickInterval seconds between ticks; the resolution of all times below
+ * @param probeInterval seconds between regular probes; 0.15 detects a silent member soon at 14
+ *     messages a second
  * @param probeTimeout seconds until an acknowledgement is due; then indirect probes are requested,
- *     and after as long again the member is suspect
- * @param indirectProbes members that are asked for an indirect probe
- * @param suspicionMin seconds that a suspect has to refute while we are healthy; more than a pause
- *     of 1 s
- * @param suspicionMax longest time to which local health extends this
- * @param maxLocalHealth highest local health score; each point extends timeouts by one part
- * @param isolationGrace seconds for which a member that receives nothing calls no other unreachable
- * @param reconnectInterval seconds between probes of unreachable members, and of seeds that are no
- *     members
+ *     and after as long again the probe counts as missed
+ * @param indirectProbes number of members that are asked for an indirect probe
+ * @param suspicionMin suspicion timeout while the local health score is 0; longer than a pause of 1
+ *     s
+ * @param suspicionMax maximum to which the local health score extends the suspicion timeout
+ * @param maxLocalHealth maximum local health score (0 is healthy); each point adds the base value
+ *     to a timeout once more
+ * @param isolationGrace seconds without any message during which a member declares no other
+ *     unreachable
+ * @param reconnectInterval seconds between probes of unreachable members, and of seeds whose
+ *     address no present member has
  * @param syncInterval seconds between anti-entropy requests
  * @param joinWait seconds that a starting member waits for further seeds once one has answered
- * @param joinTimeout seconds that it waits for a first answer before it begins an incarnation
- *     without
- * @param nameConflictWait seconds of silence after which we take our name back from a process with
- *     a higher incarnation; doubles each time
+ * @param joinTimeout seconds that a starting member waits for a first response before it begins an
+ *     incarnation without one
+ * @param nameConflictWait seconds of silence after which a member that yielded its name to another
+ *     process reclaims it; doubles each time
  * @param forgetUnreachable seconds after which an unreachable member becomes a tombstone
  * @param forgetLeft seconds after which a member that has left becomes a tombstone
- * @param maxMembers most members, the local one included; further ones are refused
- * @param maxTombstones most tombstones; the oldest are dropped first
- * @param maxRecordsPerMessage most records in a message
- * @param retransmitFactor each change is transmitted {@code retransmitFactor * ln(members + 1)}
+ * @param maxMembers maximum number of members, the local one included; further ones are rejected
+ * @param maxTombstones maximum number of tombstones; the oldest are dropped first
+ * @param maxRecordsPerMessage maximum number of records in a message
+ * @param retransmitFactor each update is transmitted {@code retransmitFactor * ln(members + 1)}
  *     times
- * @param bytesPerSecond most bytes sent in any second, the network's headers included
+ * @param bytesPerSecond maximum number of bytes sent in any second, network headers included
  * @param datagramOverhead bytes of a datagram beyond its message: network headers and the fleet's
  *     name
  */
@@ -58,18 +60,18 @@
     /** Bytes of the IPv4 and UDP headers. */
     public static final int IP_UDP_HEADER_BYTES = 28;
 
-    /** With less, a member could not acknowledge its probes. */
+    /** Minimum send budget: with less, a member could not acknowledge the probes it receives. */
     public static final int MIN_BYTES_PER_SECOND = 3000;
 
     private static final int MAX_BYTES_PER_SECOND = 10_000_000;
 
-    /** Most members that can be configured. */
+    /** Largest value of {@code maxMembers}. */
     public static final int MAX_MEMBERS = 1000;
 
     /**
      * Validates the settings.
      *
-     * @throws IllegalArgumentException if a value is out of bounds; its message names the key
+     * @throws IllegalArgumentException if a value is out of range; its message names the key
      */
     public MembershipSettings {
         requireAbove("beat", tickInterval, 0);
@@ -99,20 +101,21 @@
                 IP_UDP_HEADER_BYTES + MemberRecord.MAX_NAME_LENGTH);
     }
 
-    private static void requireAbove(String key, double value, double bound) {
-        if (!(value > bound) || value == Double.POSITIVE_INFINITY) {
-            throw new IllegalArgumentException(key + ": " + value + " is not above " + bound);
+    private static void requireAbove(String key, double value, double minExclusive) {
+        if (!(value > minExclusive) || value == Double.POSITIVE_INFINITY) {
+            throw new IllegalArgumentException(
+                    key + ": " + value + " is not above " + minExclusive);
         }
     }
 
-    private static void requireWithin(String key, int value, int least, int most) {
-        if (value < least || value > most) {
+    private static void requireWithin(String key, int value, int min, int max) {
+        if (value < min || value > max) {
             throw new IllegalArgumentException(
-                    key + ": " + value + " is not within " + least + " to " + most);
+                    key + ": " + value + " is not within " + min + " to " + max);
         }
     }
 
-    /** Returns the settings for a network that answers within a tenth of a second. */
+    /** Returns the defaults, for a network with round trips of less than 0.1 s. */
     public static MembershipSettings defaults() {
         return new MembershipSettings(
                 0.05,
@@ -138,8 +141,8 @@
                 IP_UDP_HEADER_BYTES + MemberRecord.MAX_NAME_LENGTH);
     }
 
-    /** Returns how often a change is transmitted among so many members. */
-    int transmissions(int count) {
-        return (int) Math.ceil(retransmitFactor * Math.log(count + 1.0));
+    /** Returns how many times an update is transmitted in a fleet of this size. */
+    int transmissions(int memberCount) {
+        return (int) Math.ceil(retransmitFactor * Math.log(memberCount + 1.0));
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/MessageHandler.java
+++ b/src/main/java/junipercourse/fleet/membership/MessageHandler.java
@@ -4,7 +4,7 @@
 import junipercourse.fleet.membership.GossipMessage.Kind;
 import junipercourse.fleet.membership.SendBudget.MessagePriority;
 
-/** Takes in received messages: merges their records, and answers by the kind of the message. */
+/** Handles received messages: merges their records, and acts on the kind of the message. */
 final class MessageHandler {
     private final MemberTable memberTable;
     private final MessageSender sender;
@@ -28,21 +28,21 @@
         this.recordMerger = recordMerger;
     }
 
-    /** Takes in a message; {@code fromAddress} is used for replies if it states no better one. */
-    void handle(double now, String fromAddress, GossipMessage message) {
+    /** Handles a message; replies go to {@code sourceAddress} unless it gives another address. */
+    void handle(double now, String sourceAddress, GossipMessage message) {
         for (MemberRecord record : message.records()) {
             if (record.incarnation() > 0) {
                 recordMerger.mergeReceived(record, now);
             }
         }
-        String replyAddress = replyAddress(fromAddress, message);
-        boolean sameName = message.sender().equals(sender.localRecord().name());
+        String replyAddress = replyAddress(sourceAddress, message);
+        boolean isSameName = message.sender().equals(sender.localRecord().name());
         if (!localIncarnation.isActive()) {
-            localIncarnation.messageReceived(message, now);
-            if (!sameName) {
+            localIncarnation.handleMessage(message, now);
+            if (!isSameName) {
                 respondToSyncRequest(replyAddress, message);
             }
-        } else if (sameName) {
+        } else if (isSameName) {
             handleNameConflict(now, replyAddress, message);
         } else if (message.senderIncarnation() == 0) {
             respondToSyncRequest(replyAddress, message);
@@ -51,11 +51,11 @@
         }
     }
 
-    private static String replyAddress(String fromAddress, GossipMessage message) {
+    private static String replyAddress(String sourceAddress, GossipMessage message) {
         boolean startsWithOwnRecord =
                 !message.records().isEmpty()
                         && message.records().get(0).name().equals(message.sender());
-        return startsWithOwnRecord ? message.records().get(0).address() : fromAddress;
+        return startsWithOwnRecord ? message.records().get(0).address() : sourceAddress;
     }
 
     private void respondToSyncRequest(String replyAddress, GossipMessage message) {
@@ -67,7 +67,7 @@
     private void handleNameConflict(double now, String replyAddress, GossipMessage message) {
         MemberRecord localRecord = sender.localRecord();
         if (message.kind() == Kind.PING && !replyAddress.equals(localRecord.address())) {
-            localIncarnation.nameConflictDetected(message.records().get(0), now);
+            localIncarnation.recordYieldingProcess(message.records().get(0), now);
             acknowledge(replyAddress, message, localRecord.name(), List.of());
         }
     }
@@ -89,28 +89,29 @@
             notifyOfEndedIncarnation(replyAddress, message, peer);
             return;
         }
-        failureDetector.heard(peer, now);
+        failureDetector.recordHeard(peer, now);
         peer.digest = message.digest();
         peer.digestReceivedAt = now;
         if (message.digest() != memberTable.digest()) {
-            antiEntropy.digestDiffers(peer, now);
+            antiEntropy.requestDifferingRecords(peer, now);
         }
-        handleKind(now, replyAddress, message, peer);
+        handleByKind(now, replyAddress, message, peer);
     }
 
-    /** A member whose incarnation has ended or was removed must learn that it has. */
+    /** Notifies a sender whose incarnation has ended or was removed, by our latest record of it. */
     private void notifyOfEndedIncarnation(
             String replyAddress, GossipMessage message, PeerState peer) {
-        MemberRecord latest = memberTable.latestRecord(message.sender());
-        boolean ended =
-                latest != null
-                        && (peer == null || message.senderIncarnation() < latest.incarnation());
-        if (ended) {
-            acknowledge(replyAddress, message, latest.name(), List.of(latest));
+        MemberRecord latestRecord = memberTable.latestRecord(message.sender());
+        boolean hasEnded =
+                latestRecord != null
+                        && (peer == null
+                                || message.senderIncarnation() < latestRecord.incarnation());
+        if (hasEnded) {
+            acknowledge(replyAddress, message, latestRecord.name(), List.of(latestRecord));
         }
     }
 
-    private void handleKind(
+    private void handleByKind(
             double now, String replyAddress, GossipMessage message, PeerState peer) {
         long sequence = message.sequence();
         String subject = message.subject();
@@ -121,10 +122,10 @@
                             peer, Kind.ACK, sequence, subject, null, MessagePriority.ANSWER);
                 }
             }
-            case ACK -> failureDetector.ackReceived(sequence, subject, now);
-            case PING_REQ -> failureDetector.probeRequested(peer, sequence, subject, now);
+            case ACK -> failureDetector.handleAck(sequence, subject, now);
+            case PING_REQ -> failureDetector.handleProbeRequest(peer, sequence, subject, now);
             case SYNC_REQUEST -> antiEntropy.respond(replyAddress, message);
-            case SYNC_RESPONSE -> antiEntropy.responseReceived(message);
+            case SYNC_RESPONSE -> antiEntropy.handleResponse(message);
         }
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/MessageSender.java
+++ b/src/main/java/junipercourse/fleet/membership/MessageSender.java
@@ -6,13 +6,13 @@
 import junipercourse.fleet.membership.SendBudget.MessagePriority;
 
 /**
- * Builds and sends messages within the budget: the local record first, then what the receiver must
- * know, then piggybacked updates.
+ * Builds and sends messages within the send budget. A message holds the local record, then the
+ * records that the receiver must get, then piggybacked updates.
  */
 final class MessageSender {
     /**
-     * Updates take this part of the budget that is left for them, so that the next messages have
-     * some too.
+     * Updates in one message use at most the available budget divided by this number, so that the
+     * next messages can carry some too.
      */
     private static final int DISSEMINATION_DIVISOR = 2;
 
@@ -24,7 +24,7 @@
     private MemberRecord localRecord;
     private long nextSequence;
     private double now;
-    private long heldBack;
+    private long droppedByBudget;
 
     MessageSender(
             MembershipSettings settings,
@@ -38,7 +38,7 @@
         this.budget = new SendBudget(settings.bytesPerSecond());
     }
 
-    /** Sets the time of what is sent from now on. */
+    /** Sets the current time, by which the following messages are charged to the budget. */
     void setTime(double time) {
         now = time;
     }
@@ -58,14 +58,14 @@
         return ++nextSequence;
     }
 
-    /** Returns the number of messages that the budget has held back. */
-    long heldBack() {
-        return heldBack;
+    /** Returns the number of messages that were dropped because they exceeded the budget. */
+    long droppedByBudget() {
+        return droppedByBudget;
     }
 
     /**
-     * Returns the bytes of records that a message of a priority may hold; below 0 if none may be
-     * sent.
+     * Returns the bytes available for records in a message of this priority; negative if no message
+     * may be sent.
      */
     int availableRecordBytes(MessagePriority priority) {
         return budget.available(priority, now)
@@ -84,53 +84,56 @@
     }
 
     /**
-     * Sends a message to a member. If the member is not alive by our records, the message says so,
-     * that it can refute it.
+     * Sends a message to a member. If its record here is not {@code ALIVE}, the message includes
+     * that record, so that the member can refute it.
      *
-     * @return false if the budget held the message back: then silence proves nothing
+     * @return false if the budget dropped the message: then a missing reply proves nothing
      */
     boolean sendToPeer(
             PeerState peer,
             Kind kind,
             long sequence,
             String subject,
-            MemberRecord extra,
+            MemberRecord extraRecord,
             MessagePriority priority) {
         List<MemberRecord> records = new ArrayList<>();
         if (peer.record.status() != MemberStatus.ALIVE) {
             records.add(peer.record);
         }
-        if (extra != null && !extra.name().equals(peer.record.name())) {
-            records.add(extra);
+        if (extraRecord != null && !extraRecord.name().equals(peer.record.name())) {
+            records.add(extraRecord);
         }
-        boolean peerAgrees = peer.digest == memberTable.digest();
+        boolean peerHasSameDigest = peer.digest == memberTable.digest();
         MessageContent content = new MessageContent(kind, sequence, subject, records);
-        return send(peer.record.address(), content, peerAgrees, priority);
+        return send(peer.record.address(), content, peerHasSameDigest, priority);
     }
 
     /**
      * Sends a message to an address.
      *
-     * @return false if the budget held the message back
+     * @return false if the budget dropped the message
      */
     boolean sendToAddress(String address, MessageContent content, MessagePriority priority) {
         return send(address, content, false, priority);
     }
 
     private boolean send(
-            String address, MessageContent content, boolean peerAgrees, MessagePriority priority) {
+            String address,
+            MessageContent content,
+            boolean peerHasSameDigest,
+            MessagePriority priority) {
         List<MemberRecord> records = new ArrayList<>();
         records.add(localRecord);
         records.addAll(content.records());
-        GossipMessage message = message(content, records);
+        GossipMessage message = buildMessage(content, records);
         int size = message.encodedSize() + settings.datagramOverhead();
         if (size > budget.available(priority, now)) {
-            heldBack++;
+            droppedByBudget++;
             return false;
         }
         int disseminationBytes = 0;
-        if (isMember() && content.allowsUpdates() && addUpdates(records, size, peerAgrees)) {
-            message = message(content, records);
+        if (isMember() && content.allowsUpdates() && addUpdates(records, size, peerHasSameDigest)) {
+            message = buildMessage(content, records);
             disseminationBytes = message.encodedSize() + settings.datagramOverhead() - size;
         }
         if (!budget.tryTake(priority, size, disseminationBytes, now)) {
@@ -145,15 +148,15 @@
         return localRecord.incarnation() > 0;
     }
 
-    private boolean addUpdates(List<MemberRecord> records, int size, boolean peerAgrees) {
+    private boolean addUpdates(List<MemberRecord> records, int size, boolean peerHasSameDigest) {
         int availableBytes =
                 (budget.available(MessagePriority.DISSEMINATION, now) - size)
                         / DISSEMINATION_DIVISOR;
         return dissemination.piggyback(
-                records, settings.maxRecordsPerMessage(), availableBytes, peerAgrees);
+                records, settings.maxRecordsPerMessage(), availableBytes, peerHasSameDigest);
     }
 
-    private GossipMessage message(MessageContent content, List<MemberRecord> records) {
+    private GossipMessage buildMessage(MessageContent content, List<MemberRecord> records) {
         return new GossipMessage(
                 localRecord.name(),
                 localRecord.incarnation(),
--- a/src/main/java/junipercourse/fleet/membership/OpenProbe.java
+++ b/src/main/java/junipercourse/fleet/membership/OpenProbe.java
@@ -1,13 +1,13 @@
 package junipercourse.fleet.membership;
 
-/** A probe of ours that was not acknowledged yet. */
+/** A probe by the local member that has not been acknowledged yet. */
 final class OpenProbe {
     final PeerState peer;
     final long incarnation;
     final double sentAt;
 
-    /** Whether other members were asked to probe the peer as well. */
-    boolean indirect;
+    /** Whether indirect probes of the peer have been requested from other members. */
+    boolean isIndirect;
 
     OpenProbe(PeerState peer, double sentAt) {
         this.peer = peer;
--- a/src/main/java/junipercourse/fleet/membership/PeerContact.java
+++ b/src/main/java/junipercourse/fleet/membership/PeerContact.java
@@ -7,16 +7,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Contacts members beyond the probes in turn: unreachable members and absent seeds, members whose
- * digest differs, and all on leaving.
+ * Contacts members outside the regular probes: unreachable members, seeds that are not present,
+ * members whose digest differs, and random members on leaving.
  */
 final class PeerContact {
     private static final int LEAVE_BROADCASTS = 8;
-    private static final int LEAVE_BROADCAST_PEERS = 6;
+    private static final int PEERS_PER_LEAVE_BROADCAST = 6;
     private static final double DIFFERING_PROBE_INTERVAL_SECONDS = 0.5;
     private static final int MAX_DIFFERING_PROBES = 4;
 
-    private static final double MIN_JITTER = 0.75; // of the interval; 1.25 at most
+    private static final double MIN_JITTER_FACTOR = 0.75; // the maximum is 1.25
 
     private final MembershipSettings settings;
     private final List<String> seeds;
@@ -24,7 +24,7 @@
     private final MessageSender sender;
     private final UniformRandomProvider random;
     private double nextReconnectAt;
-    private int leaveBroadcasts;
+    private int leaveBroadcastsSent;
 
     PeerContact(
             MembershipSettings settings,
@@ -40,15 +40,15 @@
     }
 
     /**
-     * Probes unreachable members and absent seeds now and then, so that the end of a partition is
-     * noticed.
+     * Periodically probes a random unreachable member, and contacts a random seed unless it is
+     * present, so that the members detect the end of a partition.
      */
     void reconnect(double now) {
         if (now < nextReconnectAt) {
             return;
         }
         nextReconnectAt =
-                now + settings.reconnectInterval() * (MIN_JITTER + random.nextDouble() / 2);
+                now + settings.reconnectInterval() * (MIN_JITTER_FACTOR + random.nextDouble() / 2);
         PeerState unreachable =
                 memberTable.randomMatching(
                         random, record -> record.status() == MemberStatus.UNREACHABLE);
@@ -77,21 +77,21 @@
     }
 
     /**
-     * Probes a few present members that last sent another digest, as long as all of them must agree
-     * for the fleet to converge.
+     * Probes a few alive members whose last digest differs from ours. Does nothing in a fleet that
+     * is so large that convergence is judged by a sample.
      */
-    void probeDiffering(double now) {
+    void probeDifferingPeers(double now) {
         if (memberTable.presentCount() - 1 > MemberTable.AGREEMENT_SAMPLE_SIZE) {
             return;
         }
-        int probed = 0;
+        int probesSent = 0;
         for (PeerState peer : memberTable.peers()) {
-            if (probed < MAX_DIFFERING_PROBES
+            if (probesSent < MAX_DIFFERING_PROBES
                     && peer.record.status() == MemberStatus.ALIVE
                     && peer.digest != memberTable.digest()
                     && now >= peer.nextProbeAt
                     && !peer.record.name().equals(sender.localRecord().name())) {
-                probed++;
+                probesSent++;
                 peer.nextProbeAt = now + DIFFERING_PROBE_INTERVAL_SECONDS;
                 sender.sendToPeer(
                         peer,
@@ -104,12 +104,12 @@
         }
     }
 
-    /** Sends some members our leave; returns true if that was the last time. */
+    /** Sends our leave to some random members; returns true if no further broadcast is due. */
     boolean broadcastLeave() {
         List<PeerState> others = new ArrayList<>();
         memberTable.peers().forEach(others::add);
         others.removeIf(peer -> !peer.record.isPresent());
-        for (int i = 0; i < LEAVE_BROADCAST_PEERS && !others.isEmpty(); i++) {
+        for (int i = 0; i < PEERS_PER_LEAVE_BROADCAST && !others.isEmpty(); i++) {
             PeerState peer = others.remove(random.nextInt(others.size()));
             sender.sendToPeer(
                     peer,
@@ -119,6 +119,6 @@
                     null,
                     MessagePriority.ANSWER);
         }
-        return ++leaveBroadcasts >= LEAVE_BROADCASTS;
+        return ++leaveBroadcastsSent >= LEAVE_BROADCASTS;
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/PeerState.java
+++ b/src/main/java/junipercourse/fleet/membership/PeerState.java
@@ -1,73 +1,73 @@
 package junipercourse.fleet.membership;
 
 /**
- * The state of one member: its greatest record, and what we have observed in its present
- * incarnation.
+ * The state of one member: its greatest record, and what was observed of its current incarnation.
  */
 final class PeerState {
     MemberRecord record;
     double statusSince;
 
-    /** When it was last heard; negative infinity if never. */
+    /** Time of its last message; negative infinity if there was none. */
     double lastHeardAt = Double.NEGATIVE_INFINITY;
 
     /** The digest that it last sent; 0 if none. */
     long digest;
 
-    /** When that digest was received. */
+    /** Time at which that digest was received; negative infinity if none. */
     double digestReceivedAt = Double.NEGATIVE_INFINITY;
 
-    /** The bucket of its name. */
+    /** The digest bucket of its name. */
     final int digestBucket;
 
-    /** What its record adds to the digest. */
+    /** The hash that its record contributes to the digest. */
     long recordHash;
 
-    /** Alive, but a probe has just timed out; the next one decides. */
+    /** While alive: one probe has timed out; if the next one does, it becomes suspect. */
     boolean unresponsive;
 
-    /** Since when; probes that were sent before belong to the same silence. */
+    /** Time at which it became unresponsive; probes sent before that are not counted again. */
     double unresponsiveSince;
 
-    /** While suspect: whether we raised the suspicion and have to resolve it. */
+    /** While suspect: whether the local member shares the suspicion and has to resolve it. */
     boolean suspectedByUs;
 
-    /** While suspect: not called unreachable before this time. */
+    /** While suspect: end of the suspicion timeout. */
     double suspicionDeadline;
 
-    /** While suspect: our probes that were not acknowledged. */
+    /** While suspect: number of probes by the local member that were not acknowledged. */
     int failedProbes;
 
     /**
-     * While suspect: another member calls it unreachable, so that fewer probes of our own suffice.
+     * While suspect: another member reports it unreachable, so that fewer failed probes suffice.
      */
     boolean reportedUnreachable;
 
-    /** Next probe while suspect; next probe for its digest while that differs. */
+    /** Time of the next probe while unresponsive or suspect, or while its digest differs. */
     double nextProbeAt;
 
-    PeerState(MemberRecord record, int bucket, double now) {
+    PeerState(MemberRecord record, int digestBucket, double now) {
         this.record = record;
-        this.digestBucket = bucket;
+        this.digestBucket = digestBucket;
         this.statusSince = now;
     }
 
-    /** Replaces the record and resets what no longer applies. */
-    void update(MemberRecord next, double now) {
-        if (next.incarnation() != record.incarnation()) {
+    /** Replaces the record and resets the state that no longer applies. */
+    void update(MemberRecord newRecord, double now) {
+        if (newRecord.incarnation() != record.incarnation()) {
             lastHeardAt = Double.NEGATIVE_INFINITY;
             digest = 0;
             digestReceivedAt = Double.NEGATIVE_INFINITY;
             unresponsive = false;
         }
-        if (next.incarnation() != record.incarnation() || next.status() != record.status()) {
+        if (newRecord.incarnation() != record.incarnation()
+                || newRecord.status() != record.status()) {
             statusSince = now;
         }
-        if (next.status() != record.status()) {
+        if (newRecord.status() != record.status()) {
             unresponsive = false;
-            suspectedByUs &= next.status() == MemberStatus.SUSPECT;
+            suspectedByUs &= newRecord.status() == MemberStatus.SUSPECT;
         }
-        record = next;
+        record = newRecord;
         reportedUnreachable = false;
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/ProbeOrder.java
+++ b/src/main/java/junipercourse/fleet/membership/ProbeOrder.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Returns each alive member once, in an order that is shuffled for each round. */
+/** Round-robin order of probes: each alive member once a round, shuffled for each round. */
 final class ProbeOrder {
-    private static final int MAX_ROUNDS = 2; // the rest of one round, and a complete one
+    private static final int MAX_ROUNDS = 2; // the rest of the current round and a complete one
 
     private final MemberTable memberTable;
     private final UniformRandomProvider random;
@@ -18,16 +18,16 @@
         this.random = random;
     }
 
-    /** Returns the next alive member other than {@code self}; null if there is none. */
-    PeerState next(String self) {
+    /** Returns the next alive member other than {@code localName}; null if there is none. */
+    PeerState nextPeer(String localName) {
         for (int round = 0; round < MAX_ROUNDS; round++) {
             while (!remaining.isEmpty()) {
                 PeerState peer = memberTable.find(remaining.remove(remaining.size() - 1));
-                if (isAlive(peer) && !peer.record.name().equals(self)) {
+                if (isAlive(peer) && !peer.record.name().equals(localName)) {
                     return peer;
                 }
             }
-            shuffleAll();
+            startRound();
         }
         return null;
     }
@@ -36,7 +36,7 @@
         return peer != null && peer.record.status() == MemberStatus.ALIVE;
     }
 
-    private void shuffleAll() {
+    private void startRound() {
         for (PeerState peer : memberTable.peers()) {
             remaining.add(peer.record.name());
         }
--- a/src/main/java/junipercourse/fleet/membership/RecordMerger.java
+++ b/src/main/java/junipercourse/fleet/membership/RecordMerger.java
@@ -1,7 +1,8 @@
 package junipercourse.fleet.membership;
 
 /**
- * Merges records into the member table, disseminates changes, and answers records about ourselves.
+ * Merges records into the member table, disseminates changes, and responds to records of the local
+ * name.
  */
 final class RecordMerger {
     private static final double TABLE_FULL_LOG_INTERVAL_SECONDS = 60;
@@ -15,8 +16,7 @@
     private final MembershipListener listener;
     private double nextTableFullLogAt = Double.NEGATIVE_INFINITY;
 
-    /** Returns whether anything has changed since the last call. */
-    private boolean takeChanged;
+    private boolean changed;
 
     RecordMerger(
             MembershipSettings settings,
@@ -35,11 +35,11 @@
         this.listener = listener;
     }
 
-    /** Whether anything has changed since this was last asked. */
-    boolean takeChanged() {
-        boolean hasChanged = takeChanged;
-        takeChanged = false;
-        return hasChanged;
+    /** Returns whether any record has changed since the last call. */
+    boolean getAndClearChanged() {
+        boolean wasChanged = changed;
+        changed = false;
+        return wasChanged;
     }
 
     /** Merges the latest record of the local member. */
@@ -49,20 +49,20 @@
                 localRecord,
                 result == MemberTable.MergeResult.DIGEST_CHANGED,
                 settings.transmissions(memberTable.presentCount()));
-        takeChanged = true;
+        changed = true;
     }
 
     /** Merges a record that was received. */
     void mergeReceived(MemberRecord received, double now) {
         if (received.name().equals(sender.localRecord().name())) {
             if (!localIncarnation.isActive()) {
-                localIncarnation.recordReceived(received);
+                localIncarnation.handleRecord(received);
                 MemberTable.MergeResult result = memberTable.merge(received, now);
-                takeChanged |=
+                changed |=
                         result == MemberTable.MergeResult.DIGEST_CHANGED
                                 || result == MemberTable.MergeResult.CHANGED;
             } else if (received.compareTo(sender.localRecord()) > 0) {
-                localRecordChallenged(received, now);
+                handleGreaterLocalRecord(received, now);
             }
             return;
         }
@@ -75,12 +75,12 @@
                         && peer.record.isPresent()
                         && peer.record.incarnation() == received.incarnation()
                         && received.compareTo(peer.record) > 0;
-        if (reportedUnreachable) { // we probe it ourselves before we believe that
+        if (reportedUnreachable) { // we confirm that by our own probes first
             record = received.with(MemberStatus.SUSPECT);
         }
         merge(record, !reportedUnreachable, now);
         if (reportedUnreachable) {
-            failureDetector.reportedUnreachable(peer, now);
+            failureDetector.handleUnreachableReport(peer, now);
         }
     }
 
@@ -89,7 +89,7 @@
         MemberTable.MergeResult result = memberTable.merge(record, now);
         if (result == MemberTable.MergeResult.DIGEST_CHANGED
                 || result == MemberTable.MergeResult.CHANGED) {
-            takeChanged = true;
+            changed = true;
             if (disseminate) {
                 dissemination.add(
                         record,
@@ -106,19 +106,19 @@
             listener.log(
                     "members: "
                             + settings.maxMembers()
-                            + " are known, refused "
+                            + " are known, the maximum; rejected "
                             + record.memberId());
         }
     }
 
-    private void localRecordChallenged(MemberRecord received, double now) {
-        MemberRecord answer = localIncarnation.challenge(received, now);
-        if (answer != null) {
-            mergeLocal(answer, now);
+    private void handleGreaterLocalRecord(MemberRecord received, double now) {
+        MemberRecord newLocalRecord = localIncarnation.refuteOrYield(received, now);
+        if (newLocalRecord != null) {
+            mergeLocal(newLocalRecord, now);
         } else {
             dissemination.clear();
             memberTable.merge(received, now);
-            takeChanged = true;
+            changed = true;
         }
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/SendBudget.java
+++ b/src/main/java/junipercourse/fleet/membership/SendBudget.java
@@ -1,11 +1,11 @@
 package junipercourse.fleet.membership;
 
 /**
- * Bounds the bytes sent in any second, whatever happens in the fleet. Four fifths are refilled
- * evenly; at most one fifth is saved for bursts, so that no second exceeds the bound. Each priority
- * reserves a share of the burst for the higher ones, and most may use only a share of the rate: so
- * under loss or in a partition members remain heard, no priority starves, and convergence takes
- * longer instead of more bytes.
+ * Limits the bytes sent in any second, whatever happens in the fleet. The token bucket refills at
+ * four fifths of the limit and holds one fifth for bursts, so that no second exceeds the limit.
+ * Each priority leaves a share of the burst to the higher ones, and most may use only a share of
+ * the rate. Under loss or in a partition, members therefore still acknowledge probes, no priority
+ * starves, and convergence takes longer instead of more bytes.
  */
 final class SendBudget {
     private static final double BURST_SHARE = 0.2;
@@ -13,17 +13,20 @@
     private final Bucket total;
     private final Bucket[] byPriority = new Bucket[MessagePriority.values().length];
 
-    /** The priority of a message, the highest first. */
+    /** The priority of a message, highest first. */
     enum MessagePriority {
-        /** Acknowledgements, by which we are heard, and leaves. */
+        /** Acknowledgements, which show peers that we are alive, and leaves. */
         ANSWER(0, 0.6),
-        /** Probes in turn and of unreachable members. */
+        /**
+         * Regular probes, probes of unreachable members, and requests and responses of a joining
+         * member.
+         */
         PROBE(0.05, 1),
-        /** Changes that are piggybacked on other messages. */
+        /** Updates that are piggybacked on other messages. */
         DISSEMINATION(0.1, 1),
-        /** Probes of suspects, also for other members. */
+        /** Probes of suspects, and indirect probes with their requests and acknowledgements. */
         SUSPECT_PROBE(0.15, 0.4),
-        /** Comparison of records. */
+        /** Anti-entropy, and probes of members whose digest differs. */
         ANTI_ENTROPY(0.35, 0.25);
 
         /** The share of the burst that it leaves to higher priorities. */
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Creates a budget of so many bytes a second, the network's headers included. */
+    /** Creates a budget; {@code bytesPerSecond} includes network headers. */
     SendBudget(int bytesPerSecond) {
         double burst = BURST_SHARE * bytesPerSecond;
         total = new Bucket(bytesPerSecond - burst, burst);
@@ -67,7 +70,7 @@
         }
     }
 
-    /** Returns the bytes that may be sent now with a priority; below 0 if none may. */
+    /** Returns the bytes that a priority may send now; 0 or negative if none. */
     int available(MessagePriority priority, double now) {
         return (int)
                 Math.min(
@@ -76,8 +79,8 @@
     }
 
     /**
-     * Takes the bytes of a message if they may be sent now. {@code disseminationBytes} are
-     * piggybacked in the same message and do not count against the priority's own share.
+     * Consumes the bytes of a message if it may be sent now. {@code disseminationBytes} are those
+     * of piggybacked updates, which do not count against the priority's own share.
      */
     boolean tryTake(MessagePriority priority, int size, int disseminationBytes, double now) {
         if (size + disseminationBytes > total.tokens(now) || size > available(priority, now)) {
--- a/src/main/java/junipercourse/fleet/membership/StatusChangeListener.java
+++ b/src/main/java/junipercourse/fleet/membership/StatusChangeListener.java
@@ -1,7 +1,7 @@
 package junipercourse.fleet.membership;
 
-/** Receives what failure detection concludes about members. */
+/** Receives the status changes that failure detection decides. */
 interface StatusChangeListener {
-    /** Merges and disseminates a record. */
-    void accept(MemberRecord verdict);
+    /** Merges and disseminates a record with the new status. */
+    void accept(MemberRecord record);
 }
--- a/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
+++ b/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
@@ -5,35 +5,36 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Resolves suspicions: probes suspects repeatedly and calls those unreachable that never answer.
- * The verdict of another member does not replace our own; it only shortens how long we probe. In a
- * large fleet the members that did not raise a suspicion probe rarely and not all at the same time,
- * since otherwise everybody would probe each suspect at once.
+ * Confirms suspicions: probes suspects repeatedly and declares those unreachable that never
+ * acknowledge. Another member's report of unreachability does not replace our own probes; it only
+ * reduces how many are needed. In a large fleet the members that did not raise a suspicion probe
+ * rarely and at random times, since otherwise all members would probe each suspect at once.
  */
 final class SuspicionTracker {
-    /** Most suspects probed in one tick. */
+    /** Maximum number of suspects that are probed in one tick. */
     private static final int MAX_PROBES_PER_TICK = 8;
 
-    /** Probes without acknowledgement before we call a suspect unreachable. */
+    /** Failed probes that are required before a suspect is declared unreachable. */
     private static final int MIN_FAILED_PROBES = 3;
 
-    /** The same if another member has called it unreachable. */
+    /** The same if another member has reported the suspect unreachable. */
     private static final int MIN_FAILED_PROBES_IF_REPORTED = 1;
 
-    /** Seconds between probes once enough have failed, until the timeout. */
+    /** Minimum probe interval once enough probes have failed, until the suspicion timeout. */
     private static final double CONFIRMED_PROBE_INTERVAL_SECONDS = 1;
 
-    /** Up to so many members all probe a suspect at once. */
+    /** Up to this fleet size, all members probe a suspect immediately. */
     private static final int MAX_MEMBERS_ALL_PROBE = 20;
 
     /**
-     * Beyond that, the first probes of all members are spread so that a suspect gets so many a
-     * second.
+     * Rate of probes that a suspect in a larger fleet gets from all members together after a report
+     * that it is unreachable; their first probes are spread accordingly.
      */
     private static final double CONFIRMATION_PROBES_PER_SECOND = 400;
 
     /**
-     * Probes a second from members that did not raise the suspicion: the one that did may be gone.
+     * Rate of probes that a suspect gets from all members that did not raise the suspicion; needed
+     * because the member that did may have failed.
      */
     private static final double OTHERS_PROBES_PER_SECOND = 1;
 
@@ -41,16 +42,16 @@
     private static final double MAX_INTERVAL_SECONDS = 0.4;
     private static final double INTERVAL_PER_MEMBER_SECONDS = 0.02;
 
-    /** The probe timeout for which these intervals are stated. */
-    private static final double USUAL_PROBE_TIMEOUT_SECONDS = 0.1;
+    /** The probe timeout to which the intervals above apply; they scale with the configured one. */
+    private static final double REFERENCE_PROBE_TIMEOUT_SECONDS = 0.1;
 
     private final MembershipSettings settings;
     private final MemberTable memberTable;
     private final UniformRandomProvider random;
 
-    /** Probes a member once. */
+    /** Sends probes. */
     interface Prober {
-        /** Sends a probe; returns false if it could not be sent now. */
+        /** Sends a probe; returns false if the send budget does not allow it now. */
         boolean probe(PeerState peer, double now);
     }
 
@@ -77,51 +78,59 @@
     }
 
     /**
-     * Notes that another member calls a suspect unreachable: one failed probe of our own decides.
+     * Handles another member's report that a suspect is unreachable: one failed probe of our own
+     * then confirms it.
      */
-    void reportedUnreachable(PeerState peer, double now) {
+    void handleUnreachableReport(PeerState peer, double now) {
         peer.reportedUnreachable = true;
-        double spread =
+        double spreadSeconds =
                 memberTable.size() <= MAX_MEMBERS_ALL_PROBE
                         ? 0
                         : memberTable.size() / CONFIRMATION_PROBES_PER_SECOND;
-        peer.nextProbeAt = now + random.nextDouble() * spread;
+        peer.nextProbeAt = now + random.nextDouble() * spreadSeconds;
     }
 
     /**
-     * Probes the suspects that are due, and reports those that are unreachable.
+     * Probes the unresponsive peers and suspects that are due, and reports suspects that are
+     * confirmed unreachable.
      *
-     * @param silenceSeconds how long we have received nothing from anybody
+     * @param silenceSeconds time since the last message from any member
      */
     void tick(double silenceSeconds, double now, Prober prober, StatusChangeListener listener) {
-        boolean isolated =
+        boolean isIsolated =
                 silenceSeconds > 4 * settings.probeTimeout()
                         && silenceSeconds < settings.isolationGrace();
-        double interval = probeInterval();
+        double ownInterval = probeInterval();
         double othersInterval =
                 memberTable.size() <= MAX_MEMBERS_ALL_PROBE
-                        ? interval
+                        ? ownInterval
                         : memberTable.size() / OTHERS_PROBES_PER_SECOND;
-        int probed = 0;
+        int probesSent = 0;
         List<PeerState> unreachable = new ArrayList<>();
         for (PeerState peer : memberTable.peers()) {
             if (peer.unresponsive && now >= peer.nextProbeAt && prober.probe(peer, now)) {
-                peer.nextProbeAt = now + interval;
+                peer.nextProbeAt = now + ownInterval;
             }
             if (peer.record.status() != MemberStatus.SUSPECT) {
                 continue;
             }
-            if (!isolated && isResolved(peer, now)) {
+            if (!isIsolated && isConfirmedUnreachable(peer, now)) {
                 unreachable.add(peer);
             } else if (now >= peer.nextProbeAt
-                    && probed < MAX_PROBES_PER_TICK
+                    && probesSent < MAX_PROBES_PER_TICK
                     && prober.probe(peer, now)) {
-                probed++;
-                double wait =
-                        peer.suspectedByUs || peer.reportedUnreachable ? interval : othersInterval;
-                boolean confirmed = peer.failedProbes >= MIN_FAILED_PROBES;
+                probesSent++;
+                double intervalSeconds =
+                        peer.suspectedByUs || peer.reportedUnreachable
+                                ? ownInterval
+                                : othersInterval;
+                boolean hasEnoughFailures = peer.failedProbes >= MIN_FAILED_PROBES;
                 peer.nextProbeAt =
-                        now + (confirmed ? Math.max(wait, CONFIRMED_PROBE_INTERVAL_SECONDS) : wait);
+                        now
+                                + (hasEnoughFailures
+                                        ? Math.max(
+                                                intervalSeconds, CONFIRMED_PROBE_INTERVAL_SECONDS)
+                                        : intervalSeconds);
             }
         }
         for (PeerState peer : unreachable) {
@@ -129,17 +138,23 @@
         }
     }
 
-    /** Seconds between probes of one suspect: longer in a larger fleet or a slower network. */
+    /**
+     * Returns the seconds between probes of a suspect; more in a larger fleet or slower network.
+     */
     private double probeInterval() {
         double bySize = INTERVAL_PER_MEMBER_SECONDS * memberTable.size();
-        double bounded = Math.min(MAX_INTERVAL_SECONDS, Math.max(MIN_INTERVAL_SECONDS, bySize));
-        return bounded * settings.probeTimeout() / USUAL_PROBE_TIMEOUT_SECONDS;
+        double limited = Math.min(MAX_INTERVAL_SECONDS, Math.max(MIN_INTERVAL_SECONDS, bySize));
+        return limited * settings.probeTimeout() / REFERENCE_PROBE_TIMEOUT_SECONDS;
     }
 
-    /** Returns true if enough probes have failed and the suspicion timeout is over. */
-    private static boolean isResolved(PeerState peer, double now) {
-        int enough = peer.reportedUnreachable ? MIN_FAILED_PROBES_IF_REPORTED : MIN_FAILED_PROBES;
-        return peer.failedProbes >= enough
+    /**
+     * Returns true if enough probes have failed and the suspicion timeout is over; a report of
+     * another member replaces the timeout.
+     */
+    private static boolean isConfirmedUnreachable(PeerState peer, double now) {
+        int requiredFailures =
+                peer.reportedUnreachable ? MIN_FAILED_PROBES_IF_REPORTED : MIN_FAILED_PROBES;
+        return peer.failedProbes >= requiredFailures
                 && (peer.reportedUnreachable || now >= peer.suspicionDeadline);
     }
 }
--- a/src/main/java/junipercourse/fleet/membership/YieldingProcess.java
+++ b/src/main/java/junipercourse/fleet/membership/YieldingProcess.java
@@ -1,33 +1,33 @@
 package junipercourse.fleet.membership;
 
-/** Another process that uses the local member's name and has yielded to it. */
+/** Tracks another process that uses the local member's name and has yielded to it. */
 final class YieldingProcess {
-    private static final double SHOWN_SECONDS = 10; // after it was last heard
+    private static final double RECENT_SECONDS = 10;
 
     private final MembershipListener listener;
     private MemberRecord record;
-    private double seenAt;
+    private double lastHeardAt;
 
     YieldingProcess(MembershipListener listener) {
         this.listener = listener;
     }
 
-    /** Notes that the process was heard; the first time in a while is logged. */
-    void seen(MemberRecord other, MemberRecord local, double now) {
-        if (recent(now) == null) {
+    /** Records that the process was heard; logs it unless it was heard recently. */
+    void recordHeard(MemberRecord other, MemberRecord local, double now) {
+        if (recentRecord(now) == null) {
             listener.log(
                     "another process at "
                             + other.address()
                             + " uses our name; "
                             + local.memberId()
-                            + " keeps it");
+                            + " keeps the name");
         }
         record = other;
-        seenAt = now;
+        lastHeardAt = now;
     }
 
-    /** Returns the process if it was heard recently; null otherwise. */
-    MemberRecord recent(double now) {
-        return now - seenAt < SHOWN_SECONDS ? record : null;
+    /** Returns the record of the process if it was heard recently; null otherwise. */
+    MemberRecord recentRecord(double now) {
+        return now - lastHeardAt < RECENT_SECONDS ? record : null;
     }
 }
