--- a/src/main/java/junipercourse/fleet/membership/FailureDetector.java
+++ b/src/main/java/junipercourse/fleet/membership/FailureDetector.java
@@ -29,7 +29,7 @@
     /** Limit of concurrently unresponsive peers, since each costs several indirect probes. */
     private static final int MAX_UNRESPONSIVE_PEERS = 4;
 
-    /** Send budget that must be available for the messages of an indirect probe. */
+    /** Budget that indirect probes need beyond their first message; without it none starts. */
     private static final int INDIRECT_PROBE_BYTES = 300;
 
     private final MembershipSettings settings;
