--- a/src/main/java/junipercourse/engine/AttemptCancellation.java
+++ b/src/main/java/junipercourse/engine/AttemptCancellation.java
@@ -5,112 +5,119 @@
 import junipercourse.net.DeadlineQueue;
 import junipercourse.net.EventLoop;
 
-/** Gives an attempt up: has its engine delete the query, and waits until that is proven. */
+/** Cancels an attempt: sends DELETE to its engine until the query is proven not to run any more. */
 final class AttemptCancellation {
-    private static final double ASK_AGAIN_S = 0.1;
-    private static final int DELETED = 204;
+    private static final double RETRY_DELAY_SECONDS = 0.1;
+    private static final int STATUS_DELETED = 204;
 
     private final EventLoop loop;
     private final Query query;
-    private final AttemptConnections calls;
-    private final AttemptLiveness evidence;
-    private final Runnable done;
-    private DeadlineQueue.Entry forgotten;
+    private final AttemptConnections connections;
+    private final AttemptLiveness liveness;
+    private final Runnable onQueryStopped;
+    private DeadlineQueue.Entry expiryTimer;
 
-    /** {@code done} is run once the engine surely does not run the query any more. */
+    /** {@code onQueryStopped} runs once the engine certainly does not run the query any more. */
     AttemptCancellation(
             EventLoop loop,
             Query query,
-            AttemptConnections calls,
-            AttemptLiveness evidence,
-            Runnable done) {
+            AttemptConnections connections,
+            AttemptLiveness liveness,
+            Runnable onQueryStopped) {
         this.loop = loop;
         this.query = query;
-        this.calls = calls;
-        this.evidence = evidence;
-        this.done = done;
+        this.connections = connections;
+        this.liveness = liveness;
+        this.onQueryStopped = onQueryStopped;
     }
 
     /**
-     * Begins, after something was written. {@code overtake} is what a call that is reset may still
-     * need.
+     * Starts the cancellation of an attempt of which something was written.
+     *
+     * @param deliveryMarginSeconds for bytes of a reset call to arrive before the DELETE
      */
-    void begin(double overtake) {
-        if (evidence
-                .hasEngineResponded()) { // a silent engine's connection is not kept for its answer
-            calls.dropIgnored(AttemptConnections.ANSWER_S);
-            delete();
-        } else { // guards against a DELETE that overtakes its POST and leaves the query running
-            calls.dropIgnored(0);
-            calls.later(overtake, this::delete);
+    void begin(double deliveryMarginSeconds) {
+        if (liveness.hasEngineResponded()) {
+            connections.abortIgnored(AttemptConnections.RESPONSE_TIMEOUT_SECONDS);
+            sendDelete();
+        } else {
+            // Does not await a response of a silent engine. The delay prevents that the DELETE
+            // overtakes its POST and leaves the query running.
+            connections.abortIgnored(0);
+            connections.schedule(deliveryMarginSeconds, this::sendDelete);
         }
-        untilForgotten();
+        waitForExpiry();
     }
 
-    /** The attempt is over. */
-    void end() {
-        loop.cancel(forgotten);
+    /** Stops waiting: the attempt has completed. */
+    void stop() {
+        loop.cancel(expiryTimer);
     }
 
-    /** If nobody answers, the query is surely gone once it has not been asked for long enough. */
-    private void untilForgotten() {
+    /** Without any response, the query has expired once it has not been polled for long enough. */
+    private void waitForExpiry() {
         double now = loop.now();
-        double gone = evidence.latestExpiryTime();
-        if (gone <= now) {
-            done.run();
-        } else { // a call that is on its way is dropped within the time for its answer
-            forgotten =
+        double expiresAt = liveness.latestExpiryTime();
+        if (expiresAt <= now) {
+            onQueryStopped.run();
+        } else { // a call in transit is aborted within its response timeout
+            expiryTimer =
                     loop.scheduleAt(
-                            Math.min(gone, now + AttemptConnections.ANSWER_S),
-                            this::untilForgotten);
+                            Math.min(expiresAt, now + AttemptConnections.RESPONSE_TIMEOUT_SECONDS),
+                            this::waitForExpiry);
         }
     }
 
-    private void delete() {
-        calls.run(EngineRequestEncoder.bare("DELETE", query, ""), new DeleteListener(), false);
+    private void sendDelete() {
+        connections.makeCall(
+                EngineRequestEncoder.encodeBodiless("DELETE", query, ""),
+                new DeleteListener(),
+                false);
     }
 
     private final class DeleteListener extends AttemptConnections.CallListener {
         DeleteListener() {
-            super(calls);
+            super(connections);
         }
 
-        /** Asking the engine to forget a query does not keep it alive. */
+        /** Does not record a poll: a DELETE does not keep the query alive. */
         @Override
         public boolean mayWrite() {
-            begins();
+            markWriteStarted();
             return true;
         }
 
         @Override
-        public boolean proves(HttpResponse response) {
-            return response.status() == DELETED;
+        public boolean matchesOnlyThisCall(HttpResponse response) {
+            return response.status() == STATUS_DELETED;
         }
 
-        /** Nothing but its 204 proves it: another answer may be a copy of an earlier one. */
+        /**
+         * Only a 204 proves the deletion: another response may be a duplicate of an earlier one.
+         */
         @Override
-        void told(HttpResponse response, boolean sure) {
-            if (response.status() == DELETED) {
-                done.run();
+        void handleResponse(HttpResponse response, boolean isUnambiguous) {
+            if (response.status() == STATUS_DELETED) {
+                onQueryStopped.run();
             } else {
-                calls.reset();
-                failed();
+                connections.resetIdle();
+                handleFailure();
             }
         }
 
-        /** Tried until it is answered or the query is forgotten: until then it may run. */
+        /** Retries until the DELETE is answered or the query expires: until then it may run. */
         @Override
-        void failed() {
-            calls.later(ASK_AGAIN_S, AttemptCancellation.this::delete);
+        void handleFailure() {
+            connections.schedule(RETRY_DELAY_SECONDS, AttemptCancellation.this::sendDelete);
         }
 
         /**
-         * Guards against a second attempt beside one at an engine that merely takes no more
-         * connections.
+         * Retries, since the engine may merely accept no more connections: completing here would
+         * allow a second attempt beside a running one.
          */
         @Override
-        public void unreachable(boolean refused) {
-            failed();
+        public void onUnreachable(boolean refused) {
+            handleFailure();
         }
     }
 }
--- a/src/main/java/junipercourse/engine/EngineRequestEncoder.java
+++ b/src/main/java/junipercourse/engine/EngineRequestEncoder.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 import junipercourse.core.Query;
 
-/** The bytes of calls to an engine. */
+/** Encodes the HTTP requests of calls to an engine. */
 final class EngineRequestEncoder {
     private EngineRequestEncoder() {}
 
-    /** Starts a query; {@code waitMs} is how long its news is waited for. */
-    static byte[] post(Query query, long waitMs) {
+    /** The request that starts a query; {@code limitMillis} is how long its outcome is awaited. */
+    static byte[] encodePost(Query query, long limitMillis) {
         StringBuilder head =
                 new StringBuilder("POST /fetch HTTP/1.1\r\n")
                         .append("Host: engine\r\n")
@@ -20,21 +20,21 @@
                         .append(query.className())
                         .append("\r\n")
                         .append("X-Limit-Ms: ")
-                        .append(waitMs)
+                        .append(limitMillis)
                         .append("\r\n");
         if (query.idempotencyKey() != null) {
             head.append("X-Dedupe: ").append(query.idempotencyKey()).append("\r\n");
         }
         head.append("Content-Length: ").append(query.statement().length).append("\r\n\r\n");
-        byte[] top = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = Arrays.copyOf(top, top.length + query.statement().length);
-        System.arraycopy(query.statement(), 0, all, top.length, query.statement().length);
-        return all;
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = Arrays.copyOf(headBytes, headBytes.length + query.statement().length);
+        System.arraycopy(query.statement(), 0, message, headBytes.length, query.statement().length);
+        return message;
     }
 
-    /** A call without a body, such as {@code GET} of {@code /0}. */
-    static byte[] bare(String method, Query query, String rest) {
-        return (method + " /fetch/" + query.id() + rest + " HTTP/1.1\r\nHost: engine\r\n\r\n")
+    /** A request without a body, such as a {@code GET} with the path suffix {@code /0}. */
+    static byte[] encodeBodiless(String method, Query query, String pathSuffix) {
+        return (method + " /fetch/" + query.id() + pathSuffix + " HTTP/1.1\r\nHost: engine\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 }
