--- a/src/test/java/junipercourse/scale/ConstantRateLoad.java
+++ b/src/test/java/junipercourse/scale/ConstantRateLoad.java
@@ -12,15 +12,15 @@
 
 /** Clients that keep their connections and ask so many queries a second, each at its time. */
 final class ConstantRateLoad {
-    private static final int CLIENTS = 16;
-    private static final int DIGITS = 3;
-    private static final AtomicInteger NUMBER = new AtomicInteger();
+    private static final int CLIENT_COUNT = 16;
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final AtomicInteger LAST_QUERY_NUMBER = new AtomicInteger();
 
     final AtomicInteger served = new AtomicInteger();
-    final AtomicInteger unserved = new AtomicInteger();
-    final ConcurrentHistogram micros = new ConcurrentHistogram(DIGITS);
+    final AtomicInteger notServed = new AtomicInteger();
+    final ConcurrentHistogram latencyMicros = new ConcurrentHistogram(HISTOGRAM_DIGITS);
     final double seconds;
-    private volatile String fault = "";
+    private volatile String lastFailure = "";
 
     /**
      * Asks and waits for the answers.
@@ -29,51 +29,65 @@
      */
     ConstantRateLoad(InetSocketAddress front, double rate, double seconds, int groups)
             throws InterruptedException {
-        int all = (int) Math.max(1, rate * seconds);
-        long begun = System.nanoTime();
+        int queryCount = (int) Math.max(1, rate * seconds);
+        long startNanos = System.nanoTime();
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
-            int first = i;
-            Thread t = new Thread(() -> client(front, first, all, begun, rate, groups));
-            t.setDaemon(true);
-            threads.add(t);
-            t.start();
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            int firstQuery = i;
+            Thread thread =
+                    new Thread(
+                            () ->
+                                    runClient(
+                                            front,
+                                            firstQuery,
+                                            queryCount,
+                                            startNanos,
+                                            rate,
+                                            groups));
+            thread.setDaemon(true);
+            threads.add(thread);
+            thread.start();
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        this.seconds = (System.nanoTime() - begun) * 1e-9;
+        this.seconds = (System.nanoTime() - startNanos) * 1e-9;
     }
 
-    private void client(
-            InetSocketAddress front, int first, int all, long begun, double rate, int groups) {
-        if (first >= all) {
+    private void runClient(
+            InetSocketAddress front,
+            int firstQuery,
+            int queryCount,
+            long startNanos,
+            double rate,
+            int groups) {
+        if (firstQuery >= queryCount) {
             return;
         }
-        try (SocketTestSupport.Client c = new SocketTestSupport.Client(front).startSession()) {
-            for (int i = first; i < all; i += CLIENTS) {
-                long due = begun + (long) (i / rate * 1e9);
-                while (System.nanoTime() < due) {
-                    LockSupport.parkNanos(due - System.nanoTime());
+        try (SocketTestSupport.Client client = new SocketTestSupport.Client(front).startSession()) {
+            for (int i = firstQuery; i < queryCount; i += CLIENT_COUNT) {
+                long dueNanos = startNanos + (long) (i / rate * 1e9);
+                while (System.nanoTime() < dueNanos) {
+                    LockSupport.parkNanos(dueNanos - System.nanoTime());
                 }
-                long asked = System.nanoTime();
-                String answer = c.query(query(groups));
-                micros.recordValue((System.nanoTime() - asked) / 1000);
+                long sentNanos = System.nanoTime();
+                String answer = client.query(nextQuery(groups));
+                latencyMicros.recordValue((System.nanoTime() - sentNanos) / 1000);
                 if (answer.equals(QueryStream.EXPECTED_ANSWER)) {
                     served.incrementAndGet();
                 } else {
-                    unserved.incrementAndGet();
-                    fault = answer;
+                    notServed.incrementAndGet();
+                    lastFailure = answer;
                 }
             }
         } catch (IOException e) {
-            unserved.incrementAndGet();
-            fault = e.toString();
+            notServed.incrementAndGet();
+            lastFailure = e.toString();
         }
     }
 
-    static String query(int groups) {
-        int number = NUMBER.incrementAndGet();
+    static String nextQuery(int groups) {
+        int number = LAST_QUERY_NUMBER.incrementAndGet();
         return ("/* kind=check,req=%016x,timeout=7000,owner=acme,opkey=k%d,subject=00000000000000aa"
                         + " */ SELECT n FROM g_%d.t")
                 .formatted(number, number, groups > 0 ? number % groups : number);
@@ -83,9 +97,9 @@
      * Why these figures do not count, or nothing: a load that was not served as asked is no
      * measure.
      */
-    String why(double rate) {
-        if (served.get() == 0 || unserved.get() * 100 > served.get()) {
-            return unserved + " queries not served, such as: " + fault;
+    String invalidReason(double rate) {
+        if (served.get() == 0 || notServed.get() * 100 > served.get()) {
+            return notServed + " queries not served, such as: " + lastFailure;
         }
         return served.get() / seconds < 0.9 * rate
                 ? "only "
--- a/src/test/java/junipercourse/scale/EndpointListBenchmark.java
+++ b/src/test/java/junipercourse/scale/EndpointListBenchmark.java
@@ -16,190 +16,226 @@
  * lists.
  */
 final class EndpointListBenchmark {
-    private static final int RECORD = 27;
-    private static final int HEAD = 9;
-    private static final int WHOLE = 1;
-    private static final int CHANGES = 2;
-    private static final int READY = 0;
-    private static final int DRAINING = 1;
-    private static final double US = 1e6;
-    private static final int GROUPS = 64;
-    private static final long EMPTY_MS =
+    private static final int RECORD_BYTES = 27;
+    private static final int HEADER_BYTES = 9;
+    private static final int FULL_LIST_KIND = 1;
+    private static final int CHANGES_KIND = 2;
+    private static final int READY_STATE = 0;
+    private static final int DRAINING_STATE = 1;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int TABLE_GROUPS = 64;
+    private static final long EMPTY_FRAME_INTERVAL_MILLIS =
             500; // between empty frames: the bus counts as silent without
-    private final ServingHarness bench;
-    private final int engines;
-    private long number = 1; // of the last event that is told
+    private final ServingHarness harness;
+    private final int engineCount;
+    private long lastEventNumber = 1; // of the last event that is told
 
-    EndpointListBenchmark(ServingHarness bench, int engines) {
-        this.bench = bench;
-        this.engines = engines;
+    EndpointListBenchmark(ServingHarness harness, int engineCount) {
+        this.harness = harness;
+        this.engineCount = engineCount;
     }
 
     /**
      * So many events one by one, as many a second; a burst of them in one write; so many whole
      * lists.
      */
-    void measure(int events, int perSecond, int wholes, double rate, double seconds)
+    void measure(int events, int perSecond, int fullLists, double rate, double seconds)
             throws Exception {
         try (ScriptedBus bus = new ScriptedBus();
-                RunningDispatcher r =
-                        bench.start(DispatcherSpec.of(engines).bus(bus.address())).ready();
-                Client c = new Client(r.front()).startSession()) {
-            Socket watch = bus.acceptSubscription();
+                RunningDispatcher dispatcher =
+                        harness.start(DispatcherSpec.of(engineCount).bus(bus.address()))
+                                .awaitReady();
+                Client client = new Client(dispatcher.address()).startSession()) {
+            Socket watchSocket = bus.acceptSubscription();
             SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
-                            SocketTestSupport.sleepMillis(EMPTY_MS);
-                            ByteBuffer empty =
-                                    ByteBuffer.allocate(Integer.BYTES + HEAD).putInt(HEAD);
-                            watch.getOutputStream().write(empty.array());
+                            SocketTestSupport.sleepMillis(EMPTY_FRAME_INTERVAL_MILLIS);
+                            ByteBuffer emptyFrame =
+                                    ByteBuffer.allocate(Integer.BYTES + HEADER_BYTES)
+                                            .putInt(HEADER_BYTES);
+                            watchSocket.getOutputStream().write(emptyFrame.array());
                         }
                     });
-            paced(watch, events / 2, perSecond); // warms up
-            told(c);
-            double began = r.age();
-            CpuTime before = r.figures.cpu();
+            sendPaced(watchSocket, events / 2, perSecond); // warms up
+            awaitAllEvents(client);
+            double startSeconds = dispatcher.ageSeconds();
+            CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
             SocketTestSupport.sleepMillis((long) (seconds * 1000));
-            double idle = r.figures.cpu().since(before).loop() / (r.age() - began);
+            double idleLoopCpu =
+                    dispatcher.metrics.readCpuTime().since(cpuBefore).loop()
+                            / (dispatcher.ageSeconds() - startSeconds);
 
-            cost(r, c, idle, "cpu_per_event", events, () -> paced(watch, events, perSecond));
-            cost(r, c, idle, "cpu_per_event_in_burst", events, () -> burst(watch, events));
-            cost(
-                    r,
-                    c,
-                    idle,
+            measureCost(
+                    dispatcher,
+                    client,
+                    idleLoopCpu,
+                    "cpu_per_event",
+                    events,
+                    () -> sendPaced(watchSocket, events, perSecond));
+            measureCost(
+                    dispatcher,
+                    client,
+                    idleLoopCpu,
+                    "cpu_per_event_in_burst",
+                    events,
+                    () -> sendBurst(watchSocket, events));
+            measureCost(
+                    dispatcher,
+                    client,
+                    idleLoopCpu,
                     "cpu_per_whole_list",
-                    wholes,
+                    fullLists,
                     () -> {
-                        for (int i = 0; i < wholes; i++) {
-                            watch.getOutputStream().write(whole());
+                        for (int i = 0; i < fullLists; i++) {
+                            watchSocket.getOutputStream().write(fullListFrame());
                             SocketTestSupport.sleepMillis(1000L / perSecond);
                         }
                     });
-            underLoad(r, watch, rate, seconds);
+            measureUnderLoad(dispatcher, watchSocket, rate, seconds);
         }
     }
 
     /** In all, with what the compiler took, and of the loop alone, less what it takes at rest. */
-    private void cost(
-            RunningDispatcher r,
-            Client c,
-            double idle,
-            String figure,
+    private void measureCost(
+            RunningDispatcher dispatcher,
+            Client client,
+            double idleLoopCpu,
+            String metric,
             int count,
             SocketTestSupport.IoTask task)
             throws IOException {
-        double began = r.age();
-        CpuTime before = r.figures.cpu();
+        double startSeconds = dispatcher.ageSeconds();
+        CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
         task.run();
-        told(c);
-        CpuTime spent = r.figures.cpu().since(before);
-        bench.add("list", engines, figure, "us", "", spent.all() * US / count);
-        bench.add(
+        awaitAllEvents(client);
+        CpuTime cpuSpent = dispatcher.metrics.readCpuTime().since(cpuBefore);
+        harness.addMetric(
                 "list",
-                engines,
-                figure + "_loop",
+                engineCount,
+                metric,
                 "us",
                 "",
-                (spent.loop() - idle * (r.age() - began)) * US / count);
+                cpuSpent.total() * MICROS_PER_SECOND / count);
+        harness.addMetric(
+                "list",
+                engineCount,
+                metric + "_loop",
+                "us",
+                "",
+                (cpuSpent.loop() - idleLoopCpu * (dispatcher.ageSeconds() - startSeconds))
+                        * MICROS_PER_SECOND
+                        / count);
     }
 
     /**
      * The same queries without and with events beside them, since each event also costs the next
      * queries.
      */
-    private void underLoad(RunningDispatcher r, Socket watch, double rate, double seconds)
+    private void measureUnderLoad(
+            RunningDispatcher dispatcher, Socket watchSocket, double rate, double seconds)
             throws Exception {
-        new ConstantRateLoad(r.front(), rate, seconds / 2, GROUPS); // warms up
-        CpuTime before = r.figures.cpu();
-        ConstantRateLoad alone = new ConstantRateLoad(r.front(), rate, seconds, GROUPS);
-        CpuTime without = r.figures.cpu().since(before);
+        new ConstantRateLoad(dispatcher.address(), rate, seconds / 2, TABLE_GROUPS); // warms up
+        CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
+        ConstantRateLoad loadWithoutEvents =
+                new ConstantRateLoad(dispatcher.address(), rate, seconds, TABLE_GROUPS);
+        CpuTime cpuWithoutEvents = dispatcher.metrics.readCpuTime().since(cpuBefore);
         int events = (int) Math.max(1, seconds * rate / 2);
-        Thread news =
+        Thread eventSender =
                 new Thread(
                         () -> {
                             try {
-                                paced(watch, events, (int) (rate / 2));
+                                sendPaced(watchSocket, events, (int) (rate / 2));
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
-        before = r.figures.cpu();
-        news.start();
-        ConstantRateLoad beside = new ConstantRateLoad(r.front(), rate, seconds, GROUPS);
-        news.join();
-        CpuTime with = r.figures.cpu().since(before);
-        String why = alone.why(rate) + beside.why(rate);
-        bench.add(
+        cpuBefore = dispatcher.metrics.readCpuTime();
+        eventSender.start();
+        ConstantRateLoad loadWithEvents =
+                new ConstantRateLoad(dispatcher.address(), rate, seconds, TABLE_GROUPS);
+        eventSender.join();
+        CpuTime cpuWithEvents = dispatcher.metrics.readCpuTime().since(cpuBefore);
+        String invalidReason =
+                loadWithoutEvents.invalidReason(rate) + loadWithEvents.invalidReason(rate);
+        harness.addMetric(
                 "list",
-                engines,
+                engineCount,
                 "cpu_per_query_without_events_loop",
                 "us",
-                why,
-                without.loop() * US / Math.max(1, alone.served.get()));
-        bench.add(
+                invalidReason,
+                cpuWithoutEvents.loop()
+                        * MICROS_PER_SECOND
+                        / Math.max(1, loadWithoutEvents.served.get()));
+        harness.addMetric(
                 "list",
-                engines,
+                engineCount,
                 "cpu_per_query_with_events_loop",
                 "us",
-                why,
-                with.loop() * US / Math.max(1, beside.served.get()));
-        bench.add(
+                invalidReason,
+                cpuWithEvents.loop()
+                        * MICROS_PER_SECOND
+                        / Math.max(1, loadWithEvents.served.get()));
+        harness.addMetric(
                 "list",
-                engines,
+                engineCount,
                 "cpu_per_event_under_load_loop",
                 "us",
-                why,
-                (with.loop() - without.loop()) * US / events);
+                invalidReason,
+                (cpuWithEvents.loop() - cpuWithoutEvents.loop()) * MICROS_PER_SECOND / events);
     }
 
-    private void paced(Socket watch, int events, int perSecond) throws IOException {
-        long begun = System.nanoTime();
+    private void sendPaced(Socket watchSocket, int events, int perSecond) throws IOException {
+        long startNanos = System.nanoTime();
         for (int i = 0; i < events; i++) {
-            long wait = begun + i * 1_000_000_000L / perSecond - System.nanoTime();
-            SocketTestSupport.sleepMillis(Math.max(0, wait / 1_000_000));
-            watch.getOutputStream().write(change());
+            long waitNanos = startNanos + i * 1_000_000_000L / perSecond - System.nanoTime();
+            SocketTestSupport.sleepMillis(Math.max(0, waitNanos / 1_000_000));
+            watchSocket.getOutputStream().write(changeFrame());
         }
     }
 
-    private void burst(Socket watch, int events) throws IOException {
-        ByteBuffer all = ByteBuffer.allocate(events * (Integer.BYTES + HEAD + RECORD));
+    private void sendBurst(Socket watchSocket, int events) throws IOException {
+        ByteBuffer frames =
+                ByteBuffer.allocate(events * (Integer.BYTES + HEADER_BYTES + RECORD_BYTES));
         for (int i = 0; i < events; i++) {
-            all.put(change());
+            frames.put(changeFrame());
         }
-        watch.getOutputStream().write(all.array());
+        watchSocket.getOutputStream().write(frames.array());
     }
 
     /** Each engine in turn starts to drain, and is back with the next event. */
-    private byte[] change() throws IOException {
-        number++;
-        ByteBuffer out = frame(CHANGES, 1);
-        record(out, (int) (number / 2 % engines) + 1, number % 2 == 0 ? DRAINING : READY);
-        return out.array();
+    private byte[] changeFrame() throws IOException {
+        lastEventNumber++;
+        ByteBuffer frame = frame(CHANGES_KIND, 1);
+        putRecord(
+                frame,
+                (int) (lastEventNumber / 2 % engineCount) + 1,
+                lastEventNumber % 2 == 0 ? DRAINING_STATE : READY_STATE);
+        return frame.array();
     }
 
-    private byte[] whole() throws IOException {
-        number++;
-        ByteBuffer out = frame(WHOLE, engines);
-        for (int id = 1; id <= engines; id++) {
-            record(out, id, READY);
+    private byte[] fullListFrame() throws IOException {
+        lastEventNumber++;
+        ByteBuffer frame = frame(FULL_LIST_KIND, engineCount);
+        for (int id = 1; id <= engineCount; id++) {
+            putRecord(frame, id, READY_STATE);
         }
-        return out.array();
+        return frame.array();
     }
 
     private ByteBuffer frame(int kind, int records) {
-        int length = HEAD + RECORD * records;
+        int length = HEADER_BYTES + RECORD_BYTES * records;
         return ByteBuffer.allocate(Integer.BYTES + length)
                 .putInt(length)
-                .putLong(number)
+                .putLong(lastEventNumber)
                 .put((byte) kind);
     }
 
-    private void record(ByteBuffer out, int id, int state) throws IOException {
-        InetSocketAddress at = bench.farm.address(id);
-        out.putInt(id)
-                .put(at.getAddress().getAddress())
-                .putShort((short) at.getPort())
+    private void putRecord(ByteBuffer frame, int id, int state) throws IOException {
+        InetSocketAddress address = harness.farm.address(id);
+        frame.putInt(id)
+                .put(address.getAddress().getAddress())
+                .putShort((short) address.getPort())
                 .put((byte) state)
                 .put((byte) 0)
                 .put((byte) 0)
@@ -209,16 +245,17 @@
     }
 
     /** Waits until all events have been taken in: the list that was known is the first. */
-    private void told(Client c) throws IOException {
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (RunningDispatcher.count(c, "roster events") < number) {
-            if (System.nanoTime() > end) {
+    private void awaitAllEvents(Client client) throws IOException {
+        long endNanos = System.nanoTime() + 20_000_000_000L;
+        while (RunningDispatcher.readCounter(client, "roster events") < lastEventNumber) {
+            if (System.nanoTime() > endNanos) {
                 throw new IOException("events were not taken in");
             }
             SocketTestSupport.sleepMillis(5);
         }
         for (int i = 0; i < 2; i++) {
-            c.query("SHOW COUNTERS"); // they are counted before the module's turn, which is queued
+            client.query(
+                    "SHOW COUNTERS"); // they are counted before the module's turn, which is queued
             // behind
         }
     }
--- a/src/test/java/junipercourse/scale/EndpointWatchers.java
+++ b/src/test/java/junipercourse/scale/EndpointWatchers.java
@@ -16,23 +16,23 @@
  * The hollow members' bus clients, the real ones, all on one loop; what they heard, and how late.
  */
 final class EndpointWatchers implements Closeable {
-    private static final int EVENTS_MOST = 10_000;
-    private static final int DIGITS = 3;
+    private static final int MAX_EVENTS = 10_000;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     private final FakeEventBus bus = new FakeEventBus();
     private final EventLoop loop = new EventLoop(() -> {}, Throwable::printStackTrace);
-    private final EndpointWatcher[] clients;
-    private final AtomicIntegerArray last;
-    private final AtomicLongArray toldAt = new AtomicLongArray(EVENTS_MOST + 1);
+    private final EndpointWatcher[] watchers;
+    private final AtomicIntegerArray lastEvents;
+    private final AtomicLongArray sentNanos = new AtomicLongArray(MAX_EVENTS + 1);
 
     /** Microseconds from the bus' writing to each client's having an event. */
-    private final ConcurrentHistogram lag = new ConcurrentHistogram(DIGITS);
+    private final ConcurrentHistogram lagMicros = new ConcurrentHistogram(HISTOGRAM_DIGITS);
 
-    private volatile int posted;
+    private volatile int postedCount;
 
     EndpointWatchers(int size) throws IOException {
-        clients = new EndpointWatcher[size];
-        last = new AtomicIntegerArray(size);
+        watchers = new EndpointWatcher[size];
+        lastEvents = new AtomicIntegerArray(size);
         loop.execute(loop::startStallDetection);
     }
 
@@ -40,25 +40,25 @@
     void start(int member) {
         loop.execute(
                 () -> {
-                    last.set(member, posted);
+                    lastEvents.set(member, postedCount);
                     try {
-                        clients[member] =
+                        watchers[member] =
                                 new EndpointWatcher(
                                         loop,
                                         bus.address(),
-                                        Json.parse("{\"offset\":" + posted + ",\"batch\":[]}")
+                                        Json.parse("{\"offset\":" + postedCount + ",\"batch\":[]}")
                                                 .asObject(),
                                         List.of("east"),
                                         List.of("std"),
                                         (kind, members) ->
-                                                heard(
+                                                recordReceived(
                                                         member,
                                                         (int) members.get(0).engine().id().value()),
                                         new Counters());
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
-                    clients[member].start();
+                    watchers[member].start();
                 });
     }
 
@@ -66,44 +66,44 @@
     void stop(int member) {
         loop.execute(
                 () -> {
-                    if (clients[member] != null) {
-                        clients[member].reconfigure(null, List.of());
-                        clients[member] = null;
+                    if (watchers[member] != null) {
+                        watchers[member].reconfigure(null, List.of());
+                        watchers[member] = null;
                     }
                 });
     }
 
-    private void heard(int member, int event) {
-        last.set(member, event);
-        lag.recordValue(Math.max(0, (System.nanoTime() - toldAt.get(event)) / 1000));
+    private void recordReceived(int member, int event) {
+        lastEvents.set(member, event);
+        lagMicros.recordValue(Math.max(0, (System.nanoTime() - sentNanos.get(event)) / 1000));
     }
 
     /** Posts one event. */
     void post() {
-        if (posted >= EVENTS_MOST) {
-            throw new IllegalStateException("more than " + EVENTS_MOST + " events");
+        if (postedCount >= MAX_EVENTS) {
+            throw new IllegalStateException("more than " + MAX_EVENTS + " events");
         }
-        posted++;
-        bus.post(number -> toldAt.set(number, System.nanoTime()));
+        postedCount++;
+        bus.post(number -> sentNanos.set(number, System.nanoTime()));
     }
 
     /** Whether all these have all that was posted. */
-    boolean haveAll(IntStream members) {
-        return members.allMatch(member -> last.get(member) == posted);
+    boolean haveAllEvents(IntStream members) {
+        return members.allMatch(member -> lastEvents.get(member) == postedCount);
     }
 
     /** How many the bus tells now. */
-    int listening() {
-        return bus.listeners();
+    int subscriberCount() {
+        return bus.subscriberCount();
     }
 
     /** Seconds that an event took, at a percentile over events and members. */
-    double lagAt(double percentile) {
-        return lag.getValueAtPercentile(percentile) / 1e6;
+    double lagSecondsAt(double percentile) {
+        return lagMicros.getValueAtPercentile(percentile) / 1e6;
     }
 
-    long heardInAll() {
-        return lag.getTotalCount();
+    long receivedCount() {
+        return lagMicros.getTotalCount();
     }
 
     @Override
--- a/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
+++ b/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
@@ -15,20 +15,21 @@
  * dispatcher's own figure.
  */
 final class EngineExchangeBenchmark {
-    private static final int BATCHES = 5;
-    private static final double NS_IN_US = 1e3;
-    private static final byte[] POST =
+    private static final int BATCH_COUNT = 5;
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final byte[] POST_REQUEST =
             ("POST /fetch HTTP/1.1\r\nHost: engine\r\nX-Txn: 1\r\n"
                             + "Content-Length: 8\r\n\r\nSELECT 1")
                     .getBytes(StandardCharsets.ISO_8859_1);
     private final EngineFarm farm;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final ByteBuffer in = ByteBuffer.allocateDirect(1024);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(POST.length).put(POST);
+    private final ByteBuffer input = ByteBuffer.allocateDirect(1024);
+    private final ByteBuffer output =
+            ByteBuffer.allocateDirect(POST_REQUEST.length).put(POST_REQUEST);
 
     /** One loop's step. */
     private interface EngineCall {
-        void run(InetSocketAddress at) throws IOException;
+        void run(InetSocketAddress address) throws IOException;
     }
 
     EngineExchangeBenchmark(EngineFarm farm) {
@@ -36,52 +37,55 @@
     }
 
     /** Writes the figures; returns the processor time of a bare connection, in microseconds. */
-    double measure(ServingHarness bench, int size, int calls) throws IOException {
-        double[] bare = new double[BATCHES];
-        double[] fresh = new double[BATCHES];
-        double[] kept = new double[BATCHES];
-        for (int i = -1; i < BATCHES; i++) { // the first warms up
+    double measure(ServingHarness harness, int size, int calls) throws IOException {
+        double[] connectOnlyMicros = new double[BATCH_COUNT];
+        double[] newConnectionMicros = new double[BATCH_COUNT];
+        double[] keptConnectionMicros = new double[BATCH_COUNT];
+        for (int i = -1; i < BATCH_COUNT; i++) { // the first warms up
             int batch = Math.max(i, 0);
-            bare[batch] = time(calls, at -> SocketChannel.open(at).close());
-            fresh[batch] =
-                    time(
+            connectOnlyMicros[batch] =
+                    measureCpuMicros(calls, address -> SocketChannel.open(address).close());
+            newConnectionMicros[batch] =
+                    measureCpuMicros(
                             calls,
-                            at -> {
-                                try (SocketChannel c = SocketChannel.open(at)) {
-                                    ask(c);
+                            address -> {
+                                try (SocketChannel channel = SocketChannel.open(address)) {
+                                    exchange(channel);
                                 }
                             });
-            try (SocketChannel c = SocketChannel.open(farm.address(1))) {
-                kept[batch] = time(calls, at -> ask(c));
+            try (SocketChannel channel = SocketChannel.open(farm.address(1))) {
+                keptConnectionMicros[batch] = measureCpuMicros(calls, address -> exchange(channel));
             }
         }
-        bench.add("handshake", size, "bare_connect_close_cpu", "us", "", bare);
-        bench.add("handshake", size, "bare_exchange_new_cpu", "us", "", fresh);
-        bench.add("handshake", size, "bare_exchange_kept_cpu", "us", "", kept);
-        double[] sorted = bare.clone();
+        harness.addMetric("handshake", size, "bare_connect_close_cpu", "us", "", connectOnlyMicros);
+        harness.addMetric(
+                "handshake", size, "bare_exchange_new_cpu", "us", "", newConnectionMicros);
+        harness.addMetric(
+                "handshake", size, "bare_exchange_kept_cpu", "us", "", keptConnectionMicros);
+        double[] sorted = connectOnlyMicros.clone();
         Arrays.sort(sorted);
-        return sorted[BATCHES / 2];
+        return sorted[BATCH_COUNT / 2];
     }
 
-    private double time(int calls, EngineCall call) throws IOException {
-        long before = threads.getCurrentThreadCpuTime();
+    private double measureCpuMicros(int calls, EngineCall call) throws IOException {
+        long startNanos = threads.getCurrentThreadCpuTime();
         for (int i = 0; i < calls; i++) {
             call.run(farm.address(i));
         }
-        return (threads.getCurrentThreadCpuTime() - before) / NS_IN_US / calls;
+        return (threads.getCurrentThreadCpuTime() - startNanos) / NANOS_PER_MICRO / calls;
     }
 
-    private void ask(SocketChannel c) throws IOException {
-        out.flip().limit(POST.length);
-        c.write(out);
-        in.clear();
-        while (in.position() == 0
-                || in.get(in.position() - 1) != '\n'
-                || in.position() < POST.length / 2) {
-            if (c.read(in) < 0) {
+    private void exchange(SocketChannel channel) throws IOException {
+        output.flip().limit(POST_REQUEST.length);
+        channel.write(output);
+        input.clear();
+        while (input.position() == 0
+                || input.get(input.position() - 1) != '\n'
+                || input.position() < POST_REQUEST.length / 2) {
+            if (channel.read(input) < 0) {
                 throw new IOException("the engine closed");
             }
         }
-        out.clear().position(POST.length);
+        output.clear().position(POST_REQUEST.length);
     }
 }
--- a/src/test/java/junipercourse/scale/EngineFarm.java
+++ b/src/test/java/junipercourse/scale/EngineFarm.java
@@ -25,27 +25,28 @@
 final class EngineFarm implements Closeable {
     private static final int ADDRESSES = 16; // so that closed connections do not use up one's ports
     private static final int BACKLOG = 4096;
-    private static final int MOST_REQUEST = 4096; // bytes; the loads here send a few hundred
-    private static final long NEWS_NS = 200_000_000; // engines tell within a quarter of a second
-    private static final ByteBuffer ROW =
+    private static final int MAX_REQUEST_BYTES = 4096; // bytes; the loads here send a few hundred
+    private static final long RUNNING_RESPONSE_DELAY_NANOS =
+            200_000_000; // engines tell within a quarter of a second
+    private static final ByteBuffer ROW_RESPONSE =
             bytes(
                     "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\n"
                             + "X-Gauges: q:0;busy:0.20\r\nContent-Length: 6\r\n\r\na\tb\tc\n");
-    private static final ByteBuffer RUNS = bytes(SocketTestSupport.RUNNING);
-    private static final ByteBuffer GONE = bytes(SocketTestSupport.CANCELLED);
+    private static final ByteBuffer RUNNING_RESPONSE = bytes(SocketTestSupport.RUNNING);
+    private static final ByteBuffer CANCELLED_RESPONSE = bytes(SocketTestSupport.CANCELLED);
 
-    final AtomicInteger accepted = new AtomicInteger();
-    final AtomicInteger posts = new AtomicInteger();
+    final AtomicInteger acceptedCount = new AtomicInteger();
+    final AtomicInteger postCount = new AtomicInteger();
     private final Selector selector = Selector.open();
     private final List<ServerSocketChannel> servers = new ArrayList<>();
-    private final ArrayDeque<DelayedResponse> held = new ArrayDeque<>();
-    private volatile boolean holds;
+    private final ArrayDeque<DelayedResponse> delayedResponses = new ArrayDeque<>();
+    private volatile boolean holdsQueries;
 
     /**
      * A call whose answer is due at a time; all wait equally long, so that the first come is due
      * first.
      */
-    private record DelayedResponse(long due, SocketChannel channel) {}
+    private record DelayedResponse(long dueNanos, SocketChannel channel) {}
 
     EngineFarm() throws IOException {
         for (int i = 1; i <= ADDRESSES; i++) {
@@ -63,34 +64,42 @@
     }
 
     /** From now on queries are kept running, or else answered once they are asked for again. */
-    void hold(boolean on) {
-        holds = on;
+    void setHoldQueries(boolean holdQueries) {
+        holdsQueries = holdQueries;
     }
 
     private void run() throws IOException {
         while (selector.isOpen()) {
-            long waitMs = held.isEmpty() ? 1000 : (held.peek().due - System.nanoTime()) / 1_000_000;
+            long waitMillis =
+                    delayedResponses.isEmpty()
+                            ? 1000
+                            : (delayedResponses.peek().dueNanos - System.nanoTime()) / 1_000_000;
             try {
-                selector.select(this::ready, Math.max(1, waitMs));
+                selector.select(this::handleReadyKey, Math.max(1, waitMillis));
             } catch (ClosedSelectorException e) {
                 return;
             }
-            while (!held.isEmpty() && held.peek().due <= System.nanoTime()) {
-                write(held.poll().channel, holds ? RUNS : ROW);
+            while (!delayedResponses.isEmpty()
+                    && delayedResponses.peek().dueNanos <= System.nanoTime()) {
+                write(
+                        delayedResponses.poll().channel,
+                        holdsQueries ? RUNNING_RESPONSE : ROW_RESPONSE);
             }
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void handleReadyKey(SelectionKey key) {
         try {
             if (key.channel() instanceof ServerSocketChannel server) {
-                for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-                    accepted.incrementAndGet();
-                    c.configureBlocking(false)
+                for (SocketChannel channel = server.accept();
+                        channel != null;
+                        channel = server.accept()) {
+                    acceptedCount.incrementAndGet();
+                    channel.configureBlocking(false)
                             .register(
                                     selector,
                                     SelectionKey.OP_READ,
-                                    ByteBuffer.allocate(MOST_REQUEST));
+                                    ByteBuffer.allocate(MAX_REQUEST_BYTES));
                 }
             } else {
                 read((SocketChannel) key.channel(), (ByteBuffer) key.attachment());
@@ -100,37 +109,41 @@
         }
     }
 
-    private void read(SocketChannel c, ByteBuffer in) throws IOException {
-        if (c.read(in) < 0) {
-            c.close();
+    private void read(SocketChannel channel, ByteBuffer input) throws IOException {
+        if (channel.read(input) < 0) {
+            channel.close();
             return;
         }
-        String text = new String(in.array(), 0, in.position(), StandardCharsets.ISO_8859_1);
-        int head = text.indexOf("\r\n\r\n");
-        int told = text.indexOf("Content-Length: ");
-        int body =
-                head < 0 || told < 0 || told > head
+        String text = new String(input.array(), 0, input.position(), StandardCharsets.ISO_8859_1);
+        int headLength = text.indexOf("\r\n\r\n");
+        int contentLengthIndex = text.indexOf("Content-Length: ");
+        int bodyLength =
+                headLength < 0 || contentLengthIndex < 0 || contentLengthIndex > headLength
                         ? 0
-                        : Integer.parseInt(text.substring(told + 16, text.indexOf('\r', told)));
-        if (head < 0 || in.position() < head + 4 + body) {
+                        : Integer.parseInt(
+                                text.substring(
+                                        contentLengthIndex + 16,
+                                        text.indexOf('\r', contentLengthIndex)));
+        if (headLength < 0 || input.position() < headLength + 4 + bodyLength) {
             return;
         }
-        in.clear(); // one call at a time is on a connection
-        posts.addAndGet(text.startsWith("POST") ? 1 : 0);
+        input.clear(); // one call at a time is on a connection
+        postCount.addAndGet(text.startsWith("POST") ? 1 : 0);
         if (text.startsWith("DELETE")) {
-            write(c, GONE);
-        } else if (holds) {
-            held.add(new DelayedResponse(System.nanoTime() + NEWS_NS, c));
+            write(channel, CANCELLED_RESPONSE);
+        } else if (holdsQueries) {
+            delayedResponses.add(
+                    new DelayedResponse(System.nanoTime() + RUNNING_RESPONSE_DELAY_NANOS, channel));
         } else {
-            write(c, ROW);
+            write(channel, ROW_RESPONSE);
         }
     }
 
-    private static void write(SocketChannel c, ByteBuffer answer) {
+    private static void write(SocketChannel channel, ByteBuffer response) {
         try {
-            c.write(answer.duplicate()); // far less than a socket takes at once
+            channel.write(response.duplicate()); // far less than a socket takes at once
         } catch (IOException e) {
-            close(c);
+            close(channel);
         }
     }
 
--- a/src/test/java/junipercourse/scale/FakeEventBus.java
+++ b/src/test/java/junipercourse/scale/FakeEventBus.java
@@ -26,7 +26,7 @@
  */
 final class FakeEventBus implements Closeable {
     private static final int BACKLOG = 4096;
-    private static final double BEAT_S = 1;
+    private static final double HEARTBEAT_SECONDS = 1;
 
     private final Selector selector = Selector.open();
     private final ServerSocketChannel server = ServerSocketChannel.open();
@@ -34,15 +34,15 @@
     private final List<byte[]> events = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "event-bus");
     private volatile boolean closed;
-    private volatile int listeners;
-    private double nextBeat;
+    private volatile int subscriberCount;
+    private double nextHeartbeatSeconds;
 
     /**
      * What is known of one connection: the bytes of its question, and whether it was heard whole.
      */
     private static final class Subscription {
-        private final ByteBuffer question = ByteBuffer.allocate(Long.BYTES);
-        private boolean asked;
+        private final ByteBuffer request = ByteBuffer.allocate(Long.BYTES);
+        private boolean requestComplete;
     }
 
     FakeEventBus() throws IOException {
@@ -58,15 +58,15 @@
     }
 
     /** Those that have asked and are told now. */
-    int listeners() {
-        return listeners;
+    int subscriberCount() {
+        return subscriberCount;
     }
 
     /**
      * Tells of one engine, whose id is the event's number; {@code told} is given that as it is
      * written.
      */
-    void post(IntConsumer told) {
+    void post(IntConsumer onSend) {
         tasks.add(
                 () -> {
                     int number = events.size() + 1;
@@ -80,8 +80,8 @@
                                                     new InetSocketAddress(
                                                             InetAddress.getLoopbackAddress(), 1),
                                                     false)));
-                    told.accept(number);
-                    tellAll(events.get(number - 1));
+                    onSend.accept(number);
+                    sendToAll(events.get(number - 1));
                 });
         selector.wakeup();
     }
@@ -89,7 +89,7 @@
     private void run() {
         try {
             while (!closed) {
-                selector.select((long) (BEAT_S * 1e3));
+                selector.select((long) (HEARTBEAT_SECONDS * 1e3));
                 for (SelectionKey key : selector.selectedKeys()) {
                     if (key.isValid() && key.isAcceptable()) {
                         accept();
@@ -101,13 +101,14 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                if (Network.now() >= nextBeat) {
-                    nextBeat = Network.now() + BEAT_S;
-                    tellAll(
+                if (Network.nowSeconds() >= nextHeartbeatSeconds) {
+                    nextHeartbeatSeconds = Network.nowSeconds() + HEARTBEAT_SECONDS;
+                    sendToAll(
                             HexFormat.of()
                                     .parseHex(ScriptedBus.EMPTY_FRAME.formatted(events.size())));
                 }
-                listeners = (int) selector.keys().stream().filter(FakeEventBus::asked).count();
+                subscriberCount =
+                        (int) selector.keys().stream().filter(FakeEventBus::isSubscribed).count();
             }
         } catch (IOException | ClosedSelectorException e) {
             if (!closed) {
@@ -116,28 +117,30 @@
         }
     }
 
-    private static boolean asked(SelectionKey key) {
-        return key.isValid() && key.attachment() instanceof Subscription listener && listener.asked;
+    private static boolean isSubscribed(SelectionKey key) {
+        return key.isValid()
+                && key.attachment() instanceof Subscription subscription
+                && subscription.requestComplete;
     }
 
     private void accept() throws IOException {
-        for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-            c.configureBlocking(false);
-            c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            c.register(selector, SelectionKey.OP_READ, new Subscription());
+        for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+            channel.configureBlocking(false);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            channel.register(selector, SelectionKey.OP_READ, new Subscription());
         }
     }
 
     private void read(SelectionKey key) throws IOException {
-        Subscription listener = (Subscription) key.attachment();
+        Subscription subscription = (Subscription) key.attachment();
         SocketChannel channel = (SocketChannel) key.channel();
         try {
-            if (channel.read(listener.question) <= 0) {
+            if (channel.read(subscription.request) <= 0) {
                 channel.close(); // has left, or says more than it may
-            } else if (!listener.question.hasRemaining()) {
-                listener.asked = true;
-                for (int i = (int) listener.question.getLong(0); i < events.size(); i++) {
-                    tell(key, events.get(i));
+            } else if (!subscription.request.hasRemaining()) {
+                subscription.requestComplete = true;
+                for (int i = (int) subscription.request.getLong(0); i < events.size(); i++) {
+                    send(key, events.get(i));
                 }
             }
         } catch (IOException e) {
@@ -145,15 +148,15 @@
         }
     }
 
-    private void tellAll(byte[] frame) {
+    private void sendToAll(byte[] frame) {
         for (SelectionKey key : selector.keys()) {
-            if (asked(key)) {
-                tell(key, frame);
+            if (isSubscribed(key)) {
+                send(key, frame);
             }
         }
     }
 
-    private static void tell(SelectionKey key, byte[] frame) {
+    private static void send(SelectionKey key, byte[] frame) {
         try {
             SocketChannel channel = (SocketChannel) key.channel();
             if (!channel.isOpen()) {
--- a/src/test/java/junipercourse/scale/FleetScenarios.java
+++ b/src/test/java/junipercourse/scale/FleetScenarios.java
@@ -26,217 +26,238 @@
                     "loss20", "events");
 
     /** What does not settle in this time is written as such, and the run goes on. */
-    private static final double SETTLE_MOST_S = 30;
+    private static final double MAX_SETTLE_SECONDS = 30;
 
-    private static final int POLL_MS = 20;
+    private static final int POLL_MILLIS = 20;
 
     /** A whole table costs a real one some processor time, which is measured too. */
-    private static final int REAL_POLL_MS = 100;
+    private static final int REAL_POLL_MILLIS = 100;
 
-    private static final int EVENTS = 50;
-    private static final double RESTARTED_APART = 0.04;
+    private static final int EVENT_COUNT = 50;
+    private static final double RESTARTED_SHARE = 0.04;
 
     private final ScaleFleet fleet;
-    private final ScenarioRecorder meter;
-    private final RunLimits guard;
+    private final ScenarioRecorder recorder;
+    private final RunLimits limits;
     private final Random random;
-    private final double leastS;
-    private final double calmS;
-    private final double apartS;
-    private final Map<String, Scenario> plays = new LinkedHashMap<>();
-    private final double heapBefore = ScenarioRecorder.heapMb();
+    private final double minDurationSeconds;
+    private final double calmSeconds;
+    private final double partitionSeconds;
+    private final Map<String, Scenario> scenarios = new LinkedHashMap<>();
+    private final double heapBeforeMb = ScenarioRecorder.measureHeapMb();
 
     private interface Scenario {
         void run() throws IOException;
     }
 
     /** A time that was waited for; {@code fault} tells what was not so in the end, or is null. */
-    private record WaitResult(double seconds, String fault) {}
+    private record WaitResult(double seconds, String unmetCondition) {}
 
     FleetScenarios(
             ScaleFleet fleet,
-            ScenarioRecorder meter,
-            RunLimits guard,
+            ScenarioRecorder recorder,
+            RunLimits limits,
             long seed,
-            double leastS,
-            double calmS,
-            double apartS) {
+            double minDurationSeconds,
+            double calmSeconds,
+            double partitionSeconds) {
         this.fleet = fleet;
-        this.meter = meter;
-        this.guard = guard;
+        this.recorder = recorder;
+        this.limits = limits;
         this.random = new Random(seed);
-        this.leastS = leastS;
-        this.calmS = calmS;
-        this.apartS = apartS;
-        plays.put("start", () -> measured("start", fleet::startAll));
-        plays.put("calm", this::calm);
-        plays.put("kill", () -> measured("kill", () -> fleet.kill(last())));
-        plays.put("restart", () -> measured("restart", () -> fleet.start(last())));
-        plays.put("tenth", () -> measured("tenth", () -> some(0.1).forEach(fleet::restart)));
-        plays.put("zone", this::zone);
-        plays.put("regions", this::regions);
-        plays.put("loss5", () -> loss("loss5", 0.05));
-        plays.put("loss20", () -> loss("loss20", 0.2));
-        plays.put("events", this::events);
+        this.minDurationSeconds = minDurationSeconds;
+        this.calmSeconds = calmSeconds;
+        this.partitionSeconds = partitionSeconds;
+        scenarios.put("start", () -> runMeasured("start", fleet::startAll));
+        scenarios.put("calm", this::runCalm);
+        scenarios.put("kill", () -> runMeasured("kill", () -> fleet.kill(lastMember())));
+        scenarios.put("restart", () -> runMeasured("restart", () -> fleet.start(lastMember())));
+        scenarios.put(
+                "tenth",
+                () -> runMeasured("tenth", () -> drawMembers(0.1).forEach(fleet::restart)));
+        scenarios.put("zone", this::runZoneLoss);
+        scenarios.put("regions", this::runPartition);
+        scenarios.put("loss5", () -> runLoss("loss5", 0.05));
+        scenarios.put("loss20", () -> runLoss("loss20", 0.2));
+        scenarios.put("events", this::runEvents);
     }
 
     /** Plays one; fails if a bound of the run is passed meanwhile. */
-    void play(String name) throws IOException {
+    void runScenario(String name) throws IOException {
         System.out.printf("%d members: %s%n", fleet.size, name);
-        guard.check();
-        plays.get(name).run();
+        limits.throwIfAborted();
+        scenarios.get(name).run();
     }
 
     /** The last one of all: hollow, and no seed of the others. */
-    private int last() {
+    private int lastMember() {
         return fleet.size - 1;
     }
 
     /** So many of the running hollow ones, drawn anew. */
-    private List<Integer> some(double share) {
-        List<Integer> all = new ArrayList<>(fleet.runningHollow().boxed().toList());
-        Collections.shuffle(all, random);
-        return all.subList(0, (int) Math.max(1, Math.round(share * fleet.size)));
+    private List<Integer> drawMembers(double share) {
+        List<Integer> members = new ArrayList<>(fleet.runningHollow().boxed().toList());
+        Collections.shuffle(members, random);
+        return members.subList(0, (int) Math.max(1, Math.round(share * fleet.size)));
     }
 
-    private void measured(String name, Scenario act) throws IOException {
-        meter.begin();
-        double from = Network.now();
-        act.run();
-        finish(name, from);
+    private void runMeasured(String name, Scenario action) throws IOException {
+        recorder.beginScenario();
+        double startSeconds = Network.nowSeconds();
+        action.run();
+        finishScenario(name, startSeconds);
     }
 
     /** Waits for agreement, rounds the time up and writes all figures. */
-    private void finish(String name, double from) throws IOException {
-        WaitResult all = until(from, POLL_MS, fleet::disagreement);
-        WaitResult real = until(from, REAL_POLL_MS, fleet::realDisagreement);
-        hold(from + leastS - Network.now());
-        ScenarioRecorder.MetricWriter figures = meter.end(name);
-        figures.one("unsettled", "plays", all.fault == null ? 0 : 1);
-        settled(figures, "settled", all);
+    private void finishScenario(String name, double startSeconds) throws IOException {
+        WaitResult hollowWait = awaitCondition(startSeconds, POLL_MILLIS, fleet::findDisagreement);
+        WaitResult realWait =
+                awaitCondition(startSeconds, REAL_POLL_MILLIS, fleet::findRealDisagreement);
+        waitFor(startSeconds + minDurationSeconds - Network.nowSeconds());
+        ScenarioRecorder.MetricWriter metrics = recorder.endScenario(name);
+        metrics.addValue("unsettled", "plays", hollowWait.unmetCondition == null ? 0 : 1);
+        writeSettleTime(metrics, "settled", hollowWait);
         if (fleet.realCount > 0) {
-            figures.one("real_unsettled", "plays", real.fault == null ? 0 : 1);
-            settled(figures, "settled_real", real);
+            metrics.addValue("real_unsettled", "plays", realWait.unmetCondition == null ? 0 : 1);
+            writeSettleTime(metrics, "settled_real", realWait);
         }
     }
 
-    private void settled(ScenarioRecorder.MetricWriter figures, String figure, WaitResult wait) {
-        if (wait.fault == null) {
-            figures.one(figure, "s", wait.seconds);
+    private void writeSettleTime(
+            ScenarioRecorder.MetricWriter metrics, String metric, WaitResult wait) {
+        if (wait.unmetCondition == null) {
+            metrics.addValue(metric, "s", wait.seconds);
         } else {
-            figures.invalid(
-                    figure,
+            metrics.addInvalid(
+                    metric,
                     "s",
                     wait.seconds,
-                    "not within %.0f s: %s".formatted(SETTLE_MOST_S, wait.fault));
+                    "not within %.0f s: %s".formatted(MAX_SETTLE_SECONDS, wait.unmetCondition));
         }
         System.out.printf(
                 "  %s after %.2f s%s%n",
-                figure, wait.seconds, wait.fault == null ? "" : ": not so: " + wait.fault);
+                metric,
+                wait.seconds,
+                wait.unmetCondition == null ? "" : ": not so: " + wait.unmetCondition);
     }
 
-    private WaitResult until(double from, int pollMs, Callable<String> fault) {
-        String[] newest = {""};
+    private WaitResult awaitCondition(
+            double startSeconds, int pollMillis, Callable<String> condition) {
+        String[] unmetCondition = {""};
         try {
             await().pollDelay(Duration.ZERO)
-                    .pollInterval(Duration.ofMillis(pollMs))
-                    .atMost(Duration.ofMillis((long) (SETTLE_MOST_S * 1e3)))
+                    .pollInterval(Duration.ofMillis(pollMillis))
+                    .atMost(Duration.ofMillis((long) (MAX_SETTLE_SECONDS * 1e3)))
                     .until(
                             () -> {
-                                guard.check();
-                                newest[0] = fault.call();
-                                return newest[0] == null;
+                                limits.throwIfAborted();
+                                unmetCondition[0] = condition.call();
+                                return unmetCondition[0] == null;
                             });
         } catch (ConditionTimeoutException e) {
             return new WaitResult(
-                    Network.now() - from, newest[0] == null ? "so only just now" : newest[0]);
+                    Network.nowSeconds() - startSeconds,
+                    unmetCondition[0] == null ? "so only just now" : unmetCondition[0]);
         }
-        return new WaitResult(Network.now() - from, null);
+        return new WaitResult(Network.nowSeconds() - startSeconds, null);
     }
 
     /** Lets the play go on for so long. */
-    private void hold(double seconds) {
-        for (double end = Network.now() + seconds; Network.now() < end; ) {
-            guard.check();
+    private void waitFor(double seconds) {
+        for (double endSeconds = Network.nowSeconds() + seconds;
+                Network.nowSeconds() < endSeconds; ) {
+            limits.throwIfAborted();
             SocketTestSupport.sleepMillis(
-                    (long) Math.max(1, Math.min(100, (end - Network.now()) * 1e3)));
+                    (long) Math.max(1, Math.min(100, (endSeconds - Network.nowSeconds()) * 1e3)));
         }
     }
 
-    private void calm() throws IOException {
-        meter.begin();
-        hold(calmS);
-        ScenarioRecorder.MetricWriter figures = meter.end("calm");
-        String fault = fleet.disagreement();
-        String realFault = fleet.realDisagreement();
-        figures.one("unsettled", "plays", fault == null ? 0 : 1);
-        figures.one("real_unsettled", "plays", realFault == null ? 0 : 1);
-        figures.one("heap", "MB", (ScenarioRecorder.heapMb() - heapBefore) / fleet.hollow.size());
-        until(Network.now(), POLL_MS, fleet::disagreement); // the collection was a stall for all
+    private void runCalm() throws IOException {
+        recorder.beginScenario();
+        waitFor(calmSeconds);
+        ScenarioRecorder.MetricWriter metrics = recorder.endScenario("calm");
+        String disagreement = fleet.findDisagreement();
+        String realDisagreement = fleet.findRealDisagreement();
+        metrics.addValue("unsettled", "plays", disagreement == null ? 0 : 1);
+        metrics.addValue("real_unsettled", "plays", realDisagreement == null ? 0 : 1);
+        metrics.addValue(
+                "heap",
+                "MB",
+                (ScenarioRecorder.measureHeapMb() - heapBeforeMb) / fleet.hollow.size());
+        awaitCondition(
+                Network.nowSeconds(),
+                POLL_MILLIS,
+                fleet::findDisagreement); // the collection was a stall for all
     }
 
-    private void zone() throws IOException {
-        int[] lost = fleet.lastZone().toArray();
-        measured("zone_lost", () -> IntStream.of(lost).forEach(fleet::kill));
-        measured("zone_back", () -> IntStream.of(lost).forEach(fleet::start));
+    private void runZoneLoss() throws IOException {
+        int[] members = fleet.lastZone().toArray();
+        runMeasured("zone_lost", () -> IntStream.of(members).forEach(fleet::kill));
+        runMeasured("zone_back", () -> IntStream.of(members).forEach(fleet::start));
     }
 
     /** Halves apart; once each has settled, some restart, and then they hear each other again. */
-    private void regions() throws IOException {
-        meter.begin();
-        double from = Network.now();
-        fleet.network.cut(fleet.halves());
-        WaitResult apart = until(from, POLL_MS, fleet::disagreement);
-        List<Integer> restarted = some(RESTARTED_APART);
-        double pause = Math.max(0, from + apartS * 0.75 - Network.now()) / restarted.size();
+    private void runPartition() throws IOException {
+        recorder.beginScenario();
+        double startSeconds = Network.nowSeconds();
+        fleet.network.partition(fleet.halves());
+        WaitResult partitionWait =
+                awaitCondition(startSeconds, POLL_MILLIS, fleet::findDisagreement);
+        List<Integer> restarted = drawMembers(RESTARTED_SHARE);
+        double pauseSeconds =
+                Math.max(0, startSeconds + partitionSeconds * 0.75 - Network.nowSeconds())
+                        / restarted.size();
         for (int member : restarted) {
-            hold(pause);
+            waitFor(pauseSeconds);
             fleet.restart(member);
         }
-        hold(from + apartS - Network.now());
-        ScenarioRecorder.MetricWriter figures = meter.end("regions_apart");
-        figures.one("unsettled", "plays", apart.fault == null ? 0 : 1);
-        settled(figures, "settled", apart);
-        measured("regions_healed", fleet.network::heal);
+        waitFor(startSeconds + partitionSeconds - Network.nowSeconds());
+        ScenarioRecorder.MetricWriter metrics = recorder.endScenario("regions_apart");
+        metrics.addValue("unsettled", "plays", partitionWait.unmetCondition == null ? 0 : 1);
+        writeSettleTime(metrics, "settled", partitionWait);
+        runMeasured("regions_healed", fleet.network::heal);
     }
 
-    private void loss(String name, double share) throws IOException {
-        meter.begin();
-        fleet.network.lose(share);
-        hold(calmS);
-        fleet.network.lose(0);
-        finish(name, Network.now());
+    private void runLoss(String name, double probability) throws IOException {
+        recorder.beginScenario();
+        fleet.network.setLossProbability(probability);
+        waitFor(calmSeconds);
+        fleet.network.setLossProbability(0);
+        finishScenario(name, Network.nowSeconds());
     }
 
-    private void events() throws IOException {
-        WaitResult listening =
-                until(
-                        Network.now(),
-                        POLL_MS,
+    private void runEvents() throws IOException {
+        WaitResult subscribed =
+                awaitCondition(
+                        Network.nowSeconds(),
+                        POLL_MILLIS,
                         () ->
-                                fleet.listeners.listening() == fleet.runningHollow().count()
+                                fleet.endpointWatchers.subscriberCount()
+                                                == fleet.runningHollow().count()
                                         ? null
-                                        : fleet.listeners.listening() + " listen");
-        long before = fleet.listeners.heardInAll();
-        meter.begin();
-        double from = Network.now();
-        for (int i = 0; i < EVENTS; i++) {
-            hold(from + i / (double) EVENTS - Network.now());
-            fleet.listeners.post();
+                                        : fleet.endpointWatchers.subscriberCount() + " listen");
+        long receivedBefore = fleet.endpointWatchers.receivedCount();
+        recorder.beginScenario();
+        double startSeconds = Network.nowSeconds();
+        for (int i = 0; i < EVENT_COUNT; i++) {
+            waitFor(startSeconds + i / (double) EVENT_COUNT - Network.nowSeconds());
+            fleet.endpointWatchers.post();
         }
-        WaitResult all =
-                until(
-                        Network.now(),
-                        POLL_MS,
+        WaitResult delivered =
+                awaitCondition(
+                        Network.nowSeconds(),
+                        POLL_MILLIS,
                         () ->
-                                fleet.listeners.haveAll(fleet.runningHollow())
+                                fleet.endpointWatchers.haveAllEvents(fleet.runningHollow())
                                         ? null
                                         : "not all have all");
-        hold(from + leastS - Network.now());
-        ScenarioRecorder.MetricWriter figures = meter.end("events");
-        settled(figures, "settled", listening.fault == null ? all : listening);
-        figures.one("event_lag_median", "s", fleet.listeners.lagAt(50));
-        figures.one("event_lag_worst", "s", fleet.listeners.lagAt(100));
-        figures.one("events_heard", "events", fleet.listeners.heardInAll() - before);
+        waitFor(startSeconds + minDurationSeconds - Network.nowSeconds());
+        ScenarioRecorder.MetricWriter metrics = recorder.endScenario("events");
+        writeSettleTime(
+                metrics, "settled", subscribed.unmetCondition == null ? delivered : subscribed);
+        metrics.addValue("event_lag_median", "s", fleet.endpointWatchers.lagSecondsAt(50));
+        metrics.addValue("event_lag_worst", "s", fleet.endpointWatchers.lagSecondsAt(100));
+        metrics.addValue(
+                "events_heard", "events", fleet.endpointWatchers.receivedCount() - receivedBefore);
     }
 }
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -25,34 +25,34 @@
      * Between the farewell of a life and the start of its successor: as long as a process takes to
      * start.
      */
-    private static final double RESTART_S = 0.5;
+    private static final double RESTART_SECONDS = 0.5;
 
     /** As long as {@code FleetService} goes on to say it. */
-    private static final double LEAVE_S = 0.15;
+    private static final double LEAVE_SECONDS = 0.15;
 
     final int number;
-    final FleetConfig part;
-    final HollowThread home;
-    final TransportCounters tally = new TransportCounters();
+    final FleetConfig config;
+    final HollowThread thread;
+    final TransportCounters transportCounters = new TransportCounters();
     private final Network network;
-    private final UnreachableListener verdicts;
-    private MembershipProtocol view;
-    private HollowTransport link;
+    private final UnreachableListener unreachableListener;
+    private MembershipProtocol protocol;
+    private HollowTransport transport;
     private volatile MembershipSnapshot snapshot;
-    private volatile int lives;
+    private volatile int startCount;
     private volatile double startedAt = Double.POSITIVE_INFINITY;
 
     HollowMember(
             int number,
-            FleetConfig part,
-            HollowThread home,
+            FleetConfig config,
+            HollowThread thread,
             Network network,
-            UnreachableListener verdicts) {
+            UnreachableListener unreachableListener) {
         this.number = number;
-        this.part = part;
-        this.home = home;
+        this.config = config;
+        this.thread = thread;
         this.network = network;
-        this.verdicts = verdicts;
+        this.unreachableListener = unreachableListener;
     }
 
     static String name(int number) {
@@ -65,8 +65,8 @@
     }
 
     /** How many lives have begun. */
-    int lives() {
-        return lives;
+    int startCount() {
+        return startCount;
     }
 
     /** When the life began that runs; infinity if none does. */
@@ -77,39 +77,45 @@
     /** Begins a life; called on the thread, as is all that follows. */
     void start() {
         try {
-            link = new HollowTransport(part.name(), part.listen(), part.rateLimits(), tally, this);
-            link.channel().register(home.selector, SelectionKey.OP_READ, this);
+            transport =
+                    new HollowTransport(
+                            config.name(),
+                            config.listen(),
+                            config.rateLimits(),
+                            transportCounters,
+                            this);
+            transport.channel().register(thread.selector, SelectionKey.OP_READ, this);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        view =
+        protocol =
                 new MembershipProtocol(
-                        part.membership(),
+                        config.membership(),
                         name(number),
-                        part.advertisedAddress(),
-                        part.zone(),
-                        part.seeds(),
-                        home.random.nextLong(),
+                        config.advertisedAddress(),
+                        config.zone(),
+                        config.seeds(),
+                        thread.random.nextLong(),
                         this);
-        startedAt = Network.now();
+        startedAt = Network.nowSeconds();
         snapshot = null;
-        lives++; // on this thread alone
-        home.add(this);
-        view.start(Network.now());
+        startCount++; // on this thread alone
+        thread.add(this);
+        protocol.start(Network.nowSeconds());
     }
 
     /** The process is gone, with all that it knew. */
     void kill() {
-        if (view == null) {
+        if (protocol == null) {
             return;
         }
-        view = null;
+        protocol = null;
         snapshot = null;
         startedAt = Double.POSITIVE_INFINITY;
-        home.remove(this);
+        thread.remove(this);
         try {
-            link.close();
-            home.selector.selectNow(); // only then the system has the address back
+            transport.close();
+            thread.selector.selectNow(); // only then the system has the address back
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -117,46 +123,46 @@
 
     /** Says that this life is over, ends it, and begins the next as soon as a process could. */
     void restart() {
-        if (view != null) {
-            view.leave(Network.now());
+        if (protocol != null) {
+            protocol.leave(Network.nowSeconds());
             startedAt = Double.POSITIVE_INFINITY;
             snapshot = null;
-            home.later(LEAVE_S, this::kill);
+            thread.schedule(LEAVE_SECONDS, this::kill);
         }
-        home.later(LEAVE_S + RESTART_S, this::start);
+        thread.schedule(LEAVE_SECONDS + RESTART_SECONDS, this::start);
     }
 
     /** Gives the address back once the thread has ended. */
     void close() throws IOException {
-        if (link != null) {
-            link.close();
+        if (transport != null) {
+            transport.close();
         }
     }
 
     void stalled(double now, double seconds) {
-        view.stalled(now, seconds);
+        protocol.stalled(now, seconds);
     }
 
     void receive() throws IOException {
-        link.receive(
-                (from, word) -> {
-                    if (view != null) {
-                        view.messageReceived(Network.now(), from, word);
+        transport.receive(
+                (from, message) -> {
+                    if (protocol != null) {
+                        protocol.messageReceived(Network.nowSeconds(), from, message);
                     }
                 });
     }
 
     /** Carries out what is due, and tells when the next is. */
     double tick(double now) {
-        if (now >= view.nextTickAt()) {
-            view.tick(now);
+        if (now >= protocol.nextTickAt()) {
+            protocol.tick(now);
         }
-        return view.nextTickAt();
+        return protocol.nextTickAt();
     }
 
     @Override
-    public void send(String address, GossipMessage word) {
-        link.send(address, word);
+    public void send(String address, GossipMessage message) {
+        transport.send(address, message);
     }
 
     @Override
@@ -164,14 +170,15 @@
         if (startedAt == Double.POSITIVE_INFINITY) {
             return; // leaves
         }
-        MembershipSnapshot before = snapshot;
-        double from = before == null ? startedAt : before.takenAt();
+        MembershipSnapshot previous = snapshot;
+        double previousTakenAt = previous == null ? startedAt : previous.takenAt();
         snapshot = next;
         List<MemberView> members = next.members();
         for (int i = 0; i < members.size(); i++) {
-            MemberView seen = members.get(i);
-            if (seen.record().status() == MemberStatus.UNREACHABLE && seen.statusSince() >= from) {
-                verdicts.said(number, seen);
+            MemberView member = members.get(i);
+            if (member.record().status() == MemberStatus.UNREACHABLE
+                    && member.statusSince() >= previousTakenAt) {
+                unreachableListener.markedUnreachable(number, member);
             }
         }
     }
@@ -183,33 +190,34 @@
 
     @Override
     public double out(String to) {
-        return network.fate(number, to, home.random);
+        return network.sendDelaySeconds(number, to, thread.random);
     }
 
     @Override
     public double in(String from) {
-        return network.fateOfHeard(number, from, home.random);
+        return network.receiveDelaySeconds(number, from, thread.random);
     }
 
     @Override
     public void later(double seconds, Runnable task) {
-        home.later(seconds, task);
+        thread.schedule(seconds, task);
     }
 
     /** The part of a product file that would say the same. */
-    static FleetConfig part(int number, String zone, List<String> seeds, FleetConfig pattern) {
+    static FleetConfig createConfig(
+            int number, String zone, List<String> seeds, FleetConfig template) {
         return new FleetConfig(
-                pattern.name(),
+                template.name(),
                 Config.parseAddress("listen", Network.address(number)),
                 Network.address(number),
                 zone,
                 seeds,
-                pattern.rateLimits(),
-                pattern.membership());
+                template.rateLimits(),
+                template.membership());
     }
 
     /** Is told of each verdict of a member that another is unreachable. */
     interface UnreachableListener {
-        void said(int by, MemberView seen);
+        void markedUnreachable(int observer, MemberView target);
     }
 }
--- a/src/test/java/junipercourse/scale/HollowThread.java
+++ b/src/test/java/junipercourse/scale/HollowThread.java
@@ -19,32 +19,37 @@
  */
 final class HollowThread {
     /** As in {@code FleetService}. */
-    private static final double PARK_MOST_S = 0.1;
+    private static final double MAX_PARK_SECONDS = 0.1;
 
-    private static final double STALL_S = 0.15;
-    private static final double READ_FIRST_MOST_S = 0.5;
+    private static final double STALL_SECONDS = 0.15;
+    private static final double MAX_CATCH_UP_SECONDS = 0.5;
 
     final SplittableRandom random;
     final Selector selector = Selector.open();
     final Thread thread;
     private final List<HollowMember> members = new ArrayList<>();
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<DelayedTask> later = new PriorityQueue<>();
-    private final StallDetector attention =
-            new StallDetector(PARK_MOST_S, STALL_S, Double.MAX_VALUE, Network.now(), Network.now());
+    private final PriorityQueue<DelayedTask> delayedTasks = new PriorityQueue<>();
+    private final StallDetector stallDetector =
+            new StallDetector(
+                    MAX_PARK_SECONDS,
+                    STALL_SECONDS,
+                    Double.MAX_VALUE,
+                    Network.nowSeconds(),
+                    Network.nowSeconds());
     private volatile boolean closed;
     private volatile long stalls;
     private volatile String failure;
-    private double nextTick;
-    private double catchUpUntil = Double.NEGATIVE_INFINITY;
-    private long sequence;
+    private double nextTickSeconds;
+    private double catchUpUntilSeconds = Double.NEGATIVE_INFINITY;
+    private long nextSequence;
 
-    private record DelayedTask(double at, long number, Runnable task)
+    private record DelayedTask(double dueSeconds, long sequence, Runnable task)
             implements Comparable<DelayedTask> {
         @Override
         public int compareTo(DelayedTask other) {
-            int order = Double.compare(at, other.at);
-            return order == 0 ? Long.compare(number, other.number) : order;
+            int order = Double.compare(dueSeconds, other.dueSeconds);
+            return order == 0 ? Long.compare(sequence, other.sequence) : order;
         }
     }
 
@@ -62,14 +67,14 @@
     }
 
     /** Runs a task on the thread after so many seconds; called there. */
-    void later(double seconds, Runnable task) {
-        later.add(new DelayedTask(Network.now() + seconds, sequence++, task));
+    void schedule(double seconds, Runnable task) {
+        delayedTasks.add(new DelayedTask(Network.nowSeconds() + seconds, nextSequence++, task));
     }
 
     /** A member lives here from now on; called on the thread. */
     void add(HollowMember member) {
         members.add(member);
-        nextTick = 0;
+        nextTickSeconds = 0;
     }
 
     void remove(HollowMember member) {
@@ -88,9 +93,9 @@
 
     private void run() {
         try {
-            attention.restartMeasurement(Network.now());
+            stallDetector.restartMeasurement(Network.nowSeconds());
             while (!closed) {
-                turn();
+                runIteration();
             }
         } catch (IOException | RuntimeException | Error e) {
             if (!closed || !(e instanceof ClosedSelectorException)) {
@@ -100,23 +105,28 @@
         }
     }
 
-    private void turn() throws IOException {
-        double wait =
-                Math.min(nextTick, later.isEmpty() ? Double.MAX_VALUE : later.peek().at)
-                        - Network.now();
-        if (catchUpUntil > 0 || wait <= 0 || !tasks.isEmpty()) {
+    private void runIteration() throws IOException {
+        double waitSeconds =
+                Math.min(
+                                nextTickSeconds,
+                                delayedTasks.isEmpty()
+                                        ? Double.MAX_VALUE
+                                        : delayedTasks.peek().dueSeconds)
+                        - Network.nowSeconds();
+        if (catchUpUntilSeconds > 0 || waitSeconds <= 0 || !tasks.isEmpty()) {
             selector.selectNow();
         } else {
-            selector.select(Math.max(1, (long) Math.ceil(Math.min(wait, PARK_MOST_S) * 1e3)));
+            selector.select(
+                    Math.max(1, (long) Math.ceil(Math.min(waitSeconds, MAX_PARK_SECONDS) * 1e3)));
         }
-        double now = Network.now();
-        StallDetector.Stall stall = attention.recordIteration(now);
+        double now = Network.nowSeconds();
+        StallDetector.Stall stall = stallDetector.recordIteration(now);
         if (stall != null) {
             stalls++;
             members.forEach(member -> member.stalled(now, stall.durationSeconds()));
-            catchUpUntil = now + READ_FIRST_MOST_S;
-        } else if (selector.selectedKeys().isEmpty() || now > catchUpUntil) {
-            catchUpUntil = Double.NEGATIVE_INFINITY;
+            catchUpUntilSeconds = now + MAX_CATCH_UP_SECONDS;
+        } else if (selector.selectedKeys().isEmpty() || now > catchUpUntilSeconds) {
+            catchUpUntilSeconds = Double.NEGATIVE_INFINITY;
         }
         for (SelectionKey key : selector.selectedKeys()) {
             if (key.isValid()) {
@@ -124,22 +134,23 @@
             }
         }
         selector.selectedKeys().clear();
-        if (catchUpUntil < 0) {
+        if (catchUpUntilSeconds < 0) {
             for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                 task.run();
             }
-            while (!later.isEmpty() && later.peek().at <= Network.now()) {
-                later.poll().task.run();
+            while (!delayedTasks.isEmpty()
+                    && delayedTasks.peek().dueSeconds <= Network.nowSeconds()) {
+                delayedTasks.poll().task.run();
             }
-            tick();
+            tickMembers();
         }
     }
 
-    private void tick() {
-        if (Network.now() >= nextTick) {
-            nextTick = Double.POSITIVE_INFINITY;
+    private void tickMembers() {
+        if (Network.nowSeconds() >= nextTickSeconds) {
+            nextTickSeconds = Double.POSITIVE_INFINITY;
             for (HollowMember member : members) {
-                nextTick = Math.min(nextTick, member.tick(Network.now()));
+                nextTickSeconds = Math.min(nextTickSeconds, member.tick(Network.nowSeconds()));
             }
         }
     }
--- a/src/test/java/junipercourse/scale/HostMetrics.java
+++ b/src/test/java/junipercourse/scale/HostMetrics.java
@@ -12,34 +12,37 @@
 
 /** What the system tells of this machine. */
 final class HostMetrics {
-    private static final double PAGES_MB = 256;
-    private static final int IDLE = 4; // fields of the line of all processors
-    private static final int WAITING = 5;
+    private static final double PAGES_PER_MB = 256;
+    private static final int IDLE_FIELD = 4; // fields of the line of all processors
+    private static final int IO_WAIT_FIELD = 5;
 
     private HostMetrics() {}
 
     /** Processor time of the whole machine so far, in ticks. */
-    record CpuTicks(long busy, long all) {
+    record CpuTicks(long busy, long total) {
         /** The share that was busy since then. */
-        double busySince(CpuTicks then) {
-            return all == then.all ? 0 : (busy - then.busy) / (double) (all - then.all);
+        double busyShareSince(CpuTicks earlier) {
+            return total == earlier.total
+                    ? 0
+                    : (busy - earlier.busy) / (double) (total - earlier.total);
         }
     }
 
-    static String told() {
+    static String describe() {
         OperatingSystemMXBean os =
                 (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         return os.getAvailableProcessors() + " cores, " + (os.getTotalMemorySize() >> 30) + " GiB";
     }
 
-    static CpuTicks processors() throws IOException {
+    static CpuTicks readCpuTicks() throws IOException {
         String[] fields = Files.readAllLines(Path.of("/proc/stat")).get(0).trim().split(" +");
-        long all = 0;
+        long total = 0;
         for (int i = 1; i <= 8; i++) {
-            all += Long.parseLong(fields[i]);
+            total += Long.parseLong(fields[i]);
         }
         return new CpuTicks(
-                all - Long.parseLong(fields[IDLE]) - Long.parseLong(fields[WAITING]), all);
+                total - Long.parseLong(fields[IDLE_FIELD]) - Long.parseLong(fields[IO_WAIT_FIELD]),
+                total);
     }
 
     /** Datagrams that the system dropped so far since a socket's buffer was full. */
@@ -61,14 +64,14 @@
                 IntStream.range(0, members)
                         .mapToObj(i -> Network.address(i).split("[.:]"))
                         .map(
-                                a ->
+                                addressParts ->
                                         "%02X%02X%02X%02X:%04X"
                                                 .formatted(
-                                                        Integer.valueOf(a[3]),
-                                                        Integer.valueOf(a[2]),
-                                                        Integer.valueOf(a[1]),
-                                                        Integer.valueOf(a[0]),
-                                                        Integer.valueOf(a[4])))
+                                                        Integer.valueOf(addressParts[3]),
+                                                        Integer.valueOf(addressParts[2]),
+                                                        Integer.valueOf(addressParts[1]),
+                                                        Integer.valueOf(addressParts[0]),
+                                                        Integer.valueOf(addressParts[4])))
                         .collect(
                                 Collectors.toSet()); // as the system writes them on a little-endian
         // machine
@@ -82,6 +85,6 @@
     /** Resident memory of this process. */
     static double residentMb() throws IOException {
         return Long.parseLong(Files.readString(Path.of("/proc/self/statm")).split(" ")[1])
-                / PAGES_MB;
+                / PAGES_PER_MB;
     }
 }
--- a/src/test/java/junipercourse/scale/IdleClients.java
+++ b/src/test/java/junipercourse/scale/IdleClients.java
@@ -15,21 +15,21 @@
  * connections.
  */
 final class IdleClients implements Closeable {
-    private static final int OPENING_MOST = 64;
-    private static final int MOST_ANSWER = 2048;
-    private static final int READY_TWICE = 2; // after the start and after the query
+    private static final int MAX_OPENING = 64;
+    private static final int MAX_RESPONSE_BYTES = 2048;
+    private static final int READY_MESSAGES_WHEN_OPEN = 2; // after the start and after the query
 
     private final Selector selector = Selector.open();
     private final InetSocketAddress front;
-    private int opening;
+    private int openingCount;
     private int open;
-    private int refused;
-    private int answered;
+    private int refusedCount;
+    private int answeredCount;
 
     /** One client's answers so far. */
     private static final class ClientState {
-        private final ByteBuffer in = ByteBuffer.allocate(MOST_ANSWER);
-        private int readies;
+        private final ByteBuffer input = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
+        private int readyMessages;
     }
 
     IdleClients(InetSocketAddress front) throws IOException {
@@ -39,98 +39,100 @@
     /**
      * Connects so many, some at once; returns how many have had their answer and are still there.
      */
-    int open(int count, double patienceS) throws IOException {
-        long end = System.nanoTime() + (long) (patienceS * 1e9);
-        int begun = 0;
-        while ((begun < count || opening > 0) && System.nanoTime() < end) {
-            while (begun < count && opening < OPENING_MOST) {
-                SocketChannel c = SocketChannel.open();
-                c.configureBlocking(false)
+    int open(int count, double timeoutSeconds) throws IOException {
+        long endNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+        int started = 0;
+        while ((started < count || openingCount > 0) && System.nanoTime() < endNanos) {
+            while (started < count && openingCount < MAX_OPENING) {
+                SocketChannel channel = SocketChannel.open();
+                channel.configureBlocking(false)
                         .register(selector, SelectionKey.OP_CONNECT, new ClientState());
-                begun++;
-                opening++;
-                if (c.connect(front)) {
-                    c.keyFor(selector).interestOps(SelectionKey.OP_READ);
-                    ask(c);
+                started++;
+                openingCount++;
+                if (channel.connect(front)) {
+                    channel.keyFor(selector).interestOps(SelectionKey.OP_READ);
+                    sendStartupAndQuery(channel);
                 }
             }
-            selector.select(this::ready, 10);
+            selector.select(this::handleReadyKey, 10);
         }
         return open;
     }
 
     /** Looks at the sockets for so long; returns how many connections are held after that. */
-    int held(double seconds) throws IOException {
-        long end = System.nanoTime() + (long) (seconds * 1e9);
+    int countHeldAfter(double seconds) throws IOException {
+        long endNanos = System.nanoTime() + (long) (seconds * 1e9);
         do {
-            selector.select(this::ready, Math.max(1, (end - System.nanoTime()) / 1_000_000));
-        } while (System.nanoTime() < end);
+            selector.select(
+                    this::handleReadyKey, Math.max(1, (endNanos - System.nanoTime()) / 1_000_000));
+        } while (System.nanoTime() < endNanos);
         return open;
     }
 
     /** Connections that have had their answer, whether they are still there or not. */
-    int answered() {
-        return answered;
+    int answeredCount() {
+        return answeredCount;
     }
 
     /** Connections that ended before their first answer. */
-    int refused() {
-        return refused;
+    int refusedCount() {
+        return refusedCount;
     }
 
-    private void ready(SelectionKey key) {
-        SocketChannel c = (SocketChannel) key.channel();
-        ClientState s = (ClientState) key.attachment();
+    private void handleReadyKey(SelectionKey key) {
+        SocketChannel channel = (SocketChannel) key.channel();
+        ClientState state = (ClientState) key.attachment();
         try {
-            if (key.isConnectable() && c.finishConnect()) {
+            if (key.isConnectable() && channel.finishConnect()) {
                 key.interestOps(SelectionKey.OP_READ);
-                ask(c);
-            } else if (key.isReadable() && (c.read(s.in) < 0 || told(s))) {
-                over(c, s);
+                sendStartupAndQuery(channel);
+            } else if (key.isReadable() && (channel.read(state.input) < 0 || readMessages(state))) {
+                handleClosed(channel, state);
             }
         } catch (IOException e) {
-            over(c, s);
+            handleClosed(channel, state);
         }
     }
 
-    private static void ask(SocketChannel c) throws IOException {
+    private static void sendStartupAndQuery(SocketChannel channel) throws IOException {
         ByteBuffer start = ByteBuffer.wrap(Client.startupMessage());
         ByteBuffer query = ByteBuffer.wrap(Client.queryMessage(" "));
-        c.write(new ByteBuffer[] {start, query}); // far less than a socket takes at once
+        channel.write(new ByteBuffer[] {start, query}); // far less than a socket takes at once
     }
 
     /** Takes in whole messages; true if one of them ends the session. */
-    private boolean told(ClientState s) {
-        s.in.flip();
-        boolean ends = false;
-        while (s.in.remaining() > Integer.BYTES
-                && s.in.remaining() > s.in.getInt(s.in.position() + 1)) {
-            byte type = s.in.get(s.in.position());
-            ends |= type == 'E';
-            if (type == 'Z' && ++s.readies == READY_TWICE) {
-                opening--;
+    private boolean readMessages(ClientState state) {
+        state.input.flip();
+        boolean sessionEnds = false;
+        while (state.input.remaining() > Integer.BYTES
+                && state.input.remaining() > state.input.getInt(state.input.position() + 1)) {
+            byte type = state.input.get(state.input.position());
+            sessionEnds |= type == 'E';
+            if (type == 'Z' && ++state.readyMessages == READY_MESSAGES_WHEN_OPEN) {
+                openingCount--;
                 open++;
-                answered++;
+                answeredCount++;
             }
-            s.in.position(s.in.position() + 1 + s.in.getInt(s.in.position() + 1));
+            state.input.position(
+                    state.input.position() + 1 + state.input.getInt(state.input.position() + 1));
         }
-        s.in.compact();
-        return ends;
+        state.input.compact();
+        return sessionEnds;
     }
 
-    private void over(SocketChannel c, ClientState s) {
-        if (s.readies >= READY_TWICE) {
+    private void handleClosed(SocketChannel channel, ClientState state) {
+        if (state.readyMessages >= READY_MESSAGES_WHEN_OPEN) {
             open--;
         } else {
-            opening--;
-            refused++;
+            openingCount--;
+            refusedCount++;
         }
-        close(c);
+        close(channel);
     }
 
-    private static void close(Closeable c) {
+    private static void close(Closeable channel) {
         try {
-            c.close();
+            channel.close();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/junipercourse/scale/Network.java
+++ b/src/test/java/junipercourse/scale/Network.java
@@ -14,54 +14,65 @@
  */
 final class Network {
     private static final int PORT = 7101;
-    private static final int IN_A_NET = 250;
+    private static final int MEMBERS_PER_SUBNET = 250;
 
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private final Map<String, Integer> memberNumbers = new HashMap<>();
     private final int realCount;
     private volatile Faults faults;
 
     /** All that is wrong, from a time on. Members hear each other if their sides are equal. */
-    private record Faults(int[] sides, double loss, double delay, double since) {
-        boolean none() {
-            return sides == null && loss == 0 && delay == 0;
+    private record Faults(
+            int[] sides, double lossProbability, double maxDelaySeconds, double sinceSeconds) {
+        boolean isEmpty() {
+            return sides == null && lossProbability == 0 && maxDelaySeconds == 0;
         }
 
-        boolean apart(int one, int other) {
+        boolean areSeparated(int one, int other) {
             return sides != null && sides[one] != sides[other];
         }
     }
 
-    Network(int size, int realCount, double delay) {
+    Network(int size, int realCount, double maxDelaySeconds) {
         this.realCount = realCount;
         for (int i = 0; i < size; i++) {
-            numbers.put(address(i), i);
+            memberNumbers.put(address(i), i);
         }
-        faults = new Faults(null, 0, delay, now());
+        faults = new Faults(null, 0, maxDelaySeconds, nowSeconds());
     }
 
     /**
      * An address of its own for each, so that rates for each address hold as they do in service.
      */
     static String address(int member) {
-        return "127.77." + member / IN_A_NET + "." + (1 + member % IN_A_NET) + ":" + PORT;
+        return "127.77."
+                + member / MEMBERS_PER_SUBNET
+                + "."
+                + (1 + member % MEMBERS_PER_SUBNET)
+                + ":"
+                + PORT;
     }
 
-    static double now() {
+    static double nowSeconds() {
         return Clock.SYSTEM.monotonicSeconds();
     }
 
     /** From now on, members of different sides do not hear each other. */
-    void cut(int[] sides) {
-        faults = new Faults(sides.clone(), faults.loss, faults.delay, now());
+    void partition(int[] sides) {
+        faults =
+                new Faults(
+                        sides.clone(),
+                        faults.lossProbability,
+                        faults.maxDelaySeconds,
+                        nowSeconds());
     }
 
     void heal() {
-        faults = new Faults(null, faults.loss, faults.delay, now());
+        faults = new Faults(null, faults.lossProbability, faults.maxDelaySeconds, nowSeconds());
     }
 
     /** From now on each datagram is lost with this probability. */
-    void lose(double share) {
-        faults = new Faults(faults.sides, share, faults.delay, now());
+    void setLossProbability(double probability) {
+        faults = new Faults(faults.sides, probability, faults.maxDelaySeconds, nowSeconds());
     }
 
     /** The side of each member; the same for all while there is no cut. */
@@ -71,30 +82,36 @@
     }
 
     /** Whether these have heard each other since before that time. */
-    boolean together(int one, int other, double since) {
-        Faults f = faults;
-        return !f.apart(one, other) && (f.sides != null || f.since < since || f.loss > 0);
+    boolean couldCommunicateSince(int one, int other, double since) {
+        Faults current = faults;
+        return !current.areSeparated(one, other)
+                && (current.sides != null
+                        || current.sinceSeconds < since
+                        || current.lossProbability > 0);
     }
 
     /** Seconds that a datagram to an address is held back; below 0 if it is lost. */
-    double fate(int from, String to, SplittableRandom random) {
-        Faults f = faults;
-        if (f.none()) {
+    double sendDelaySeconds(int sender, String address, SplittableRandom random) {
+        Faults current = faults;
+        if (current.isEmpty()) {
             return 0;
         }
-        Integer number = numbers.get(to);
-        if (number != null && f.apart(from, number) || f.loss > 0 && random.nextDouble() < f.loss) {
+        Integer number = memberNumbers.get(address);
+        if (number != null && current.areSeparated(sender, number)
+                || current.lossProbability > 0 && random.nextDouble() < current.lossProbability) {
             return -1;
         }
-        return f.delay * random.nextDouble();
+        return current.maxDelaySeconds * random.nextDouble();
     }
 
     /** The same for one that came: only real ones' have not met their fate yet. */
-    double fateOfHeard(int by, String from, SplittableRandom random) {
-        if (faults.none()) {
+    double receiveDelaySeconds(int receiver, String address, SplittableRandom random) {
+        if (faults.isEmpty()) {
             return 0;
         }
-        Integer number = numbers.get(from);
-        return number != null && number < realCount ? fate(by, from, random) : 0;
+        Integer number = memberNumbers.get(address);
+        return number != null && number < realCount
+                ? sendDelaySeconds(receiver, address, random)
+                : 0;
     }
 }
--- a/src/test/java/junipercourse/scale/ProcessMetrics.java
+++ b/src/test/java/junipercourse/scale/ProcessMetrics.java
@@ -13,10 +13,11 @@
 
 /** What the system and the JVM tell of another process: processor time by thread, memory. */
 final class ProcessMetrics {
-    private static final double NS = 1e-9;
-    private static final double TICKS_S = 100; // in which the system splits off the kernel's part
-    private static final double PAGE = 4096;
-    private static final Pattern TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
+    private static final double SECONDS_PER_NANO = 1e-9;
+    private static final double TICKS_PER_SECOND =
+            100; // in which the system splits off the kernel's part
+    private static final double PAGE_BYTES = 4096;
+    private static final Pattern HISTOGRAM_TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
     private enum ThreadKind {
         LOOP,
@@ -26,10 +27,10 @@
     }
 
     /** What a thread had spent when it was last seen. */
-    private record ThreadCpuTime(ThreadKind group, double seconds) {}
+    private record ThreadCpuTime(ThreadKind kind, double seconds) {}
 
-    private final Map<String, ThreadCpuTime> seen = new HashMap<>();
-    private double unseen;
+    private final Map<String, ThreadCpuTime> threadTimes = new HashMap<>();
+    private double endedThreadSeconds;
     private final long pid;
 
     ProcessMetrics(long pid) {
@@ -40,10 +41,10 @@
      * Processor seconds: in all, of the I/O thread, the compiler and the collector, and in the
      * kernel.
      */
-    record CpuTime(double all, double loop, double compiler, double collector, double kernel) {
+    record CpuTime(double total, double loop, double compiler, double collector, double kernel) {
         CpuTime since(CpuTime before) {
             return new CpuTime(
-                    all - before.all,
+                    total - before.total,
                     loop - before.loop,
                     compiler - before.compiler,
                     collector - before.collector,
@@ -55,44 +56,52 @@
      * By the nanosecond for each thread; by ticks of 10 ms the kernel's part, and what threads have
      * spent that ended between two looks.
      */
-    CpuTime cpu() {
-        try (DirectoryStream<Path> threads = Files.newDirectoryStream(of("task"))) {
-            for (Path t : threads) {
+    CpuTime readCpuTime() {
+        try (DirectoryStream<Path> threads = Files.newDirectoryStream(procFile("task"))) {
+            for (Path thread : threads) {
                 try {
-                    String name = Files.readString(t.resolve("comm")).trim();
-                    double s =
-                            Long.parseLong(Files.readString(t.resolve("schedstat")).split(" ")[0])
-                                    * NS;
-                    seen.put(t.getFileName().toString(), new ThreadCpuTime(group(name), s));
+                    String name = Files.readString(thread.resolve("comm")).trim();
+                    double threadSeconds =
+                            Long.parseLong(
+                                            Files.readString(thread.resolve("schedstat"))
+                                                    .split(" ")[0])
+                                    * SECONDS_PER_NANO;
+                    threadTimes.put(
+                            thread.getFileName().toString(),
+                            new ThreadCpuTime(threadKind(name), threadSeconds));
                 } catch (NoSuchFileException e) {
                     continue; // it has just ended
                 }
             }
             // the third field and on
-            String[] stat = Files.readString(of("stat")).split("\\) ")[1].split(" ");
-            double kernel = Long.parseLong(stat[12]) / TICKS_S;
-            double all = seen.values().stream().mapToDouble(ThreadCpuTime::seconds).sum();
-            unseen = Math.max(unseen, Long.parseLong(stat[11]) / TICKS_S + kernel - all);
+            String[] stat = Files.readString(procFile("stat")).split("\\) ")[1].split(" ");
+            double kernel = Long.parseLong(stat[12]) / TICKS_PER_SECOND;
+            double threadTotal =
+                    threadTimes.values().stream().mapToDouble(ThreadCpuTime::seconds).sum();
+            endedThreadSeconds =
+                    Math.max(
+                            endedThreadSeconds,
+                            Long.parseLong(stat[11]) / TICKS_PER_SECOND + kernel - threadTotal);
             return new CpuTime(
-                    all + unseen,
-                    of(ThreadKind.LOOP),
-                    of(ThreadKind.COMPILER),
-                    of(ThreadKind.COLLECTOR),
+                    threadTotal + endedThreadSeconds,
+                    cpuSeconds(ThreadKind.LOOP),
+                    cpuSeconds(ThreadKind.COMPILER),
+                    cpuSeconds(ThreadKind.COLLECTOR),
                     kernel);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private double of(ThreadKind group) {
-        return seen.values().stream()
-                .filter(s -> s.group == group)
+    private double cpuSeconds(ThreadKind kind) {
+        return threadTimes.values().stream()
+                .filter(thread -> thread.kind == kind)
                 .mapToDouble(ThreadCpuTime::seconds)
                 .sum();
     }
 
     /** The system keeps 15 characters of a thread's name. */
-    private static ThreadKind group(String name) {
+    private static ThreadKind threadKind(String name) {
         return name.startsWith("junipercourse")
                 ? ThreadKind.LOOP
                 : name.matches("C[12] Comp.*")
@@ -101,39 +110,39 @@
     }
 
     /** Resident bytes. */
-    double resident() {
+    double readResidentBytes() {
         try {
-            return Long.parseLong(Files.readString(of("statm")).split(" ")[1]) * PAGE;
+            return Long.parseLong(Files.readString(procFile("statm")).split(" ")[1]) * PAGE_BYTES;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** Bytes of heap that a collection of everything leaves, which telling them begins with. */
-    double heap() throws IOException, InterruptedException {
-        Matcher m = TOTAL.matcher(jcmd("GC.class_histogram"));
-        if (!m.find()) {
+    double readHeapBytes() throws IOException, InterruptedException {
+        Matcher matcher = HISTOGRAM_TOTAL.matcher(runJcmd("GC.class_histogram"));
+        if (!matcher.find()) {
             throw new IOException("the JVM told no heap");
         }
-        return Long.parseLong(m.group(1));
+        return Long.parseLong(matcher.group(1));
     }
 
-    private String jcmd(String command) throws IOException, InterruptedException {
-        Process p =
+    private String runJcmd(String command) throws IOException, InterruptedException {
+        Process process =
                 new ProcessBuilder(
                                 System.getProperty("java.home") + "/bin/jcmd",
                                 Long.toString(pid),
                                 command)
                         .redirectErrorStream(true)
                         .start();
-        String told = new String(p.getInputStream().readAllBytes());
-        if (p.waitFor() != 0) {
-            throw new IOException(told);
+        String output = new String(process.getInputStream().readAllBytes());
+        if (process.waitFor() != 0) {
+            throw new IOException(output);
         }
-        return told;
+        return output;
     }
 
-    private Path of(String what) {
-        return Path.of("/proc/" + pid + "/" + what);
+    private Path procFile(String file) {
+        return Path.of("/proc/" + pid + "/" + file);
     }
 }
--- a/src/test/java/junipercourse/scale/RealMember.java
+++ b/src/test/java/junipercourse/scale/RealMember.java
@@ -14,9 +14,9 @@
  * A whole dispatcher as a process, member of the same fleet; it is asked with {@code SHOW FLEET}.
  */
 final class RealMember implements Closeable {
-    private static final int DESCRIPTORS = 1024;
-    private static final double PAGES_MB = 256;
-    private static final double TICKS_S = 100; // in which the system counts processor time
+    private static final int MAX_DESCRIPTORS = 1024;
+    private static final double PAGES_PER_MB = 256;
+    private static final double TICKS_PER_SECOND = 100; // in which the system counts processor time
 
     final int number;
     private final DispatcherProcess process;
@@ -27,19 +27,21 @@
      */
     RealMember(int number, Path folder, String product, boolean packaged) throws IOException {
         this.number = number;
-        Path own = Files.createDirectories(folder.resolve(HollowMember.name(number)));
-        Path config = Files.writeString(own.resolve("config.json"), SocketTestSupport.CONFIG);
-        Path file = Files.writeString(own.resolve("product.xml"), product);
-        String first =
+        Path memberFolder = Files.createDirectories(folder.resolve(HollowMember.name(number)));
+        Path config =
+                Files.writeString(memberFolder.resolve("config.json"), SocketTestSupport.CONFIG);
+        Path productFile = Files.writeString(memberFolder.resolve("product.xml"), product);
+        String shellPrefix =
                 "export RELAY_NAME="
                         + HollowMember.name(number)
                         + " JUNIPER_PRODUCT='"
-                        + file
+                        + productFile
                         + "'; ";
         process =
                 packaged
-                        ? DispatcherProcess.startDeployed(own.resolve("log"), config, first)
-                        : new DispatcherProcess(own, DESCRIPTORS, config, first);
+                        ? DispatcherProcess.startDeployed(
+                                memberFolder.resolve("log"), config, shellPrefix)
+                        : new DispatcherProcess(memberFolder, MAX_DESCRIPTORS, config, shellPrefix);
     }
 
     /** A product file with the fleet alone and its defaults. */
@@ -56,7 +58,7 @@
     }
 
     /** What it tells of its fleet now. */
-    FleetObservation look() throws IOException {
+    FleetObservation observe() throws IOException {
         if (!process.isAlive()) {
             throw new IOException("has ended: " + process.log());
         }
@@ -65,7 +67,8 @@
                 client = new SocketTestSupport.Client(process.address());
                 client.startSession();
             }
-            return FleetObservation.parse(Network.now(), number, 1, client.query("SHOW FLEET"));
+            return FleetObservation.parse(
+                    Network.nowSeconds(), number, 1, client.query("SHOW FLEET"));
         } catch (IOException e) {
             client = null; // the next look connects anew
             throw e;
@@ -73,14 +76,14 @@
     }
 
     /** Processor seconds so far. */
-    double processorS() throws IOException {
+    double cpuSeconds() throws IOException {
         String[] stat =
                 process.readProcFile("stat").split("\\) ")[1].split(" "); // the third field and on
-        return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_S;
+        return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_PER_SECOND;
     }
 
     double residentMb() throws IOException {
-        return Long.parseLong(process.readProcFile("statm").split(" ")[1]) / PAGES_MB;
+        return Long.parseLong(process.readProcFile("statm").split(" ")[1]) / PAGES_PER_MB;
     }
 
     @Override
--- a/src/test/java/junipercourse/scale/ResultWriter.java
+++ b/src/test/java/junipercourse/scale/ResultWriter.java
@@ -18,7 +18,7 @@
 public final class ResultWriter {
     private static final String COMMIT = System.getProperty("scale.commit", "unknown");
 
-    private static final int DIGITS = 3;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     private final Path file;
     private final String suite;
@@ -44,25 +44,25 @@
      * repeats.
      */
     public void add(
-            String play,
+            String scenario,
             int size,
-            String figure,
+            String metric,
             String unit,
             double median,
             double worst,
             int count) {
-        write(play, size, figure, unit, median, worst, count, true, "");
+        write(scenario, size, metric, unit, median, worst, count, true, "");
     }
 
     /** Median and greatest of some values, of which there is at least one. */
     static double[] medianAndWorst(double... values) {
-        DoubleHistogram all = new DoubleHistogram(DIGITS);
+        DoubleHistogram histogram = new DoubleHistogram(HISTOGRAM_DIGITS);
         for (double value : values) {
-            all.recordValue(value);
+            histogram.recordValue(value);
         }
         // the histogram's own maximum is no number where all values are 0
         return new double[] {
-            all.getValueAtPercentile(50), DoubleStream.of(values).max().orElseThrow()
+            histogram.getValueAtPercentile(50), DoubleStream.of(values).max().orElseThrow()
         };
     }
 
@@ -70,44 +70,44 @@
      * A figure that is no measurement, since the machine was the bound or the run was cut short.
      */
     public void addInvalid(
-            String play,
+            String scenario,
             int size,
-            String figure,
+            String metric,
             String unit,
             double median,
             double worst,
             int count,
-            String why) {
-        write(play, size, figure, unit, median, worst, count, false, why);
+            String reason) {
+        write(scenario, size, metric, unit, median, worst, count, false, reason);
     }
 
     private synchronized void write(
-            String play,
+            String scenario,
             int size,
-            String figure,
+            String metric,
             String unit,
             double median,
             double worst,
             int count,
-            boolean counts,
-            String why) {
+            boolean valid,
+            String reason) {
         JsonObject line =
                 Json.object()
                         .add("suite", suite)
-                        .add("play", play)
+                        .add("play", scenario)
                         .add("size", size)
                         .add("variant", variant)
                         .add("seed", seed)
                         .add("day", LocalDate.now().toString())
                         .add("commit", COMMIT)
                         .add("machine", machine)
-                        .add("figure", figure)
+                        .add("figure", metric)
                         .add("unit", unit)
-                        .add("median", rounded(median))
-                        .add("worst", rounded(worst))
+                        .add("median", roundToMicros(median))
+                        .add("worst", roundToMicros(worst))
                         .add("count", count)
-                        .add("counts", counts)
-                        .add("why", why);
+                        .add("counts", valid)
+                        .add("why", reason);
         try {
             Files.writeString(
                     file, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -117,7 +117,7 @@
     }
 
     /** JSON has no infinity and no NaN: a figure that is none is a fault of the tool. */
-    private static double rounded(double value) {
+    private static double roundToMicros(double value) {
         if (!Double.isFinite(value)) {
             throw new IllegalArgumentException(value + " is no figure");
         }
--- a/src/test/java/junipercourse/scale/ResultWriterTest.java
+++ b/src/test/java/junipercourse/scale/ResultWriterTest.java
@@ -19,7 +19,7 @@
     @TempDir private Path folder;
 
     @Test
-    void eachFigureIsOneLineWithAllMembersAndIsAppended() throws IOException {
+    void eachMetricIsAppendedAsOneLineWithAllFields() throws IOException {
         Path file = folder.resolve("out.jsonl");
         new ResultWriter(file, "fleet", "8 cores", "after", 7)
                 .add("calm", 720, "bytes_out", "B/s", 2700.5, 3100, 720);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void medianAndWorstAreOfTheValuesAlsoWhereTheyAreNought() {
+    void medianAndWorstAreComputedAlsoWhenAllValuesAreZero() {
         assertArrayEquals(new double[] {0, 0}, ResultWriter.medianAndWorst(0, 0, 0));
         assertArrayEquals(new double[] {0, 9}, ResultWriter.medianAndWorst(9, 0, 0));
         assertArrayEquals(
@@ -51,7 +51,7 @@
 
     /** What is no number is not written as if it were one. */
     @Test
-    void aFigureThatIsNoneIsRefused() {
+    void notANumberIsRejectedAndNothingIsWritten() {
         ResultWriter results = new ResultWriter(folder.resolve("none"), "fleet", "", "", 1);
         assertThrows(
                 IllegalArgumentException.class,
--- a/src/test/java/junipercourse/scale/RunLimits.java
+++ b/src/test/java/junipercourse/scale/RunLimits.java
@@ -4,47 +4,47 @@
 
 /** The run's own bounds: past one of them it ends by itself, with all that it started. */
 final class RunLimits {
-    private final double memoryMb;
-    private final double wallS;
-    private final double begun = Network.now();
-    private volatile String passed;
+    private final double maxMemoryMb;
+    private final double wallSeconds;
+    private final double startSeconds = Network.nowSeconds();
+    private volatile String abortReason;
 
     /** The run is to end before its time. */
     static final class RunAbortedException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        RunAbortedException(String why) {
-            super(why);
+        RunAbortedException(String reason) {
+            super(reason);
         }
     }
 
-    RunLimits(double memoryMb, double wallS) {
-        this.memoryMb = memoryMb;
-        this.wallS = wallS;
+    RunLimits(double maxMemoryMb, double wallSeconds) {
+        this.maxMemoryMb = maxMemoryMb;
+        this.wallSeconds = wallSeconds;
     }
 
     /** Looks at memory and time; to be called each second. */
-    void look(ScaleFleet fleet) throws IOException {
-        double used = HostMetrics.residentMb();
-        for (RealMember each : fleet.real) {
-            used += each.residentMb();
+    void checkUsage(ScaleFleet fleet) throws IOException {
+        double usedMb = HostMetrics.residentMb();
+        for (RealMember member : fleet.realMembers) {
+            usedMb += member.residentMb();
         }
-        if (used > memoryMb) {
-            passed = "%.0f MB are used, %.0f allowed".formatted(used, memoryMb);
-        } else if (Network.now() - begun > wallS) {
-            passed = "the run took longer than %.0f s".formatted(wallS);
+        if (usedMb > maxMemoryMb) {
+            abortReason = "%.0f MB are used, %.0f allowed".formatted(usedMb, maxMemoryMb);
+        } else if (Network.nowSeconds() - startSeconds > wallSeconds) {
+            abortReason = "the run took longer than %.0f s".formatted(wallSeconds);
         }
     }
 
     /** Ends the run, for a reason of its own. */
-    void stop(String why) {
-        passed = why;
+    void abort(String reason) {
+        abortReason = reason;
     }
 
     /** Fails if a bound was passed. */
-    void check() {
-        if (passed != null) {
-            throw new RunAbortedException(passed);
+    void throwIfAborted() {
+        if (abortReason != null) {
+            throw new RunAbortedException(abortReason);
         }
     }
 }
--- a/src/test/java/junipercourse/scale/ScaleFleet.java
+++ b/src/test/java/junipercourse/scale/ScaleFleet.java
@@ -25,21 +25,21 @@
  * zone lies in both halves, since these are to be equal.
  */
 final class ScaleFleet implements Closeable {
-    private static final int ZONES = 5;
+    private static final int ZONE_COUNT = 5;
 
     /**
      * A verdict so soon after a heal or a start may rest on what was so before: 1.1 s and two
      * probes.
      */
-    private static final double VERDICT_S = 2;
+    private static final double VERDICT_SETTLE_SECONDS = 2;
 
     final int size;
     final int realCount;
     final Network network;
-    final EndpointWatchers listeners;
+    final EndpointWatchers endpointWatchers;
     final List<HollowThread> threads = new ArrayList<>();
     final List<HollowMember> hollow = new ArrayList<>();
-    final List<RealMember> real = new CopyOnWriteArrayList<>();
+    final List<RealMember> realMembers = new CopyOnWriteArrayList<>();
 
     /** Those that somebody called unreachable who could reach them, since the last clear. */
     final Set<String> falselyUnreachable = ConcurrentHashMap.newKeySet();
@@ -52,7 +52,7 @@
     /**
      * How many lives of each must have begun: nobody agrees before all that was asked for is so.
      */
-    private final int[] lives;
+    private final int[] startCounts;
 
     ScaleFleet(
             Path folder,
@@ -60,23 +60,23 @@
             int realCount,
             int threadCount,
             boolean packaged,
-            double delay,
+            double maxDelaySeconds,
             long seed)
             throws IOException {
         this.folder = folder;
         this.size = size;
         this.realCount = realCount;
         this.packaged = packaged;
-        lives = new int[size];
-        network = new Network(size, realCount, delay);
-        listeners = new EndpointWatchers(size);
-        Path file =
+        startCounts = new int[size];
+        network = new Network(size, realCount, maxDelaySeconds);
+        endpointWatchers = new EndpointWatchers(size);
+        Path productFile =
                 Files.writeString(
                         folder.resolve("product.xml"), RealMember.product(0, zone(0), seeds()));
-        FleetConfig pattern = pattern(file);
-        if (size > pattern.membership().maxMembers()) {
+        FleetConfig template = readTemplate(productFile);
+        if (size > template.membership().maxMembers()) {
             throw new IllegalArgumentException(
-                    "a view keeps " + pattern.membership().maxMembers() + " members, not " + size);
+                    "a view keeps " + template.membership().maxMembers() + " members, not " + size);
         }
         for (int i = 0; i < threadCount; i++) {
             threads.add(new HollowThread(i, seed * 1000 + i));
@@ -85,15 +85,15 @@
             hollow.add(
                     new HollowMember(
                             i,
-                            HollowMember.part(i, zone(i), seeds(), pattern),
+                            HollowMember.createConfig(i, zone(i), seeds(), template),
                             threads.get(i % threadCount),
                             network,
-                            this::said));
+                            this::recordUnreachable));
         }
     }
 
     /** Bounds and times of all, hollow or real, come from one product file. */
-    private static FleetConfig pattern(Path file) {
+    private static FleetConfig readTemplate(Path file) {
         try {
             return ProductReader.read(file.toString()).fleet();
         } catch (InvalidProductFileException e) {
@@ -102,12 +102,12 @@
     }
 
     String zone(int member) {
-        return "z" + (long) member * ZONES / size;
+        return "z" + (long) member * ZONE_COUNT / size;
     }
 
     /** Members of the last zone, a fifth; no real one. */
     IntStream lastZone() {
-        return IntStream.range(realCount, size).filter(i -> zone(i).equals("z" + (ZONES - 1)));
+        return IntStream.range(realCount, size).filter(i -> zone(i).equals("z" + (ZONE_COUNT - 1)));
     }
 
     /** Two hollow ones of the first zone and one of the second half. */
@@ -128,31 +128,32 @@
     /** Starts all, the real ones first, since these take longer to be there. */
     void startAll() throws IOException {
         for (int i = 0; i < realCount; i++) {
-            real.add(new RealMember(i, folder, RealMember.product(i, zone(i), seeds()), packaged));
+            realMembers.add(
+                    new RealMember(i, folder, RealMember.product(i, zone(i), seeds()), packaged));
             running.set(i);
         }
         IntStream.range(realCount, size).forEach(this::start);
     }
 
     void start(int member) {
-        lives[member]++;
+        startCounts[member]++;
         running.set(member);
-        hollow(member).home.execute(hollow(member)::start);
-        listeners.start(member);
+        hollow(member).thread.execute(hollow(member)::start);
+        endpointWatchers.start(member);
     }
 
     void kill(int member) {
         running.clear(member);
-        hollow(member).home.execute(hollow(member)::kill);
-        listeners.stop(member);
+        hollow(member).thread.execute(hollow(member)::kill);
+        endpointWatchers.stop(member);
     }
 
     /** It leaves and is there again half a second later. */
     void restart(int member) {
-        lives[member]++;
-        hollow(member).home.execute(hollow(member)::restart);
-        listeners.stop(member);
-        listeners.start(member);
+        startCounts[member]++;
+        hollow(member).thread.execute(hollow(member)::restart);
+        endpointWatchers.stop(member);
+        endpointWatchers.start(member);
     }
 
     /** The hollow ones that run. */
@@ -160,65 +161,71 @@
         return running.stream().filter(i -> i >= realCount);
     }
 
-    private void said(int by, MemberView seen) {
-        int about = number(seen);
-        double since = seen.statusSince() - VERDICT_S;
-        if (about < realCount
-                ? network.together(by, about, since)
-                : stands(about, seen, since)
-                        && network.together(by, about, since)
-                        && hollow(by).startedAt() < since) {
+    private void recordUnreachable(int observer, MemberView view) {
+        int target = numberOf(view);
+        double sinceSeconds = view.statusSince() - VERDICT_SETTLE_SECONDS;
+        if (target < realCount
+                ? network.couldCommunicateSince(observer, target, sinceSeconds)
+                : hasRunSince(target, view, sinceSeconds)
+                        && network.couldCommunicateSince(observer, target, sinceSeconds)
+                        && hollow(observer).startedAt() < sinceSeconds) {
             falseVerdicts.incrementAndGet();
-            falselyUnreachable.add(seen.record().name());
+            falselyUnreachable.add(view.record().name());
         }
     }
 
     /** Whether that very life has run since before then. */
-    private boolean stands(int member, MemberView seen, double since) {
-        MembershipSnapshot own = hollow(member).snapshot();
-        return own != null
-                && hollow(member).startedAt() < since
-                && own.self().incarnation() == seen.record().incarnation();
+    private boolean hasRunSince(int member, MemberView view, double sinceSeconds) {
+        MembershipSnapshot snapshot = hollow(member).snapshot();
+        return snapshot != null
+                && hollow(member).startedAt() < sinceSeconds
+                && snapshot.self().incarnation() == view.record().incarnation();
     }
 
-    private static int number(MemberView seen) {
-        return Integer.parseInt(seen.record().name().substring(1));
+    private static int numberOf(MemberView member) {
+        return Integer.parseInt(member.record().name().substring(1));
     }
 
     /**
      * Null if all hollow members that hear each other agree on who is there; else what is not so.
      */
-    String disagreement() {
+    String findDisagreement() {
         int[] sides = network.sides(size);
-        MembershipSnapshot[] newest = new MembershipSnapshot[size];
-        MembershipSnapshot[] firsts = new MembershipSnapshot[2];
+        MembershipSnapshot[] snapshots = new MembershipSnapshot[size];
+        MembershipSnapshot[] firstOfSide = new MembershipSnapshot[2];
         for (int i : runningHollow().toArray()) {
-            MembershipSnapshot s = hollow(i).snapshot();
-            if (s == null || !s.converged() || hollow(i).lives() != lives[i]) {
-                return "n" + i + (s == null || s.converged() ? " has no view" : " is not settled");
+            MembershipSnapshot snapshot = hollow(i).snapshot();
+            if (snapshot == null
+                    || !snapshot.converged()
+                    || hollow(i).startCount() != startCounts[i]) {
+                return "n"
+                        + i
+                        + (snapshot == null || snapshot.converged()
+                                ? " has no view"
+                                : " is not settled");
             }
-            newest[i] = s;
-            if (firsts[sides[i]] == null) {
-                firsts[sides[i]] = s;
-            } else if (firsts[sides[i]].digest() != s.digest()) {
+            snapshots[i] = snapshot;
+            if (firstOfSide[sides[i]] == null) {
+                firstOfSide[sides[i]] = snapshot;
+            } else if (firstOfSide[sides[i]].digest() != snapshot.digest()) {
                 return "n" + i + " has another digest";
             }
         }
-        BitSet[] there = new BitSet[] {new BitSet(), new BitSet()};
-        running.stream().forEach(i -> there[sides[i]].set(i));
+        BitSet[] expected = new BitSet[] {new BitSet(), new BitSet()};
+        running.stream().forEach(i -> expected[sides[i]].set(i));
         for (int i : runningHollow().toArray()) {
-            BitSet seen = new BitSet();
-            for (MemberView each : newest[i].members()) {
-                seen.set(number(each), each.record().isPresent());
+            BitSet present = new BitSet();
+            for (MemberView view : snapshots[i].members()) {
+                present.set(numberOf(view), view.record().isPresent());
             }
-            if (!seen.equals(there[sides[i]])) {
-                seen.xor(there[sides[i]]);
+            if (!present.equals(expected[sides[i]])) {
+                present.xor(expected[sides[i]]);
                 return "n"
                         + i
                         + " is wrong of "
-                        + seen.cardinality()
+                        + present.cardinality()
                         + ", n"
-                        + seen.nextSetBit(0)
+                        + present.nextSetBit(0)
                         + " first";
             }
         }
@@ -229,39 +236,40 @@
      * Null if the real ones agree with the hollow ones and are seen by them as the lives that they
      * are.
      */
-    String realDisagreement() {
-        for (RealMember each : real) {
-            FleetObservation look;
+    String findRealDisagreement() {
+        for (RealMember member : realMembers) {
+            FleetObservation observation;
             try {
-                look = each.look();
+                observation = member.observe();
             } catch (IOException e) {
-                return "n" + each.number + " does not answer: " + e;
+                return "n" + member.number + " does not answer: " + e;
             }
-            MembershipSnapshot ours =
+            MembershipSnapshot hollowSnapshot =
                     hollow(realCount).snapshot(); // of the first half, as all real ones
-            if (ours == null) {
+            if (hollowSnapshot == null) {
                 return "n" + realCount + " has no view";
             }
-            String digest = look.figures().get("view.digest");
-            if (!look.settled()
-                    || !Long.toHexString(ours.digest()).equals(digest)
-                    || look.count("view.members") != ours.members().size()) {
+            String digest = observation.figures().get("view.digest");
+            if (!observation.settled()
+                    || !Long.toHexString(hollowSnapshot.digest()).equals(digest)
+                    || observation.count("view.members") != hollowSnapshot.members().size()) {
                 return "n"
-                        + each.number
+                        + member.number
                         + " settled="
-                        + look.settled()
+                        + observation.settled()
                         + " digest="
                         + digest
                         + " members="
-                        + look.count("view.members")
+                        + observation.count("view.members")
                         + ", the hollow ones "
-                        + Long.toHexString(ours.digest())
+                        + Long.toHexString(hollowSnapshot.digest())
                         + " "
-                        + ours.members().size();
+                        + hollowSnapshot.members().size();
             }
-            for (MemberView seen : ours.members()) {
-                if (number(seen) == each.number && seen.record().incarnation() != look.self()) {
-                    return "n" + each.number + " is seen in another life";
+            for (MemberView view : hollowSnapshot.members()) {
+                if (numberOf(view) == member.number
+                        && view.record().incarnation() != observation.self()) {
+                    return "n" + member.number + " is seen in another life";
                 }
             }
         }
@@ -270,11 +278,11 @@
 
     @Override
     public void close() throws IOException {
-        real.forEach(RealMember::close);
+        realMembers.forEach(RealMember::close);
         for (HollowThread thread : threads) {
             thread.close();
         }
-        listeners.close();
+        endpointWatchers.close();
         for (HollowMember member : hollow) {
             member.close();
         }
--- a/src/test/java/junipercourse/scale/ScaleMain.java
+++ b/src/test/java/junipercourse/scale/ScaleMain.java
@@ -14,29 +14,30 @@
 
 /** The scale run of the fleet, for each size in turn; {@link ScaleRun} tells of its properties. */
 public final class ScaleMain {
-    private static final int WARM_SIZE = 90;
+    private static final int WARM_UP_SIZE = 90;
 
     private final List<Integer> sizes =
-            list("scale.sizes", "45,90").stream().map(Integer::valueOf).toList();
-    private final List<String> plays = list("scale.plays", String.join(",", FleetScenarios.ALL));
+            listProperty("scale.sizes", "45,90").stream().map(Integer::valueOf).toList();
+    private final List<String> scenarios =
+            listProperty("scale.plays", String.join(",", FleetScenarios.ALL));
     private final int realCount = Integer.getInteger("scale.real", 6);
-    private final int threads =
+    private final int threadCount =
             Integer.getInteger(
                     "scale.threads",
                     Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2)));
     private final long seed = Long.getLong("scale.seed", 34);
     private final boolean packaged = !"false".equals(System.getProperty("scale.packaged"));
-    private final double delay = number("scale.delay", 0);
-    private final double leastS = number("scale.least", 5);
-    private final double calmS = number("scale.calm", 10);
-    private final double apartS = number("scale.apart", 20);
-    private final double memoryMb = number("scale.memory", 11) * 1024;
-    private final double wallS = number("scale.wall", 1800);
+    private final double maxDelaySeconds = numberProperty("scale.delay", 0);
+    private final double minDurationSeconds = numberProperty("scale.least", 5);
+    private final double calmSeconds = numberProperty("scale.calm", 10);
+    private final double partitionSeconds = numberProperty("scale.apart", 20);
+    private final double maxMemoryMb = numberProperty("scale.memory", 11) * 1024;
+    private final double wallSeconds = numberProperty("scale.wall", 1800);
     private final ResultWriter results =
             new ResultWriter(
                     Path.of(System.getProperty("scale.out", "target/scale.jsonl")),
                     "fleet",
-                    HostMetrics.told(),
+                    HostMetrics.describe(),
                     System.getProperty("scale.variant", "landed"),
                     seed);
 
@@ -60,11 +61,11 @@
         System.exit(new ScaleMain().run() ? 0 : 1);
     }
 
-    private static List<String> list(String key, String fallback) {
+    private static List<String> listProperty(String key, String fallback) {
         return Arrays.asList(System.getProperty(key, fallback).split(","));
     }
 
-    private static double number(String key, double fallback) {
+    private static double numberProperty(String key, double fallback) {
         return Double.parseDouble(System.getProperty(key, Double.toString(fallback)));
     }
 
@@ -74,33 +75,34 @@
                 "scale run: sizes %s, plays %s, %d real, %d hollow threads, seed %d; at most"
                         + " %.0f MB and %.0f s, about %d s in all; %d processes%n",
                 sizes,
-                plays,
+                scenarios,
                 realCount,
-                threads,
+                threadCount,
                 seed,
-                memoryMb,
-                wallS,
-                (int) (sizes.size() * (70 + calmS * 3 + apartS)),
+                maxMemoryMb,
+                wallSeconds,
+                (int) (sizes.size() * (70 + calmSeconds * 3 + partitionSeconds)),
                 realCount + 1);
-        if (!FleetScenarios.ALL.containsAll(plays)) {
+        if (!FleetScenarios.ALL.containsAll(scenarios)) {
             throw new IllegalArgumentException(
-                    "plays are " + FleetScenarios.ALL + ", got " + plays);
+                    "plays are " + FleetScenarios.ALL + ", got " + scenarios);
         }
-        RunLimits guard = new RunLimits(memoryMb, wallS);
-        boolean all = true;
+        RunLimits limits = new RunLimits(maxMemoryMb, wallSeconds);
+        boolean allRun = true;
         warmUp();
         for (int size : sizes) {
-            all &= run(size, guard);
+            allRun &= run(size, limits);
         }
-        return all;
+        return allRun;
     }
 
     /** Runs a small fleet unmeasured, so that the first size is not charged with a cold JVM. */
     private void warmUp() throws IOException {
         Path folder = Files.createTempDirectory("scale");
-        try (ScaleFleet fleet = new ScaleFleet(folder, WARM_SIZE, 0, threads, false, 0, seed)) {
+        try (ScaleFleet fleet =
+                new ScaleFleet(folder, WARM_UP_SIZE, 0, threadCount, false, 0, seed)) {
             fleet.startAll();
-            SocketTestSupport.sleepMillis((long) (number("scale.warm", 10) * 1e3));
+            SocketTestSupport.sleepMillis((long) (numberProperty("scale.warm", 10) * 1e3));
         } finally {
             delete(folder);
         }
@@ -108,52 +110,66 @@
 
     private static void delete(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path each : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(each);
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
 
-    private boolean run(int size, RunLimits guard) throws IOException {
-        List<String> left = Collections.synchronizedList(new ArrayList<>(plays));
-        left.remove("start");
-        left.add(0, "start"); // nothing is without it
+    private boolean run(int size, RunLimits limits) throws IOException {
+        List<String> remaining = Collections.synchronizedList(new ArrayList<>(scenarios));
+        remaining.remove("start");
+        remaining.add(0, "start"); // nothing is without it
         Path folder = Files.createTempDirectory("scale");
         try (ScaleFleet fleet =
-                        new ScaleFleet(folder, size, realCount, threads, packaged, delay, seed);
-                ScenarioRecorder meter = new ScenarioRecorder(fleet, results, guard)) {
+                        new ScaleFleet(
+                                folder,
+                                size,
+                                realCount,
+                                threadCount,
+                                packaged,
+                                maxDelaySeconds,
+                                seed);
+                ScenarioRecorder recorder = new ScenarioRecorder(fleet, results, limits)) {
             Thread hook =
                     new Thread(
                             () -> {
-                                fleet.real.forEach(RealMember::close);
-                                notRun(
+                                fleet.realMembers.forEach(RealMember::close);
+                                writeNotRun(
                                         size,
-                                        left,
+                                        remaining,
                                         new RunLimits.RunAbortedException("ended from outside"));
-                                for (int later :
+                                for (int laterSize :
                                         sizes.subList(sizes.indexOf(size) + 1, sizes.size())) {
-                                    notRun(
-                                            later,
-                                            new ArrayList<>(plays),
+                                    writeNotRun(
+                                            laterSize,
+                                            new ArrayList<>(scenarios),
                                             new RunLimits.RunAbortedException(
                                                     "ended from outside"));
                                 }
                             },
                             "end-real");
             Runtime.getRuntime().addShutdownHook(hook);
-            FleetScenarios all =
-                    new FleetScenarios(fleet, meter, guard, seed, leastS, calmS, apartS);
+            FleetScenarios allRun =
+                    new FleetScenarios(
+                            fleet,
+                            recorder,
+                            limits,
+                            seed,
+                            minDurationSeconds,
+                            calmSeconds,
+                            partitionSeconds);
             try {
-                while (!left.isEmpty()) {
-                    all.play(left.get(0));
-                    left.remove(0);
+                while (!remaining.isEmpty()) {
+                    allRun.runScenario(remaining.get(0));
+                    remaining.remove(0);
                 }
             } finally {
-                fleet.real.forEach(RealMember::close);
+                fleet.realMembers.forEach(RealMember::close);
                 Runtime.getRuntime().removeShutdownHook(hook);
             }
         } catch (IOException | RuntimeException e) {
-            notRun(size, left, e);
+            writeNotRun(size, remaining, e);
             return false;
         } finally {
             delete(folder);
@@ -162,18 +178,25 @@
     }
 
     /** Writes and forgets what is left: a second reason, as when real ones were ended, is none. */
-    private synchronized void notRun(int size, List<String> left, Exception why) {
-        if (left.isEmpty()) {
+    private synchronized void writeNotRun(int size, List<String> remaining, Exception cause) {
+        if (remaining.isEmpty()) {
             return;
         }
-        System.out.println("cut short at " + size + " members: " + why);
-        if (!(why instanceof RunLimits.RunAbortedException)) {
-            why.printStackTrace(System.out);
+        System.out.println("cut short at " + size + " members: " + cause);
+        if (!(cause instanceof RunLimits.RunAbortedException)) {
+            cause.printStackTrace(System.out);
         }
-        for (String play : left) {
+        for (String scenario : remaining) {
             results.addInvalid(
-                    play, size, "not_run", "plays", 1, 1, 1, "cut short: " + why.getMessage());
+                    scenario,
+                    size,
+                    "not_run",
+                    "plays",
+                    1,
+                    1,
+                    1,
+                    "cut short: " + cause.getMessage());
         }
-        left.clear();
+        remaining.clear();
     }
 }
--- a/src/test/java/junipercourse/scale/ScaleRun.java
+++ b/src/test/java/junipercourse/scale/ScaleRun.java
@@ -26,10 +26,10 @@
  * scale.packaged} (true; false runs the class path).
  */
 class ScaleRun {
-    private static final int END_S = 30;
+    private static final int EXIT_TIMEOUT_SECONDS = 30;
 
     @Test
-    void allPlaysAreRun() throws IOException, InterruptedException {
+    void allScenariosAreRun() throws IOException, InterruptedException {
         assertTrue(
                 "false".equals(System.getProperty("scale.packaged"))
                         || Files.exists(Path.of("target/junipercourse.jar")),
@@ -52,7 +52,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(run::destroy, "end-scale-run"));
         try {
             run.inputReader().lines().forEach(System.out::println);
-            assertTrue(run.waitFor(END_S, TimeUnit.SECONDS), "the run does not end");
+            assertTrue(run.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the run does not end");
             assertEquals(0, run.exitValue(), "not all plays were run");
         } finally {
             run.destroy(); // it ends its own children then
--- a/src/test/java/junipercourse/scale/ScaleRunTest.java
+++ b/src/test/java/junipercourse/scale/ScaleRunTest.java
@@ -21,71 +21,74 @@
 class ScaleRunTest {
     private static final long SEED = Long.getLong("scale.seed", 34);
     private static final int SIZE = 14;
-    private static final int REAL = 2;
+    private static final int REAL_MEMBERS = 2;
 
     /**
      * What a member's view may send in any second; the product file of the run leaves it at that.
      */
-    private static final int BUDGET = MembershipSettings.defaults().bytesPerSecond();
+    private static final int SEND_BUDGET_BYTES = MembershipSettings.defaults().bytesPerSecond();
 
     @TempDir private Path folder;
 
     @Test
-    void hollowAndRealMembersAreEqualsThroughAKillAndACut() throws Exception {
+    void hollowAndRealMembersAgreeAfterKillAndPartition() throws Exception {
         System.out.println("seed " + SEED);
         Path out = folder.resolve("out.jsonl");
-        ResultWriter results = new ResultWriter(out, "fleet", HostMetrics.told(), "test", SEED);
-        RunLimits guard = new RunLimits(11 * 1024, 60);
-        try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, REAL, 1, false, 0, SEED);
-                ScenarioRecorder meter = new ScenarioRecorder(fleet, results, guard)) {
-            FleetScenarios plays = new FleetScenarios(fleet, meter, guard, SEED, 1, 1, 3);
-            for (String play : List.of("start", "calm", "kill", "restart", "regions", "events")) {
-                plays.play(play);
-                assertNull(fleet.disagreement(), play);
-                assertNull(fleet.realDisagreement(), play);
+        ResultWriter results = new ResultWriter(out, "fleet", HostMetrics.describe(), "test", SEED);
+        RunLimits limits = new RunLimits(11 * 1024, 60);
+        try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, REAL_MEMBERS, 1, false, 0, SEED);
+                ScenarioRecorder recorder = new ScenarioRecorder(fleet, results, limits)) {
+            FleetScenarios scenarios = new FleetScenarios(fleet, recorder, limits, SEED, 1, 1, 3);
+            for (String scenario :
+                    List.of("start", "calm", "kill", "restart", "regions", "events")) {
+                scenarios.runScenario(scenario);
+                assertNull(fleet.findDisagreement(), scenario);
+                assertNull(fleet.findRealDisagreement(), scenario);
             }
         }
         List<JsonObject> lines =
                 Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
-        for (String play : List.of("start", "kill", "restart", "regions_healed")) {
-            assertEquals(0, figure(lines, play, "unsettled"), play);
-            assertEquals(0, figure(lines, play, "real_unsettled"), play);
-            assertTrue(figure(lines, play, "settled") > 0, play);
-            assertTrue(figure(lines, play, "bytes_out") > 0, play);
+        for (String scenario : List.of("start", "kill", "restart", "regions_healed")) {
+            assertEquals(0, median(lines, scenario, "unsettled"), scenario);
+            assertEquals(0, median(lines, scenario, "real_unsettled"), scenario);
+            assertTrue(median(lines, scenario, "settled") > 0, scenario);
+            assertTrue(median(lines, scenario, "bytes_out") > 0, scenario);
         }
         for (JsonObject line : lines) {
             if (line.getString("figure", "").equals("bytes_out_worst_second")) {
-                assertTrue(line.getDouble("worst", BUDGET + 1) <= BUDGET, line::toString);
+                assertTrue(
+                        line.getDouble("worst", SEND_BUDGET_BYTES + 1) <= SEND_BUDGET_BYTES,
+                        line::toString);
             }
         }
-        assertEquals(50 * (SIZE - REAL), figure(lines, "events", "events_heard"));
-        assertTrue(figure(lines, "calm", "datagrams_in") > 0);
-        figure(lines, "calm", "heap"); // it is there; here others share the heap
+        assertEquals(50 * (SIZE - REAL_MEMBERS), median(lines, "events", "events_heard"));
+        assertTrue(median(lines, "calm", "datagrams_in") > 0);
+        median(lines, "calm", "heap"); // it is there; here others share the heap
     }
 
     /** Past a bound the run ends by itself and says why. */
     @Test
-    void aPassedBoundCutsTheRunShort() throws Exception {
-        RunLimits guard = new RunLimits(1, 60);
+    void exceededMemoryLimitAbortsRun() throws Exception {
+        RunLimits limits = new RunLimits(1, 60);
         try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, 0, 1, false, 0, SEED)) {
-            guard.look(fleet);
+            limits.checkUsage(fleet);
         }
-        boolean cut = false;
+        boolean aborted = false;
         try {
-            guard.check();
+            limits.throwIfAborted();
         } catch (RunLimits.RunAbortedException e) {
-            cut = e.getMessage().contains("1 allowed");
+            aborted = e.getMessage().contains("1 allowed");
         }
-        assertTrue(cut);
+        assertTrue(aborted);
         assertFalse(Files.exists(folder.resolve("out.jsonl")));
     }
 
-    private static double figure(List<JsonObject> lines, String play, String figure) {
+    private static double median(List<JsonObject> lines, String scenario, String metric) {
         return lines.stream()
                 .filter(
                         line ->
-                                line.getString("play", "").equals(play)
-                                        && line.getString("figure", "").equals(figure))
+                                line.getString("play", "").equals(scenario)
+                                        && line.getString("figure", "").equals(metric))
                 .findFirst()
                 .orElseThrow()
                 .getDouble("median", -1);
--- a/src/test/java/junipercourse/scale/ScenarioRecorder.java
+++ b/src/test/java/junipercourse/scale/ScenarioRecorder.java
@@ -18,265 +18,307 @@
  */
 final class ScenarioRecorder implements Closeable {
     /** Above this a thread or the machine is taken for full. */
-    private static final double FULL = 0.85;
+    private static final double MAX_VALID_BUSY_SHARE = 0.85;
 
-    private static final double MB = 1 << 20;
+    private static final double BYTES_PER_MB = 1 << 20;
 
     private final ScaleFleet fleet;
     private final ResultWriter results;
-    private final RunLimits guard;
+    private final RunLimits limits;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final Thread sampler = new Thread(this::sample, "meter");
-    private static final double LEAST_WINDOW_S = 0.95;
+    private final Thread sampler = new Thread(this::runSampler, "meter");
+    private static final double MIN_WINDOW_SECONDS = 0.95;
     private volatile boolean closed;
-    private long[] secondBefore;
-    private double secondAt;
-    private double[] worstSecond;
-    private MetricsSample begin;
+    private long[] lastSentBytes;
+    private double lastSampleSeconds;
+    private double[] maxBytesPerSecond;
+    private MetricsSample startSample;
 
     /** All that is counted, at one moment. */
     private record MetricsSample(
-            double at,
+            double takenAtSeconds,
             long[][] counts,
-            double[] threadS,
-            double[] realS,
+            double[] threadCpuSeconds,
+            double[] realMemberCpuSeconds,
             long stalls,
             long bufferErrors,
-            long realBufferErrors,
-            HostMetrics.CpuTicks machine) {}
+            long realMemberBufferErrors,
+            HostMetrics.CpuTicks hostCpu) {}
 
-    ScenarioRecorder(ScaleFleet fleet, ResultWriter results, RunLimits guard) {
+    ScenarioRecorder(ScaleFleet fleet, ResultWriter results, RunLimits limits) {
         this.fleet = fleet;
         this.results = results;
-        this.guard = guard;
+        this.limits = limits;
         sampler.setDaemon(true);
     }
 
-    private static long[] counts(TransportCounters t) {
-        DropReason[] all = DropReason.values();
-        long[] counts = new long[4 + all.length];
-        counts[0] = t.sentBytes();
-        counts[1] = t.receivedBytes();
-        counts[2] = t.sent();
-        counts[3] = t.received();
-        for (DropReason each : all) {
-            counts[4 + each.ordinal()] = t.dropped(each);
+    private static long[] toCounts(TransportCounters counters) {
+        DropReason[] reasons = DropReason.values();
+        long[] counts = new long[4 + reasons.length];
+        counts[0] = counters.sentBytes();
+        counts[1] = counters.receivedBytes();
+        counts[2] = counters.sent();
+        counts[3] = counters.received();
+        for (DropReason reason : reasons) {
+            counts[4 + reason.ordinal()] = counters.dropped(reason);
         }
         return counts;
     }
 
-    private MetricsSample read() throws IOException {
+    private MetricsSample takeSample() throws IOException {
         long[][] counts =
-                fleet.hollow.stream().map(member -> counts(member.tally)).toArray(long[][]::new);
-        double[] realS = new double[fleet.real.size()];
-        for (int i = 0; i < realS.length; i++) {
-            realS[i] = fleet.real.get(i).processorS();
+                fleet.hollow.stream()
+                        .map(member -> toCounts(member.transportCounters))
+                        .toArray(long[][]::new);
+        double[] realMemberCpuSeconds = new double[fleet.realMembers.size()];
+        for (int i = 0; i < realMemberCpuSeconds.length; i++) {
+            realMemberCpuSeconds[i] = fleet.realMembers.get(i).cpuSeconds();
         }
         return new MetricsSample(
-                Network.now(),
+                Network.nowSeconds(),
                 counts,
                 fleet.threads.stream()
-                        .mapToDouble(each -> threads.getThreadCpuTime(each.thread.getId()) / 1e9)
+                        .mapToDouble(
+                                hollowThread ->
+                                        threads.getThreadCpuTime(hollowThread.thread.getId()) / 1e9)
                         .toArray(),
-                realS,
+                realMemberCpuSeconds,
                 fleet.threads.stream().mapToLong(HollowThread::stalls).sum(),
                 HostMetrics.receiveBufferErrors(),
                 HostMetrics.receiveBufferErrors(fleet.realCount),
-                HostMetrics.processors());
+                HostMetrics.readCpuTicks());
     }
 
     /** A play begins now. */
-    void begin() throws IOException {
+    void beginScenario() throws IOException {
         fleet.falselyUnreachable.clear();
         fleet.falseVerdicts.set(0);
-        begin = read();
+        startSample = takeSample();
         synchronized (this) {
-            worstSecond = new double[fleet.hollow.size()];
-            secondBefore = bytesOut();
-            secondAt = begin.at;
+            maxBytesPerSecond = new double[fleet.hollow.size()];
+            lastSentBytes = readSentBytes();
+            lastSampleSeconds = startSample.takenAtSeconds;
         }
         if (!sampler.isAlive()) {
             sampler.start();
         }
     }
 
-    private long[] bytesOut() {
-        return fleet.hollow.stream().mapToLong(member -> member.tally.sentBytes()).toArray();
+    private long[] readSentBytes() {
+        return fleet.hollow.stream()
+                .mapToLong(member -> member.transportCounters.sentBytes())
+                .toArray();
     }
 
-    private void sample() {
+    private void runSampler() {
         try {
             while (!closed) {
                 Thread.sleep(1000);
-                guard.look(fleet);
-                for (HollowThread each : fleet.threads) {
-                    if (each.failure() != null) {
-                        guard.stop(each.failure());
+                limits.checkUsage(fleet);
+                for (HollowThread hollowThread : fleet.threads) {
+                    if (hollowThread.failure() != null) {
+                        limits.abort(hollowThread.failure());
                     }
                 }
-                second();
+                sampleSecond();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | RuntimeException e) {
             if (!closed) {
-                guard.stop("the meter has failed: " + e);
+                limits.abort("the meter has failed: " + e);
             }
         }
     }
 
-    private synchronized void second() {
-        long[] now = bytesOut();
-        double at = Network.now();
-        if (at - secondAt < LEAST_WINDOW_S) {
+    private synchronized void sampleSecond() {
+        long[] sentBytes = readSentBytes();
+        double nowSeconds = Network.nowSeconds();
+        if (nowSeconds - lastSampleSeconds < MIN_WINDOW_SECONDS) {
             return; // the sampler came soon after a play's begin; less than a second would tell too
             // much
         }
-        for (int i = 0; i < now.length; i++) {
-            worstSecond[i] = Math.max(worstSecond[i], (now[i] - secondBefore[i]) / (at - secondAt));
+        for (int i = 0; i < sentBytes.length; i++) {
+            maxBytesPerSecond[i] =
+                    Math.max(
+                            maxBytesPerSecond[i],
+                            (sentBytes[i] - lastSentBytes[i]) / (nowSeconds - lastSampleSeconds));
         }
-        secondBefore = now;
-        secondAt = at;
+        lastSentBytes = sentBytes;
+        lastSampleSeconds = nowSeconds;
     }
 
     /** Why the play that began last is no measurement, or an empty text. */
-    private String machineWasBound(MetricsSample end, double busiest) {
-        List<String> why = new ArrayList<>();
-        if (busiest > FULL) {
-            why.add("a hollow thread was %.0f%% busy".formatted(busiest * 100));
+    private String findInvalidReason(MetricsSample endSample, double busiestShare) {
+        List<String> reasons = new ArrayList<>();
+        if (busiestShare > MAX_VALID_BUSY_SHARE) {
+            reasons.add("a hollow thread was %.0f%% busy".formatted(busiestShare * 100));
         }
-        double machine = end.machine.busySince(begin.machine);
-        if (machine > FULL) {
-            why.add("the machine was %.0f%% busy".formatted(machine * 100));
+        double hostBusyShare = endSample.hostCpu.busyShareSince(startSample.hostCpu);
+        if (hostBusyShare > MAX_VALID_BUSY_SHARE) {
+            reasons.add("the machine was %.0f%% busy".formatted(hostBusyShare * 100));
         }
-        if (end.bufferErrors > begin.bufferErrors) {
-            why.add(
-                    (end.bufferErrors - begin.bufferErrors)
+        if (endSample.bufferErrors > startSample.bufferErrors) {
+            reasons.add(
+                    (endSample.bufferErrors - startSample.bufferErrors)
                             + " datagrams found a socket's buffer full, "
-                            + (end.realBufferErrors - begin.realBufferErrors)
+                            + (endSample.realMemberBufferErrors
+                                    - startSample.realMemberBufferErrors)
                             + " of them a real member's");
         }
-        if (end.stalls > begin.stalls) {
-            why.add((end.stalls - begin.stalls) + " stalls of the hollow threads");
+        if (endSample.stalls > startSample.stalls) {
+            reasons.add((endSample.stalls - startSample.stalls) + " stalls of the hollow threads");
         }
-        return String.join("; ", why);
+        return String.join("; ", reasons);
     }
 
     /**
      * The play is over: writes its figures; {@code play} names it in them. Returns how they are
      * written.
      */
-    MetricWriter end(String play) throws IOException {
-        MetricsSample end = read();
-        if (end.at - secondAt > 0.5) {
-            second();
+    MetricWriter endScenario(String scenario) throws IOException {
+        MetricsSample endSample = takeSample();
+        if (endSample.takenAtSeconds - lastSampleSeconds > 0.5) {
+            sampleSecond();
         }
-        double seconds = end.at - begin.at;
-        double[] busy =
-                IntStream.range(0, end.threadS.length)
-                        .mapToDouble(i -> (end.threadS[i] - begin.threadS[i]) / seconds)
+        double seconds = endSample.takenAtSeconds - startSample.takenAtSeconds;
+        double[] busyShares =
+                IntStream.range(0, endSample.threadCpuSeconds.length)
+                        .mapToDouble(
+                                i ->
+                                        (endSample.threadCpuSeconds[i]
+                                                        - startSample.threadCpuSeconds[i])
+                                                / seconds)
                         .toArray();
-        double busiest = DoubleStream.of(busy).max().orElse(0);
-        MetricWriter figures = new MetricWriter(play, machineWasBound(end, busiest));
+        double busiestShare = DoubleStream.of(busyShares).max().orElse(0);
+        MetricWriter metrics =
+                new MetricWriter(scenario, findInvalidReason(endSample, busiestShare));
         String[] names = {"bytes_out", "bytes_in", "datagrams_out", "datagrams_in"};
-        for (int f = 0; f < names.length; f++) {
-            int figure = f;
-            figures.spread(
-                    names[f],
-                    f < 2 ? "B/s" : "datagrams/s",
-                    IntStream.range(0, end.counts.length)
+        for (int column = 0; column < names.length; column++) {
+            int countIndex = column;
+            metrics.addMedianAndWorst(
+                    names[column],
+                    column < 2 ? "B/s" : "datagrams/s",
+                    IntStream.range(0, endSample.counts.length)
                             .mapToDouble(
                                     i ->
-                                            (end.counts[i][figure] - begin.counts[i][figure])
+                                            (endSample.counts[i][countIndex]
+                                                            - startSample.counts[i][countIndex])
                                                     / seconds)
                             .toArray());
         }
         synchronized (this) {
-            figures.spread("bytes_out_worst_second", "B/s", worstSecond.clone());
+            metrics.addMedianAndWorst("bytes_out_worst_second", "B/s", maxBytesPerSecond.clone());
         }
-        for (DropReason why : DropReason.values()) {
-            int at = 4 + why.ordinal();
+        for (DropReason reason : DropReason.values()) {
+            int countIndex = 4 + reason.ordinal();
             double[] dropped =
-                    IntStream.range(0, end.counts.length)
-                            .mapToDouble(i -> end.counts[i][at] - begin.counts[i][at])
+                    IntStream.range(0, endSample.counts.length)
+                            .mapToDouble(
+                                    i ->
+                                            endSample.counts[i][countIndex]
+                                                    - startSample.counts[i][countIndex])
                             .toArray();
             if (DoubleStream.of(dropped).sum() > 0
-                    || why == DropReason.OVER_RATE
-                    || why == DropReason.TOO_MANY) {
-                figures.spread("dropped_" + why.label(), "datagrams", dropped);
+                    || reason == DropReason.OVER_RATE
+                    || reason == DropReason.TOO_MANY) {
+                metrics.addMedianAndWorst("dropped_" + reason.label(), "datagrams", dropped);
             }
         }
-        double hollowS = DoubleStream.of(busy).sum();
-        figures.one("cpu", "share of a core", hollowS / fleet.hollow.size());
-        figures.one("busiest_thread", "share of a core", busiest);
-        figures.one("machine_busy", "share", end.machine.busySince(begin.machine));
-        figures.one("window", "s", seconds);
-        figures.one("stalls", "stalls", end.stalls - begin.stalls);
-        figures.one("rcvbuf_errors", "datagrams", end.bufferErrors - begin.bufferErrors);
-        figures.one(
-                "rcvbuf_errors_real", "datagrams", end.realBufferErrors - begin.realBufferErrors);
-        figures.one("false_unreachable", "members", fleet.falselyUnreachable.size());
-        figures.one("false_verdicts", "verdicts", fleet.falseVerdicts.get());
-        double[] before = Arrays.copyOf(begin.realS, end.realS.length); // none ran before the start
-        figures.spread(
+        double totalBusyShare = DoubleStream.of(busyShares).sum();
+        metrics.addValue("cpu", "share of a core", totalBusyShare / fleet.hollow.size());
+        metrics.addValue("busiest_thread", "share of a core", busiestShare);
+        metrics.addValue(
+                "machine_busy", "share", endSample.hostCpu.busyShareSince(startSample.hostCpu));
+        metrics.addValue("window", "s", seconds);
+        metrics.addValue("stalls", "stalls", endSample.stalls - startSample.stalls);
+        metrics.addValue(
+                "rcvbuf_errors", "datagrams", endSample.bufferErrors - startSample.bufferErrors);
+        metrics.addValue(
+                "rcvbuf_errors_real",
+                "datagrams",
+                endSample.realMemberBufferErrors - startSample.realMemberBufferErrors);
+        metrics.addValue("false_unreachable", "members", fleet.falselyUnreachable.size());
+        metrics.addValue("false_verdicts", "verdicts", fleet.falseVerdicts.get());
+        double[] realSecondsBefore =
+                Arrays.copyOf(
+                        startSample.realMemberCpuSeconds,
+                        endSample.realMemberCpuSeconds.length); // none ran before the start
+        metrics.addMedianAndWorst(
                 "cpu_real",
                 "share of a core",
-                IntStream.range(0, before.length)
-                        .mapToDouble(i -> (end.realS[i] - before[i]) / seconds)
+                IntStream.range(0, realSecondsBefore.length)
+                        .mapToDouble(
+                                i ->
+                                        (endSample.realMemberCpuSeconds[i] - realSecondsBefore[i])
+                                                / seconds)
                         .toArray());
-        figures.spread("resident_real", "MB", realMb());
-        return figures;
+        metrics.addMedianAndWorst("resident_real", "MB", readRealResidentMb());
+        return metrics;
     }
 
-    private double[] realMb() throws IOException {
-        double[] all = new double[fleet.real.size()];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = fleet.real.get(i).residentMb();
+    private double[] readRealResidentMb() throws IOException {
+        double[] residentMb = new double[fleet.realMembers.size()];
+        for (int i = 0; i < residentMb.length; i++) {
+            residentMb[i] = fleet.realMembers.get(i).residentMb();
         }
-        return all;
+        return residentMb;
     }
 
     /**
      * Heap in use after a collection, in MB. The collection is a stall: nothing is measured during
      * it.
      */
-    static double heapMb() {
+    static double measureHeapMb() {
         System.gc();
-        return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / MB;
+        return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / BYTES_PER_MB;
     }
 
     /** Writes figures of one play, as ones that count or with the reason why not. */
     final class MetricWriter {
-        private final String play;
-        private final String why;
+        private final String scenario;
+        private final String invalidReason;
 
-        private MetricWriter(String play, String why) {
-            this.play = play;
-            this.why = why;
+        private MetricWriter(String scenario, String invalidReason) {
+            this.scenario = scenario;
+            this.invalidReason = invalidReason;
         }
 
-        void one(String figure, String unit, double value) {
-            write(figure, unit, value, value, 1, why);
+        void addValue(String metric, String unit, double value) {
+            write(metric, unit, value, value, 1, invalidReason);
         }
 
         /** One that does not count, for a reason beyond the machine's. */
-        void invalid(String figure, String unit, double value, String reason) {
-            write(figure, unit, value, value, 1, why.isEmpty() ? reason : reason + "; " + why);
+        void addInvalid(String metric, String unit, double value, String reason) {
+            write(
+                    metric,
+                    unit,
+                    value,
+                    value,
+                    1,
+                    invalidReason.isEmpty() ? reason : reason + "; " + invalidReason);
         }
 
-        void spread(String figure, String unit, double[] values) {
+        void addMedianAndWorst(String metric, String unit, double[] values) {
             if (values.length > 0) {
-                double[] both = ResultWriter.medianAndWorst(values);
-                write(figure, unit, both[0], both[1], values.length, why);
+                double[] medianAndWorst = ResultWriter.medianAndWorst(values);
+                write(
+                        metric,
+                        unit,
+                        medianAndWorst[0],
+                        medianAndWorst[1],
+                        values.length,
+                        invalidReason);
             }
         }
 
         private void write(
-                String figure, String unit, double median, double worst, int count, String reason) {
+                String metric, String unit, double median, double worst, int count, String reason) {
             if (reason.isEmpty()) {
-                results.add(play, fleet.size, figure, unit, median, worst, count);
+                results.add(scenario, fleet.size, metric, unit, median, worst, count);
             } else {
-                results.addInvalid(play, fleet.size, figure, unit, median, worst, count, reason);
+                results.addInvalid(
+                        scenario, fleet.size, metric, unit, median, worst, count, reason);
             }
         }
     }
--- a/src/test/java/junipercourse/scale/ServingHarness.java
+++ b/src/test/java/junipercourse/scale/ServingHarness.java
@@ -23,16 +23,16 @@
             64; // beyond the configured limit: it must not need them
 
     /** Kills the process that takes this shell's place once the one that started it is gone. */
-    private static final String WATCHED =
+    private static final String KILL_ON_PARENT_EXIT =
             "P=$PPID; (while kill -0 $$; do kill -0 $P || kill -9 $$; sleep 1;"
                     + " done >/dev/null 2>&1) & ";
 
-    private static final String MEMBER =
+    private static final String MEMBER_JSON =
             """
             {"id":"s-%08x","host_port":"%s:%d","locality":"east","flavor":"std","cell":0,
             "phase":"Ready","size":12.0,"up_since_ms":0}\
             """;
-    private static final String KNOWN =
+    private static final String KNOWN_ENDPOINTS_JSON =
             """
             "offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[%s]}}]\
             """;
@@ -41,8 +41,8 @@
     final EngineFarm farm = new EngineFarm();
     private final Path folder;
     private final boolean deployed;
-    private final List<RunningDispatcher> all = new ArrayList<>();
-    private final Thread atEnd = new Thread(this::end);
+    private final List<RunningDispatcher> dispatchers = new ArrayList<>();
+    private final Thread shutdownHook = new Thread(this::closeAll);
 
     /**
      * By the deploy file's command line and the packaged program, or by the classes of the build.
@@ -51,92 +51,103 @@
         this.folder = folder;
         this.results = results;
         this.deployed = deployed;
-        Runtime.getRuntime().addShutdownHook(atEnd);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /** What a part's dispatcher is to be. */
-    record DispatcherSpec(int engines, int sockets, int heapMb, String bus) {
+    record DispatcherSpec(int engineCount, int sockets, int heapMb, String bus) {
         static DispatcherSpec of(int engines) {
             return new DispatcherSpec(engines, PLATFORM_SOCKETS, DEPLOYED_HEAP_MB, "");
         }
 
         DispatcherSpec sockets(int limit) {
-            return new DispatcherSpec(engines, limit, heapMb, bus);
+            return new DispatcherSpec(engineCount, limit, heapMb, bus);
         }
 
         DispatcherSpec heap(int mb) {
-            return new DispatcherSpec(engines, sockets, mb, bus);
+            return new DispatcherSpec(engineCount, sockets, mb, bus);
         }
 
-        DispatcherSpec bus(InetSocketAddress at) {
+        DispatcherSpec bus(InetSocketAddress address) {
             return new DispatcherSpec(
-                    engines,
+                    engineCount,
                     sockets,
                     heapMb,
-                    at.getAddress().getHostAddress() + ":" + at.getPort());
+                    address.getAddress().getHostAddress() + ":" + address.getPort());
         }
     }
 
     /** Starts one and returns at once. */
-    RunningDispatcher start(DispatcherSpec site) throws IOException {
-        int number = all.size();
-        Path config = Files.writeString(folder.resolve("config" + number + ".json"), config(site));
-        int descriptors = site.sockets + SPARE_DESCRIPTORS;
-        String heap =
-                site.heapMb == DEPLOYED_HEAP_MB
+    RunningDispatcher start(DispatcherSpec spec) throws IOException {
+        int number = dispatchers.size();
+        Path config =
+                Files.writeString(folder.resolve("config" + number + ".json"), createConfig(spec));
+        int descriptors = spec.sockets + SPARE_DESCRIPTORS;
+        String heapOption =
+                spec.heapMb == DEPLOYED_HEAP_MB
                         ? "" // these go over the command line
-                        : "export _JAVA_OPTIONS='-Xmx" + site.heapMb + "m'; ";
+                        : "export _JAVA_OPTIONS='-Xmx" + spec.heapMb + "m'; ";
         Path logs = Files.createDirectory(folder.resolve("run" + number));
-        long begun = System.nanoTime();
-        RunningDispatcher r =
+        long startNanos = System.nanoTime();
+        RunningDispatcher dispatcher =
                 new RunningDispatcher(
                         deployed
                                 ? DispatcherProcess.startDeployed(
                                         logs.resolve("log"),
                                         config,
-                                        WATCHED + heap + "ulimit -n " + descriptors + "; ")
-                                : new DispatcherProcess(logs, descriptors, config, WATCHED + heap),
-                        begun);
-        synchronized (all) {
-            all.add(r);
+                                        KILL_ON_PARENT_EXIT
+                                                + heapOption
+                                                + "ulimit -n "
+                                                + descriptors
+                                                + "; ")
+                                : new DispatcherProcess(
+                                        logs,
+                                        descriptors,
+                                        config,
+                                        KILL_ON_PARENT_EXIT + heapOption),
+                        startNanos);
+        synchronized (dispatchers) {
+            dispatchers.add(dispatcher);
         }
-        return r;
+        return dispatcher;
     }
 
-    private String config(DispatcherSpec site) throws IOException {
-        String[] members = new String[site.engines];
+    private String createConfig(DispatcherSpec spec) throws IOException {
+        String[] members = new String[spec.engineCount];
         for (int i = 0; i < members.length; i++) {
-            InetSocketAddress at = farm.address(i + 1);
-            members[i] = MEMBER.formatted(i + 1, at.getAddress().getHostAddress(), at.getPort());
+            InetSocketAddress address = farm.address(i + 1);
+            members[i] =
+                    MEMBER_JSON.formatted(
+                            i + 1, address.getAddress().getHostAddress(), address.getPort());
         }
         String text =
                 SocketTestSupport.CONFIG
                         .replace(
                                 "\"offset\":0,\"batch\":[]",
-                                KNOWN.formatted(String.join(",", members)))
+                                KNOWN_ENDPOINTS_JSON.formatted(String.join(",", members)))
                         .replace("_per_s\":50.0", "_per_s\":5000.0")
-                        .replace("\"sockets\":" + PLATFORM_SOCKETS, "\"sockets\":" + site.sockets);
+                        .replace("\"sockets\":" + PLATFORM_SOCKETS, "\"sockets\":" + spec.sockets);
         return text.replace(
                 "\"bus\":\"127.0.0.1:1\",",
-                site.bus.isEmpty() ? "" : "\"bus\":\"" + site.bus + "\",");
+                spec.bus.isEmpty() ? "" : "\"bus\":\"" + spec.bus + "\",");
     }
 
     /** A dispatcher that runs. */
     static final class RunningDispatcher implements Closeable {
         final DispatcherProcess process;
-        final ProcessMetrics figures;
-        private final long begun;
+        final ProcessMetrics metrics;
+        private final long startNanos;
 
-        RunningDispatcher(DispatcherProcess process, long begun) {
+        RunningDispatcher(DispatcherProcess process, long startNanos) {
             this.process = process;
-            this.figures = new ProcessMetrics(process.pid());
-            this.begun = begun;
+            this.metrics = new ProcessMetrics(process.pid());
+            this.startNanos = startNanos;
         }
 
         /** Waits until it listens and has answered an empty query. */
-        RunningDispatcher ready() throws IOException {
-            try (Client c = new Client(process.address())) {
-                String answer = c.startSession().query(" ");
+        RunningDispatcher awaitReady() throws IOException {
+            try (Client client = new Client(process.address())) {
+                String answer = client.startSession().query(" ");
                 if (!answer.equals("I")) {
                     throw new IOException("not ready: " + answer);
                 }
@@ -145,28 +156,28 @@
         }
 
         /** Seconds since it was started. */
-        double age() {
-            return (System.nanoTime() - begun) * 1e-9;
+        double ageSeconds() {
+            return (System.nanoTime() - startNanos) * 1e-9;
         }
 
-        InetSocketAddress front() {
+        InetSocketAddress address() {
             return process.address();
         }
 
         /** One of its counters, such as {@code queries served}. */
-        static long count(Client c, String what) throws IOException {
-            String answer = c.query("SHOW COUNTERS");
-            int at = answer.indexOf("D(" + what + " ");
-            if (at < 0) {
-                throw new IOException("no counter " + what + ": " + answer);
+        static long readCounter(Client client, String name) throws IOException {
+            String answer = client.query("SHOW COUNTERS");
+            int lineIndex = answer.indexOf("D(" + name + " ");
+            if (lineIndex < 0) {
+                throw new IOException("no counter " + name + ": " + answer);
             }
-            int from = at + what.length() + 3;
-            return Long.parseLong(answer.substring(from, answer.indexOf(')', from)));
+            int valueIndex = lineIndex + name.length() + 3;
+            return Long.parseLong(answer.substring(valueIndex, answer.indexOf(')', valueIndex)));
         }
 
-        long count(String what) throws IOException {
-            try (Client c = new Client(front())) {
-                return count(c.startSession(), what);
+        long readCounter(String name) throws IOException {
+            try (Client client = new Client(address())) {
+                return readCounter(client.startSession(), name);
             }
         }
 
@@ -183,36 +194,50 @@
     }
 
     /** A figure over repeats, in so many counts of its unit: the middle one and the largest. */
-    void add(String play, int size, String figure, String unit, String why, double... values) {
+    void addMetric(
+            String scenario,
+            int size,
+            String metric,
+            String unit,
+            String invalidReason,
+            double... values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         double median = sorted[sorted.length / 2];
         double worst = sorted[sorted.length - 1];
         if (!Double.isFinite(median) || !Double.isFinite(worst)) { // such as a share of nothing
             results.addInvalid(
-                    play, size, figure, unit, 0, 0, values.length, why + " no figure came");
-        } else if (why.isEmpty()) {
-            results.add(play, size, figure, unit, median, worst, values.length);
+                    scenario,
+                    size,
+                    metric,
+                    unit,
+                    0,
+                    0,
+                    values.length,
+                    invalidReason + " no figure came");
+        } else if (invalidReason.isEmpty()) {
+            results.add(scenario, size, metric, unit, median, worst, values.length);
         } else {
-            results.addInvalid(play, size, figure, unit, median, worst, values.length, why);
+            results.addInvalid(
+                    scenario, size, metric, unit, median, worst, values.length, invalidReason);
         }
         System.out.printf(
                 "%-22s %5d  %-32s %14.4f %14.4f %-6s %s%n",
-                play, size, figure, median, worst, unit, why);
+                scenario, size, metric, median, worst, unit, invalidReason);
     }
 
-    private void end() {
-        synchronized (all) {
-            all.forEach(RunningDispatcher::close);
+    private void closeAll() {
+        synchronized (dispatchers) {
+            dispatchers.forEach(RunningDispatcher::close);
         }
     }
 
     @Override
     public void close() throws IOException {
-        end();
+        closeAll();
         farm.close();
         try {
-            Runtime.getRuntime().removeShutdownHook(atEnd);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             return; // the JVM is ending, and runs it
         }
