--- a/src/test/java/junipercourse/scale/ServingMeasurements.java
+++ b/src/test/java/junipercourse/scale/ServingMeasurements.java
@@ -11,141 +11,192 @@
 
 /** What is measured of one dispatcher, a method a part; sizes are the arguments. */
 final class ServingMeasurements {
-    private static final double US = 1e6;
-    private static final int GROUPS = 64; // of tables that are read in turn
-    private static final double WARM_RATE = 400;
-    private static final double QUERIES_MOST = 3000; // at a rate: enough for a hundredth
-    private static final double PATIENCE_S = 20;
-    private static final double REFUSED_S = 6; // for those that find no place to be told so
-    private static final double IDLE_MOST_S = 8; // README: a connection idle for longer is closed
-    private static final double MARGIN_S = 0.7;
-    private static final double REST_PART =
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int TABLE_GROUPS = 64; // of tables that are read in turn
+    private static final double WARM_UP_RATE = 400;
+    private static final double MAX_QUERIES = 3000; // at a rate: enough for a hundredth
+    private static final double OPEN_TIMEOUT_SECONDS = 20;
+    private static final double REFUSAL_TIMEOUT_SECONDS =
+            6; // for those that find no place to be told so
+    private static final double IDLE_TIMEOUT_SECONDS =
+            8; // README: a connection idle for longer is closed
+    private static final double MARGIN_SECONDS = 0.7;
+    private static final double REST_SHARE =
             0.3; // of the time to warm up: what is spent without queries
     private static final int LARGER_HEAP_MB = 256;
-    private final ServingHarness bench;
+    private final ServingHarness harness;
 
-    ServingMeasurements(ServingHarness bench) {
-        this.bench = bench;
+    ServingMeasurements(ServingHarness harness) {
+        this.harness = harness;
     }
 
     /** Time and processor time until ready, then memory at rest, with so many engines known. */
-    void start(int engines, int repeats) throws IOException, InterruptedException {
-        double[][] all = new double[5][repeats];
+    void measureStart(int engines, int repeats) throws IOException, InterruptedException {
+        double[][] values = new double[5][repeats];
         for (int i = 0; i < repeats; i++) {
-            try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines))) {
-                r.front();
-                all[0][i] = r.age();
-                r.ready();
-                all[1][i] = r.age();
-                all[2][i] = r.figures.cpu().all();
-                all[3][i] = r.figures.resident();
-                all[4][i] = r.figures.heap();
+            try (RunningDispatcher dispatcher = harness.start(DispatcherSpec.of(engines))) {
+                dispatcher.address();
+                values[0][i] = dispatcher.ageSeconds();
+                dispatcher.awaitReady();
+                values[1][i] = dispatcher.ageSeconds();
+                values[2][i] = dispatcher.metrics.readCpuTime().total();
+                values[3][i] = dispatcher.metrics.readResidentBytes();
+                values[4][i] = dispatcher.metrics.readHeapBytes();
             }
         }
-        bench.add("start", engines, "time_to_listen", "s", "", all[0]);
-        bench.add("start", engines, "time_to_ready", "s", "", all[1]);
-        bench.add("start", engines, "cpu_to_ready", "s", "", all[2]);
-        bench.add("start", engines, "resident", "B", "", all[3]);
-        bench.add("start", engines, "heap_collected", "B", "", all[4]);
+        harness.addMetric("start", engines, "time_to_listen", "s", "", values[0]);
+        harness.addMetric("start", engines, "time_to_ready", "s", "", values[1]);
+        harness.addMetric("start", engines, "cpu_to_ready", "s", "", values[2]);
+        harness.addMetric("start", engines, "resident", "B", "", values[3]);
+        harness.addMetric("start", engines, "heap_collected", "B", "", values[4]);
     }
 
     /** Processor time for each query at rates, with so many engines listed. */
-    void engines(int engines, double warmS, double seconds, double... rates) throws Exception {
-        try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines)).ready()) {
-            new ConstantRateLoad(r.front(), WARM_RATE, warmS, GROUPS);
-            CpuTime before = r.figures.cpu();
-            double begun = r.age();
-            SocketTestSupport.sleepMillis((long) (warmS * REST_PART * 1000));
-            bench.add(
+    void measureQueries(int engines, double warmUpSeconds, double seconds, double... rates)
+            throws Exception {
+        try (RunningDispatcher dispatcher =
+                harness.start(DispatcherSpec.of(engines)).awaitReady()) {
+            new ConstantRateLoad(dispatcher.address(), WARM_UP_RATE, warmUpSeconds, TABLE_GROUPS);
+            CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
+            double startSeconds = dispatcher.ageSeconds();
+            SocketTestSupport.sleepMillis((long) (warmUpSeconds * REST_SHARE * 1000));
+            harness.addMetric(
                     "rest",
                     engines,
                     "cpu",
                     "s/s",
                     "",
-                    r.figures.cpu().since(before).all() / (r.age() - begun));
+                    dispatcher.metrics.readCpuTime().since(cpuBefore).total()
+                            / (dispatcher.ageSeconds() - startSeconds));
             for (double rate : rates) {
-                perQuery(
+                measurePerQuery(
                         "query-at-" + Math.round(rate),
                         engines,
-                        r,
+                        dispatcher,
                         rate,
-                        Math.min(seconds, QUERIES_MOST / rate),
-                        GROUPS);
+                        Math.min(seconds, MAX_QUERIES / rate),
+                        TABLE_GROUPS);
             }
-            perQuery("query-fresh-groups", engines, r, rates[0], seconds / 2, 0);
-            bench.add(
+            measurePerQuery("query-fresh-groups", engines, dispatcher, rates[0], seconds / 2, 0);
+            harness.addMetric(
                     "query-at-" + Math.round(rates[0]),
                     engines,
                     "resident_after",
                     "B",
                     "",
-                    r.figures.resident());
-            bench.add(
+                    dispatcher.metrics.readResidentBytes());
+            harness.addMetric(
                     "query-at-" + Math.round(rates[0]),
                     engines,
                     "heap_collected_after",
                     "B",
                     "",
-                    r.figures.heap());
+                    dispatcher.metrics.readHeapBytes());
         }
     }
 
     /** The processor time of each query, in microseconds. */
-    private double perQuery(
-            String play, int size, RunningDispatcher r, double rate, double seconds, int groups)
+    private double measurePerQuery(
+            String scenario,
+            int size,
+            RunningDispatcher dispatcher,
+            double rate,
+            double seconds,
+            int groups)
             throws InterruptedException {
-        CpuTime before = r.figures.cpu();
-        ConstantRateLoad load = new ConstantRateLoad(r.front(), rate, seconds, groups);
-        CpuTime spent = r.figures.cpu().since(before);
-        String why = load.why(rate);
-        if (why.isEmpty() && spent.loop() > 0.9 * load.seconds) {
-            why = "the dispatcher's one thread was full";
+        CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
+        ConstantRateLoad load = new ConstantRateLoad(dispatcher.address(), rate, seconds, groups);
+        CpuTime cpuSpent = dispatcher.metrics.readCpuTime().since(cpuBefore);
+        String invalidReason = load.invalidReason(rate);
+        if (invalidReason.isEmpty() && cpuSpent.loop() > 0.9 * load.seconds) {
+            invalidReason = "the dispatcher's one thread was full";
         }
-        double each = US / Math.max(1, load.served.get());
-        bench.add(play, size, "cpu_per_query", "us", why, spent.all() * each);
-        bench.add(play, size, "cpu_per_query_loop", "us", why, spent.loop() * each);
-        bench.add(play, size, "cpu_per_query_compiler", "us", why, spent.compiler() * each);
-        bench.add(play, size, "cpu_per_query_collector", "us", why, spent.collector() * each);
-        bench.add(play, size, "cpu_per_query_kernel", "us", why, spent.kernel() * each);
-        bench.add(
-                play, size, "answer_time_median", "us", why, load.micros.getValueAtPercentile(50));
-        bench.add(play, size, "answer_time_99", "us", why, load.micros.getValueAtPercentile(99));
-        return spent.all() * each;
+        double microsPerQuery = MICROS_PER_SECOND / Math.max(1, load.served.get());
+        harness.addMetric(
+                scenario,
+                size,
+                "cpu_per_query",
+                "us",
+                invalidReason,
+                cpuSpent.total() * microsPerQuery);
+        harness.addMetric(
+                scenario,
+                size,
+                "cpu_per_query_loop",
+                "us",
+                invalidReason,
+                cpuSpent.loop() * microsPerQuery);
+        harness.addMetric(
+                scenario,
+                size,
+                "cpu_per_query_compiler",
+                "us",
+                invalidReason,
+                cpuSpent.compiler() * microsPerQuery);
+        harness.addMetric(
+                scenario,
+                size,
+                "cpu_per_query_collector",
+                "us",
+                invalidReason,
+                cpuSpent.collector() * microsPerQuery);
+        harness.addMetric(
+                scenario,
+                size,
+                "cpu_per_query_kernel",
+                "us",
+                invalidReason,
+                cpuSpent.kernel() * microsPerQuery);
+        harness.addMetric(
+                scenario,
+                size,
+                "answer_time_median",
+                "us",
+                invalidReason,
+                load.latencyMicros.getValueAtPercentile(50));
+        harness.addMetric(
+                scenario,
+                size,
+                "answer_time_99",
+                "us",
+                invalidReason,
+                load.latencyMicros.getValueAtPercentile(99));
+        return cpuSpent.total() * microsPerQuery;
     }
 
     /** Idle connections with the platform's descriptors: how many it holds, and what those cost. */
-    void idlePlatform(int clients, double seconds) throws Exception {
-        try (RunningDispatcher r = bench.start(DispatcherSpec.of(10)).ready();
-                IdleClients idle = new IdleClients(r.front())) {
-            int opened = idle.open(clients, REFUSED_S);
-            bench.add(
+    void measureIdleWithPlatformLimit(int clients, double seconds) throws Exception {
+        try (RunningDispatcher dispatcher = harness.start(DispatcherSpec.of(10)).awaitReady();
+                IdleClients idleClients = new IdleClients(dispatcher.address())) {
+            int opened = idleClients.open(clients, REFUSAL_TIMEOUT_SECONDS);
+            harness.addMetric(
                     "idle-1024-descriptors",
                     clients,
                     "held_once_opened",
                     "connections",
                     "",
                     opened);
-            bench.add(
+            harness.addMetric(
                     "idle-1024-descriptors",
                     clients,
                     "answered_by_then",
                     "connections",
                     "",
-                    idle.answered());
-            bench.add(
+                    idleClients.answeredCount());
+            harness.addMetric(
                     "idle-1024-descriptors",
                     clients,
                     "refused_or_closed_early",
                     "connections",
                     "",
-                    idle.refused());
-            bench.add(
+                    idleClients.refusedCount());
+            harness.addMetric(
                     "idle-1024-descriptors",
                     clients,
                     "held_later",
                     "connections",
                     "",
-                    idle.held(seconds));
+                    idleClients.countHeldAfter(seconds));
         }
     }
 
@@ -153,93 +204,119 @@
      * Idle connections with as many descriptors as these need; a larger heap where the deployed is
      * short.
      */
-    void idle(int clients, double seconds) throws Exception {
-        String fault = idle("idle", clients, seconds, ServingHarness.DEPLOYED_HEAP_MB);
-        if (!fault.isEmpty()) {
-            idle("idle-heap-" + LARGER_HEAP_MB, clients, seconds, LARGER_HEAP_MB);
+    void measureIdle(int clients, double seconds) throws Exception {
+        String invalidReason =
+                measureIdle("idle", clients, seconds, ServingHarness.DEPLOYED_HEAP_MB);
+        if (!invalidReason.isEmpty()) {
+            measureIdle("idle-heap-" + LARGER_HEAP_MB, clients, seconds, LARGER_HEAP_MB);
         }
     }
 
-    private String idle(String play, int clients, double seconds, int heapMb) throws Exception {
+    private String measureIdle(String scenario, int clients, double seconds, int heapMb)
+            throws Exception {
         int sockets =
                 4 * clients + 64; // past half of clients' half, connections are closed after 0.5 s
-        try (RunningDispatcher r =
-                        bench.start(DispatcherSpec.of(10).sockets(sockets).heap(heapMb)).ready();
-                IdleClients idle = new IdleClients(r.front())) {
-            double resident = r.figures.resident();
-            CpuTime before = r.figures.cpu();
-            double begun = r.age();
-            int opened = idle.open(clients, PATIENCE_S);
-            double took = r.age() - begun;
-            double opening = r.figures.cpu().since(before).all();
-            double rest = Math.min(seconds, IDLE_MOST_S - MARGIN_S - took);
-            before = r.figures.cpu();
-            int held = rest > 0 ? idle.held(rest) : opened;
-            double resting = r.figures.cpu().since(before).all();
-            double after = r.figures.resident();
-            double heap = r.process.isAlive() ? r.figures.heap() : 0;
-            String why =
-                    held < clients || !r.process.isAlive()
-                            ? held + " were held, " + idle.refused() + " refused or closed early"
-                            : rest <= seconds / 2 ? "opening took " + took + " s" : "";
-            bench.add(play, clients, "held", "connections", why, held);
-            bench.add(play, clients, "open_time", "s", why, took);
-            bench.add(play, clients, "open_cpu_per_connection", "us", why, opening * US / clients);
-            bench.add(play, clients, "idle_cpu", "s/s", why, resting / Math.max(rest, 1e-3));
-            bench.add(play, clients, "resident", "B", why, after);
-            bench.add(
-                    play,
+        try (RunningDispatcher dispatcher =
+                        harness.start(DispatcherSpec.of(10).sockets(sockets).heap(heapMb))
+                                .awaitReady();
+                IdleClients idleClients = new IdleClients(dispatcher.address())) {
+            double residentBefore = dispatcher.metrics.readResidentBytes();
+            CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
+            double startSeconds = dispatcher.ageSeconds();
+            int opened = idleClients.open(clients, OPEN_TIMEOUT_SECONDS);
+            double openSeconds = dispatcher.ageSeconds() - startSeconds;
+            double openingCpuSeconds = dispatcher.metrics.readCpuTime().since(cpuBefore).total();
+            double restSeconds =
+                    Math.min(seconds, IDLE_TIMEOUT_SECONDS - MARGIN_SECONDS - openSeconds);
+            cpuBefore = dispatcher.metrics.readCpuTime();
+            int held = restSeconds > 0 ? idleClients.countHeldAfter(restSeconds) : opened;
+            double restCpuSeconds = dispatcher.metrics.readCpuTime().since(cpuBefore).total();
+            double residentAfter = dispatcher.metrics.readResidentBytes();
+            double heap = dispatcher.process.isAlive() ? dispatcher.metrics.readHeapBytes() : 0;
+            String invalidReason =
+                    held < clients || !dispatcher.process.isAlive()
+                            ? held
+                                    + " were held, "
+                                    + idleClients.refusedCount()
+                                    + " refused or closed early"
+                            : restSeconds <= seconds / 2
+                                    ? "opening took " + openSeconds + " s"
+                                    : "";
+            harness.addMetric(scenario, clients, "held", "connections", invalidReason, held);
+            harness.addMetric(scenario, clients, "open_time", "s", invalidReason, openSeconds);
+            harness.addMetric(
+                    scenario,
+                    clients,
+                    "open_cpu_per_connection",
+                    "us",
+                    invalidReason,
+                    openingCpuSeconds * MICROS_PER_SECOND / clients);
+            harness.addMetric(
+                    scenario,
+                    clients,
+                    "idle_cpu",
+                    "s/s",
+                    invalidReason,
+                    restCpuSeconds / Math.max(restSeconds, 1e-3));
+            harness.addMetric(scenario, clients, "resident", "B", invalidReason, residentAfter);
+            harness.addMetric(
+                    scenario,
                     clients,
                     "resident_per_connection",
                     "B",
-                    why,
-                    (after - resident) / clients);
-            bench.add(play, clients, "heap_collected", "B", why, heap);
-            return why;
+                    invalidReason,
+                    (residentAfter - residentBefore) / clients);
+            harness.addMetric(scenario, clients, "heap_collected", "B", invalidReason, heap);
+            return invalidReason;
         } catch (IOException | RuntimeException | AssertionError e) {
-            String why = "not measured: " + e;
-            bench.add(play, clients, "held", "connections", why, 0);
-            return why;
+            String invalidReason = "not measured: " + e;
+            harness.addMetric(scenario, clients, "held", "connections", invalidReason, 0);
+            return invalidReason;
         }
     }
 
     /** Memory, and the cost of asking for news, of so many queries that run at engines. */
-    void hand(int queries, int engines, double seconds) throws Exception {
-        bench.farm.hold(true);
-        int before = bench.farm.posts.get();
+    void measureRunningQueries(int queries, int engines, double seconds) throws Exception {
+        harness.farm.setHoldQueries(true);
+        int postsBefore = harness.farm.postCount.get();
         List<Client> clients = new ArrayList<>();
-        try (RunningDispatcher r = bench.start(DispatcherSpec.of(engines)).ready()) {
+        try (RunningDispatcher dispatcher =
+                harness.start(DispatcherSpec.of(engines)).awaitReady()) {
             for (int i = 0; i < queries; i++) {
-                Client c = new Client(r.front());
-                clients.add(c);
-                c.startSession().write(Client.queryMessage(ConstantRateLoad.query(GROUPS)));
+                Client client = new Client(dispatcher.address());
+                clients.add(client);
+                client.startSession()
+                        .write(Client.queryMessage(ConstantRateLoad.nextQuery(TABLE_GROUPS)));
             }
-            SocketTestSupport.await(() -> bench.farm.posts.get() >= before + queries);
-            CpuTime cpu = r.figures.cpu();
-            double begun = r.age();
+            SocketTestSupport.await(() -> harness.farm.postCount.get() >= postsBefore + queries);
+            CpuTime cpuBefore = dispatcher.metrics.readCpuTime();
+            double startSeconds = dispatcher.ageSeconds();
             SocketTestSupport.sleepMillis((long) (seconds * 1000));
-            double spent = r.figures.cpu().since(cpu).all() / (r.age() - begun);
-            double resident = r.figures.resident();
-            double heap = r.figures.heap();
-            long left =
-                    r.count("queries taken")
-                            - r.count("queries served")
-                            - r.count("queries failed")
-                            - r.count("queries refused");
-            String why = left == queries ? "" : "only " + left + " were still in hand";
-            bench.add("in-hand", queries, "resident", "B", why, resident);
-            bench.add("in-hand", queries, "heap_collected", "B", why, heap);
-            bench.add(
+            double cpuShare =
+                    dispatcher.metrics.readCpuTime().since(cpuBefore).total()
+                            / (dispatcher.ageSeconds() - startSeconds);
+            double resident = dispatcher.metrics.readResidentBytes();
+            double heap = dispatcher.metrics.readHeapBytes();
+            long stillRunning =
+                    dispatcher.readCounter("queries taken")
+                            - dispatcher.readCounter("queries served")
+                            - dispatcher.readCounter("queries failed")
+                            - dispatcher.readCounter("queries refused");
+            String invalidReason =
+                    stillRunning == queries ? "" : "only " + stillRunning + " were still in hand";
+            harness.addMetric("in-hand", queries, "resident", "B", invalidReason, resident);
+            harness.addMetric("in-hand", queries, "heap_collected", "B", invalidReason, heap);
+            harness.addMetric(
                     "in-hand",
                     queries,
                     "cpu_per_query_second",
                     "us/s",
-                    why,
-                    spent * US / Math.max(1, queries));
+                    invalidReason,
+                    cpuShare * MICROS_PER_SECOND / Math.max(1, queries));
         } finally {
-            bench.farm.hold(false);
-            for (Client c : clients) {
-                c.close();
+            harness.farm.setHoldQueries(false);
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
@@ -248,20 +325,34 @@
      * Connections for each query, at rates as sizes, and what an exchange costs with and without
      * one.
      */
-    void handshake(int calls, double seconds, int... rates) throws Exception {
-        EngineExchangeBenchmark exchanges = new EngineExchangeBenchmark(bench.farm);
+    void measureHandshake(int calls, double seconds, int... rates) throws Exception {
+        EngineExchangeBenchmark exchanges = new EngineExchangeBenchmark(harness.farm);
         for (int rate : rates) {
-            try (RunningDispatcher r = bench.start(DispatcherSpec.of(10)).ready()) {
-                new ConstantRateLoad(r.front(), WARM_RATE, seconds / 2, GROUPS);
-                long connected = r.count("engines connected");
-                long served = r.count("queries served");
-                double query = perQuery("handshake", rate, r, rate, seconds, GROUPS);
-                double each =
-                        (double) (r.count("engines connected") - connected)
-                                / Math.max(1, r.count("queries served") - served);
-                bench.add("handshake", rate, "connections_per_query", "connections", "", each);
-                double bare = exchanges.measure(bench, rate, calls);
-                bench.add("handshake", rate, "reckoned_share", "part", "", bare * each / query);
+            try (RunningDispatcher dispatcher = harness.start(DispatcherSpec.of(10)).awaitReady()) {
+                new ConstantRateLoad(dispatcher.address(), WARM_UP_RATE, seconds / 2, TABLE_GROUPS);
+                long connectedBefore = dispatcher.readCounter("engines connected");
+                long servedBefore = dispatcher.readCounter("queries served");
+                double queryMicros =
+                        measurePerQuery("handshake", rate, dispatcher, rate, seconds, TABLE_GROUPS);
+                double connectionsPerQuery =
+                        (double) (dispatcher.readCounter("engines connected") - connectedBefore)
+                                / Math.max(
+                                        1, dispatcher.readCounter("queries served") - servedBefore);
+                harness.addMetric(
+                        "handshake",
+                        rate,
+                        "connections_per_query",
+                        "connections",
+                        "",
+                        connectionsPerQuery);
+                double connectMicros = exchanges.measure(harness, rate, calls);
+                harness.addMetric(
+                        "handshake",
+                        rate,
+                        "reckoned_share",
+                        "part",
+                        "",
+                        connectMicros * connectionsPerQuery / queryMicros);
             }
         }
     }
--- a/src/test/java/junipercourse/scale/ServingSlopes.java
+++ b/src/test/java/junipercourse/scale/ServingSlopes.java
@@ -21,11 +21,11 @@
  * the others go on.
  */
 class ServingSlopes {
-    private static final int[] ENGINES = {10, 100, 300, 980};
-    private static final int[] CLIENTS = {500, 1000, 2000, 4722};
-    private static final int[] IN_HAND = {0, 50, 200, 400};
-    private static final int[] RATES = {100, 431};
-    private static final String ALL = "start,engines,list,idle,hand,handshake";
+    private static final int[] ENGINE_COUNTS = {10, 100, 300, 980};
+    private static final int[] CLIENT_COUNTS = {500, 1000, 2000, 4722};
+    private static final int[] RUNNING_QUERY_COUNTS = {0, 50, 200, 400};
+    private static final int[] QUERY_RATES = {100, 431};
+    private static final String ALL_PARTS = "start,engines,list,idle,hand,handshake";
     @TempDir private Path folder;
 
     /** One size of a part. */
@@ -38,66 +38,93 @@
         assertTrue(
                 Files.exists(Path.of("target/junipercourse.jar")),
                 "the program is to be packaged first");
-        List<String> parts = Arrays.asList(System.getProperty("scale.parts", ALL).split(","));
+        List<String> parts = Arrays.asList(System.getProperty("scale.parts", ALL_PARTS).split(","));
         ResultWriter results =
                 new ResultWriter(
                         Path.of(System.getProperty("scale.out", "target/serving.jsonl")),
                         "serving",
-                        machine(),
+                        describeMachine(),
                         System.getProperty("scale.variant", "landed"),
                         0);
         System.out.println(
                 "takes one dispatcher at a time, of 64 MB heap (256 MB where that does not hold"
                         + " the connections), and this JVM; under six minutes; parts: "
                         + parts);
-        try (ServingHarness bench = new ServingHarness(folder, results, true)) {
-            ServingMeasurements p = new ServingMeasurements(bench);
+        try (ServingHarness harness = new ServingHarness(folder, results, true)) {
+            ServingMeasurements measurements = new ServingMeasurements(harness);
             if (parts.contains("start")) {
-                each(bench, "start", ENGINES, n -> p.start(n, 3));
+                measureSizes(
+                        harness,
+                        "start",
+                        ENGINE_COUNTS,
+                        size -> measurements.measureStart(size, 3));
             }
             if (parts.contains("engines")) {
-                each(bench, "engines", ENGINES, n -> p.engines(n, 5, 10, 100, 431));
+                measureSizes(
+                        harness,
+                        "engines",
+                        ENGINE_COUNTS,
+                        size -> measurements.measureQueries(size, 5, 10, 100, 431));
             }
             if (parts.contains("list")) {
-                each(
-                        bench,
+                measureSizes(
+                        harness,
                         "list",
-                        ENGINES,
-                        n -> new EndpointListBenchmark(bench, n).measure(1000, 500, 100, 100, 3));
+                        ENGINE_COUNTS,
+                        size ->
+                                new EndpointListBenchmark(harness, size)
+                                        .measure(1000, 500, 100, 100, 3));
             }
             if (parts.contains("idle")) {
-                each(bench, "idle-1024-descriptors", CLIENTS, n -> p.idlePlatform(n, 2));
-                each(bench, "idle", CLIENTS, n -> p.idle(n, 5));
+                measureSizes(
+                        harness,
+                        "idle-1024-descriptors",
+                        CLIENT_COUNTS,
+                        size -> measurements.measureIdleWithPlatformLimit(size, 2));
+                measureSizes(
+                        harness, "idle", CLIENT_COUNTS, size -> measurements.measureIdle(size, 5));
             }
             if (parts.contains("hand")) {
-                each(bench, "in-hand", IN_HAND, n -> p.hand(n, 100, 2));
+                measureSizes(
+                        harness,
+                        "in-hand",
+                        RUNNING_QUERY_COUNTS,
+                        size -> measurements.measureRunningQueries(size, 100, 2));
             }
             if (parts.contains("handshake")) {
-                each(bench, "handshake", RATES, n -> p.handshake(1000, 5, n));
+                measureSizes(
+                        harness,
+                        "handshake",
+                        QUERY_RATES,
+                        size -> measurements.measureHandshake(1000, 5, size));
             }
         }
     }
 
     /** Measures a part at each size; what fails costs that size alone. */
-    static void each(ServingHarness bench, String play, int[] sizes, Measurement part) {
-        List<String> only = Arrays.asList(System.getProperty("scale.only", "").split(","));
+    static void measureSizes(
+            ServingHarness harness, String scenario, int[] sizes, Measurement measurement) {
+        List<String> selectedSizes = Arrays.asList(System.getProperty("scale.only", "").split(","));
         for (int size : sizes) {
-            if (!only.contains("") && !only.contains(Integer.toString(size))) {
+            if (!selectedSizes.contains("") && !selectedSizes.contains(Integer.toString(size))) {
                 continue;
             }
             try {
-                part.run(size);
+                measurement.run(size);
             } catch (Exception | AssertionError e) {
-                bench.add(play, size, "not_measured", "", "not measured: " + e, 0);
+                harness.addMetric(scenario, size, "not_measured", "", "not measured: " + e, 0);
             }
         }
     }
 
-    static String machine() throws IOException {
-        long total =
+    static String describeMachine() throws IOException {
+        long totalMemoryBytes =
                 ((com.sun.management.OperatingSystemMXBean)
                                 ManagementFactory.getOperatingSystemMXBean())
                         .getTotalMemorySize();
-        return Runtime.getRuntime().availableProcessors() + " cores, " + (total >> 30) + " GiB";
+        return Runtime.getRuntime().availableProcessors()
+                + " cores, "
+                + (totalMemoryBytes >> 30)
+                + " GiB";
     }
 }
--- a/src/test/java/junipercourse/scale/ServingSlopesTest.java
+++ b/src/test/java/junipercourse/scale/ServingSlopesTest.java
@@ -16,7 +16,7 @@
 /** The parts of {@link ServingSlopes} in the small: each figure comes, is positive and counts. */
 class ServingSlopesTest {
     /** What may be nothing in a run as short as this one. */
-    private static final Set<String> MAY_BE_NONE =
+    private static final Set<String> MAY_BE_ZERO =
             Set.of(
                     "cpu_per_query_collector",
                     "cpu_per_query_kernel",
@@ -28,21 +28,22 @@
     @TempDir private Path folder;
 
     @Test
-    void eachPartTellsItsFigures() throws Exception {
+    void eachMeasurementWritesItsMetrics() throws Exception {
         Path out = folder.resolve("out");
-        ResultWriter results = new ResultWriter(out, "serving", ServingSlopes.machine(), "test", 0);
-        try (ServingHarness bench = new ServingHarness(folder, results, false)) {
-            ServingMeasurements p = new ServingMeasurements(bench);
-            p.start(3, 1);
-            p.engines(4, 0.1, 0.4, 50);
-            p.idlePlatform(6, 0.1);
-            p.idle(8, 0.2);
-            p.hand(5, 3, 0.2);
-            p.handshake(50, 0.4, 50);
-            new EndpointListBenchmark(bench, 8).measure(40, 200, 5, 50, 0.3);
+        ResultWriter results =
+                new ResultWriter(out, "serving", ServingSlopes.describeMachine(), "test", 0);
+        try (ServingHarness harness = new ServingHarness(folder, results, false)) {
+            ServingMeasurements measurements = new ServingMeasurements(harness);
+            measurements.measureStart(3, 1);
+            measurements.measureQueries(4, 0.1, 0.4, 50);
+            measurements.measureIdleWithPlatformLimit(6, 0.1);
+            measurements.measureIdle(8, 0.2);
+            measurements.measureRunningQueries(5, 3, 0.2);
+            measurements.measureHandshake(50, 0.4, 50);
+            new EndpointListBenchmark(harness, 8).measure(40, 200, 5, 50, 0.3);
         }
         List<JsonObject> lines =
-                Files.readAllLines(out).stream().map(l -> Json.parse(l).asObject()).toList();
+                Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
         assertEquals(
                 Set.of(
                         "start",
@@ -54,33 +55,36 @@
                         "in-hand",
                         "handshake",
                         "list"),
-                lines.stream().map(l -> l.getString("play", "")).collect(Collectors.toSet()));
-        for (JsonObject l : lines) {
-            String figure = l.getString("figure", "");
-            assertTrue(l.getDouble("median", 0) > 0 || MAY_BE_NONE.contains(figure), l::toString);
-            assertTrue(l.getDouble("worst", 0) >= l.getDouble("median", 0), l::toString);
-            assertEquals("serving", l.getString("suite", ""), l::toString);
+                lines.stream().map(line -> line.getString("play", "")).collect(Collectors.toSet()));
+        for (JsonObject line : lines) {
+            String metric = line.getString("figure", "");
+            assertTrue(
+                    line.getDouble("median", 0) > 0 || MAY_BE_ZERO.contains(metric),
+                    line::toString);
+            assertTrue(line.getDouble("worst", 0) >= line.getDouble("median", 0), line::toString);
+            assertEquals("serving", line.getString("suite", ""), line::toString);
         }
     }
 
     @Test
-    void whatFailsIsToldAndTheRestGoesOn() throws Exception {
+    void failedMeasurementIsReportedAndOthersContinue() throws Exception {
         Path out = folder.resolve("out");
-        ResultWriter results = new ResultWriter(out, "serving", ServingSlopes.machine(), "test", 0);
-        try (ServingHarness bench = new ServingHarness(folder, results, false)) {
-            ServingSlopes.each(
-                    bench,
+        ResultWriter results =
+                new ResultWriter(out, "serving", ServingSlopes.describeMachine(), "test", 0);
+        try (ServingHarness harness = new ServingHarness(folder, results, false)) {
+            ServingSlopes.measureSizes(
+                    harness,
                     "part",
                     new int[] {1, 2},
-                    n -> {
-                        if (n == 1) {
+                    size -> {
+                        if (size == 1) {
                             throw new AssertionError("no luck");
                         }
-                        bench.add("part", n, "figure", "s", "", 3, 1, 2);
+                        harness.addMetric("part", size, "figure", "s", "", 3, 1, 2);
                     });
         }
         List<JsonObject> lines =
-                Files.readAllLines(out).stream().map(l -> Json.parse(l).asObject()).toList();
+                Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
         assertEquals(2, lines.size());
         assertTrue(
                 !lines.get(0).getBoolean("counts", true)
