--- a/src/test/java/junipercourse/scale/ConstantRateLoad.java
+++ b/src/test/java/junipercourse/scale/ConstantRateLoad.java
@@ -10,7 +10,10 @@
 import junipercourse.SocketTestSupport;
 import org.HdrHistogram.ConcurrentHistogram;
 
-/** Clients that keep their connections and ask so many queries a second, each at its time. */
+/**
+ * Clients with persistent connections that send queries at a constant rate, each at its scheduled
+ * time.
+ */
 final class ConstantRateLoad {
     private static final int CLIENT_COUNT = 16;
     private static final int HISTOGRAM_DIGITS = 3;
@@ -23,9 +26,10 @@
     private volatile String lastFailure = "";
 
     /**
-     * Asks and waits for the answers.
+     * Sends the queries and waits for all answers.
      *
-     * @param groups of tables that are read in turn; 0: each query reads a group of its own
+     * @param groups number of table groups that the queries read round-robin; 0: each query reads
+     *     its own group
      */
     ConstantRateLoad(InetSocketAddress front, double rate, double seconds, int groups)
             throws InterruptedException {
@@ -94,8 +98,8 @@
     }
 
     /**
-     * Why these figures do not count, or nothing: a load that was not served as asked is no
-     * measure.
+     * Returns why the measurement is not valid, or an empty string. A load that was not served at
+     * the requested rate is not a valid measurement.
      */
     String invalidReason(double rate) {
         if (served.get() == 0 || notServed.get() * 100 > served.get()) {
--- a/src/test/java/junipercourse/scale/EndpointListBenchmark.java
+++ b/src/test/java/junipercourse/scale/EndpointListBenchmark.java
@@ -12,8 +12,8 @@
 import junipercourse.scale.ServingHarness.RunningDispatcher;
 
 /**
- * What news of the engine list cost: changes of one engine, one by one and in a burst, and whole
- * lists.
+ * Measures the cost of endpoint list updates: changes of one engine, one by one and in a burst, and
+ * full lists.
  */
 final class EndpointListBenchmark {
     private static final int RECORD_BYTES = 27;
@@ -25,10 +25,10 @@
     private static final double MICROS_PER_SECOND = 1e6;
     private static final int TABLE_GROUPS = 64;
     private static final long EMPTY_FRAME_INTERVAL_MILLIS =
-            500; // between empty frames: the bus counts as silent without
+            500; // without these frames the dispatcher treats the bus as silent
     private final ServingHarness harness;
     private final int engineCount;
-    private long lastEventNumber = 1; // of the last event that is told
+    private long lastEventNumber = 1; // the list known at start is event 1
 
     EndpointListBenchmark(ServingHarness harness, int engineCount) {
         this.harness = harness;
@@ -36,8 +36,8 @@
     }
 
     /**
-     * So many events one by one, as many a second; a burst of them in one write; so many whole
-     * lists.
+     * Sends {@code events} events one by one at {@code perSecond}, then as a burst in one write,
+     * then {@code fullLists} full lists.
      */
     void measure(int events, int perSecond, int fullLists, double rate, double seconds)
             throws Exception {
@@ -96,7 +96,10 @@
         }
     }
 
-    /** In all, with what the compiler took, and of the loop alone, less what it takes at rest. */
+    /**
+     * Writes the total CPU time per event, which includes the JIT compiler, and that of the event
+     * loop alone, less its idle CPU time.
+     */
     private void measureCost(
             RunningDispatcher dispatcher,
             Client client,
@@ -129,8 +132,8 @@
     }
 
     /**
-     * The same queries without and with events beside them, since each event also costs the next
-     * queries.
+     * Measures the same queries without and with concurrent events, since each event also makes the
+     * queries after it more expensive.
      */
     private void measureUnderLoad(
             RunningDispatcher dispatcher, Socket watchSocket, double rate, double seconds)
@@ -203,7 +206,10 @@
         watchSocket.getOutputStream().write(frames.array());
     }
 
-    /** Each engine in turn starts to drain, and is back with the next event. */
+    /**
+     * Round-robin over the engines: one event makes an engine draining, the next makes it ready
+     * again.
+     */
     private byte[] changeFrame() throws IOException {
         lastEventNumber++;
         ByteBuffer frame = frame(CHANGES_KIND, 1);
@@ -244,19 +250,19 @@
                 .putLong(0);
     }
 
-    /** Waits until all events have been taken in: the list that was known is the first. */
+    /** Waits until the dispatcher has processed all events. Event 1 is the list known at start. */
     private void awaitAllEvents(Client client) throws IOException {
         long endNanos = System.nanoTime() + 20_000_000_000L;
         while (RunningDispatcher.readCounter(client, "roster events") < lastEventNumber) {
             if (System.nanoTime() > endNanos) {
-                throw new IOException("events were not taken in");
+                throw new IOException("the dispatcher did not process all events within 20 s");
             }
             SocketTestSupport.sleepMillis(5);
         }
         for (int i = 0; i < 2; i++) {
             client.query(
-                    "SHOW COUNTERS"); // they are counted before the module's turn, which is queued
-            // behind
+                    "SHOW COUNTERS"); // events are counted before the decision module handles them;
+            // its task is queued behind this query
         }
     }
 }
--- a/src/test/java/junipercourse/scale/EndpointWatchers.java
+++ b/src/test/java/junipercourse/scale/EndpointWatchers.java
@@ -13,7 +13,8 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * The hollow members' bus clients, the real ones, all on one loop; what they heard, and how late.
+ * The real event bus clients of all hollow members on one event loop, with the events that they
+ * received and their delay.
  */
 final class EndpointWatchers implements Closeable {
     private static final int MAX_EVENTS = 10_000;
@@ -25,7 +26,7 @@
     private final AtomicIntegerArray lastEvents;
     private final AtomicLongArray sentNanos = new AtomicLongArray(MAX_EVENTS + 1);
 
-    /** Microseconds from the bus' writing to each client's having an event. */
+    /** Microseconds from the bus sending an event until a client has received it. */
     private final ConcurrentHistogram lagMicros = new ConcurrentHistogram(HISTOGRAM_DIGITS);
 
     private volatile int postedCount;
@@ -36,7 +37,10 @@
         loop.execute(loop::startStallDetection);
     }
 
-    /** The member's process has started: its client begins with the events up to now. */
+    /**
+     * Starts the watcher of a member whose process has started; it subscribes after the events
+     * published so far.
+     */
     void start(int member) {
         loop.execute(
                 () -> {
@@ -62,7 +66,7 @@
                 });
     }
 
-    /** The member's process has ended. */
+    /** Stops the watcher of a member whose process has ended. */
     void stop(int member) {
         loop.execute(
                 () -> {
@@ -78,7 +82,7 @@
         lagMicros.recordValue(Math.max(0, (System.nanoTime() - sentNanos.get(event)) / 1000));
     }
 
-    /** Posts one event. */
+    /** Publishes one event. */
     void post() {
         if (postedCount >= MAX_EVENTS) {
             throw new IllegalStateException("more than " + MAX_EVENTS + " events");
@@ -87,17 +91,17 @@
         bus.post(number -> sentNanos.set(number, System.nanoTime()));
     }
 
-    /** Whether all these have all that was posted. */
+    /** Whether all these members have received the last published event. */
     boolean haveAllEvents(IntStream members) {
         return members.allMatch(member -> lastEvents.get(member) == postedCount);
     }
 
-    /** How many the bus tells now. */
+    /** Number of clients that are subscribed to the bus. */
     int subscriberCount() {
         return bus.subscriberCount();
     }
 
-    /** Seconds that an event took, at a percentile over events and members. */
+    /** Delivery delay in seconds at a percentile over all events and members. */
     double lagSecondsAt(double percentile) {
         return lagMicros.getValueAtPercentile(percentile) / 1e6;
     }
--- a/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
+++ b/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
@@ -10,9 +10,9 @@
 import java.util.Arrays;
 
 /**
- * Calls to a stand-in engine by a bare loop of this JVM, each on a connection of its own or all on
- * one: the difference is what a connection for each attempt costs at least. A lead, not the
- * dispatcher's own figure.
+ * Calls a fake engine in a plain loop of this JVM, with a connection for each call or one for all
+ * calls. The difference is a lower bound for the cost of a connection for each attempt; it is an
+ * indication, not a measurement of the dispatcher itself.
  */
 final class EngineExchangeBenchmark {
     private static final int BATCH_COUNT = 5;
@@ -27,7 +27,7 @@
     private final ByteBuffer output =
             ByteBuffer.allocateDirect(POST_REQUEST.length).put(POST_REQUEST);
 
-    /** One loop's step. */
+    /** One iteration of a measured loop. */
     private interface EngineCall {
         void run(InetSocketAddress address) throws IOException;
     }
@@ -36,12 +36,17 @@
         this.farm = farm;
     }
 
-    /** Writes the figures; returns the processor time of a bare connection, in microseconds. */
+    /**
+     * Writes the metrics; returns the median CPU time of connecting and closing alone, in
+     * microseconds.
+     */
     double measure(ServingHarness harness, int size, int calls) throws IOException {
         double[] connectOnlyMicros = new double[BATCH_COUNT];
         double[] newConnectionMicros = new double[BATCH_COUNT];
         double[] keptConnectionMicros = new double[BATCH_COUNT];
-        for (int i = -1; i < BATCH_COUNT; i++) { // the first warms up
+        for (int i = -1;
+                i < BATCH_COUNT;
+                i++) { // iteration -1 warms up; batch 0 overwrites its values
             int batch = Math.max(i, 0);
             connectOnlyMicros[batch] =
                     measureCpuMicros(calls, address -> SocketChannel.open(address).close());
--- a/src/test/java/junipercourse/scale/EngineFarm.java
+++ b/src/test/java/junipercourse/scale/EngineFarm.java
@@ -18,16 +18,17 @@
 import junipercourse.SocketTestSupport;
 
 /**
- * Stand-in engines of one thread behind a few sockets: engine ids share addresses in turn. Each
- * call is answered at once with one row or, while queries are held, with the news that they run, as
- * often as engines tell it.
+ * Fake engines served by one thread on a few listening sockets; engine ids are assigned to the
+ * addresses round-robin. Each call is answered at once with one row or, while queries are held,
+ * with a response that the query is still running, at the interval at which engines send it.
  */
 final class EngineFarm implements Closeable {
-    private static final int ADDRESSES = 16; // so that closed connections do not use up one's ports
+    private static final int ADDRESSES =
+            16; // several, so that closed connections do not use up the ports of one
     private static final int BACKLOG = 4096;
-    private static final int MAX_REQUEST_BYTES = 4096; // bytes; the loads here send a few hundred
+    private static final int MAX_REQUEST_BYTES = 4096; // the loads here send a few hundred bytes
     private static final long RUNNING_RESPONSE_DELAY_NANOS =
-            200_000_000; // engines tell within a quarter of a second
+            200_000_000; // engines respond within a quarter of a second
     private static final ByteBuffer ROW_RESPONSE =
             bytes(
                     "HTTP/1.1 200 OK\r\nX-Fetches: 1\r\n"
@@ -43,8 +44,8 @@
     private volatile boolean holdsQueries;
 
     /**
-     * A call whose answer is due at a time; all wait equally long, so that the first come is due
-     * first.
+     * A call with a delayed response. All calls have the same delay, so the queue is in order of
+     * due time.
      */
     private record DelayedResponse(long dueNanos, SocketChannel channel) {}
 
@@ -58,12 +59,15 @@
         SocketTestSupport.startDaemon(this::run);
     }
 
-    /** Where the engine of that number listens. */
+    /** The address on which the engine with this id listens. */
     InetSocketAddress address(int id) throws IOException {
         return (InetSocketAddress) servers.get(id % ADDRESSES).getLocalAddress();
     }
 
-    /** From now on queries are kept running, or else answered once they are asked for again. */
+    /**
+     * Sets whether queries are kept running from now on. If not, each held query is answered with
+     * its row at the next poll.
+     */
     void setHoldQueries(boolean holdQueries) {
         holdsQueries = holdQueries;
     }
@@ -127,7 +131,7 @@
         if (headLength < 0 || input.position() < headLength + 4 + bodyLength) {
             return;
         }
-        input.clear(); // one call at a time is on a connection
+        input.clear(); // a connection carries one call at a time
         postCount.addAndGet(text.startsWith("POST") ? 1 : 0);
         if (text.startsWith("DELETE")) {
             write(channel, CANCELLED_RESPONSE);
@@ -141,7 +145,7 @@
 
     private static void write(SocketChannel channel, ByteBuffer response) {
         try {
-            channel.write(response.duplicate()); // far less than a socket takes at once
+            channel.write(response.duplicate()); // far smaller than the socket's send buffer
         } catch (IOException e) {
             close(channel);
         }
--- a/src/test/java/junipercourse/scale/FakeEventBus.java
+++ b/src/test/java/junipercourse/scale/FakeEventBus.java
@@ -20,9 +20,10 @@
 import junipercourse.ScriptedBus;
 
 /**
- * A stand-in for the event bus that serves many at once on one thread: each is told the events
- * after the one that it asks from, then each new one, and an empty frame a second. One that does
- * not take what it is told is left, and comes again.
+ * A fake event bus that serves many subscribers on one thread. Each subscriber receives the events
+ * after its requested offset, then each new event, and an empty frame every second. The connection
+ * of a subscriber whose socket does not accept a whole frame is closed, and the subscriber
+ * reconnects.
  */
 final class FakeEventBus implements Closeable {
     private static final int BACKLOG = 4096;
@@ -38,7 +39,7 @@
     private double nextHeartbeatSeconds;
 
     /**
-     * What is known of one connection: the bytes of its question, and whether it was heard whole.
+     * State of one connection: the bytes of its request, and whether the request was read whole.
      */
     private static final class Subscription {
         private final ByteBuffer request = ByteBuffer.allocate(Long.BYTES);
@@ -57,14 +58,14 @@
         return (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** Those that have asked and are told now. */
+    /** Number of connections that have sent their request and receive events. */
     int subscriberCount() {
         return subscriberCount;
     }
 
     /**
-     * Tells of one engine, whose id is the event's number; {@code told} is given that as it is
-     * written.
+     * Publishes an event about one engine, whose id is the event's number; {@code onSend} receives
+     * that number just before the frame is written.
      */
     void post(IntConsumer onSend) {
         tasks.add(
@@ -136,7 +137,7 @@
         SocketChannel channel = (SocketChannel) key.channel();
         try {
             if (channel.read(subscription.request) <= 0) {
-                channel.close(); // has left, or says more than it may
+                channel.close(); // disconnected, or sent more than a request
             } else if (!subscription.request.hasRemaining()) {
                 subscription.requestComplete = true;
                 for (int i = (int) subscription.request.getLong(0); i < events.size(); i++) {
--- a/src/test/java/junipercourse/scale/FleetScenarios.java
+++ b/src/test/java/junipercourse/scale/FleetScenarios.java
@@ -16,8 +16,9 @@
 import org.awaitility.core.ConditionTimeoutException;
 
 /**
- * The plays of one fleet, one after another. Each is measured from its first act until all that
- * hear each other agree, and at least for a stated time, so that rates are of more than a moment.
+ * Runs the scenarios of one fleet one after another. Each is measured from its first action until
+ * all members that can communicate agree, and at least for a minimum time, so that rates do not
+ * come from a brief moment.
  */
 final class FleetScenarios {
     static final List<String> ALL =
@@ -25,12 +26,14 @@
                     "start", "calm", "kill", "restart", "tenth", "zone", "regions", "loss5",
                     "loss20", "events");
 
-    /** What does not settle in this time is written as such, and the run goes on. */
+    /**
+     * A scenario that does not settle in this time is written as unsettled, and the run continues.
+     */
     private static final double MAX_SETTLE_SECONDS = 30;
 
     private static final int POLL_MILLIS = 20;
 
-    /** A whole table costs a real one some processor time, which is measured too. */
+    /** Each {@code SHOW FLEET} costs a real member CPU time, which is measured too. */
     private static final int REAL_POLL_MILLIS = 100;
 
     private static final int EVENT_COUNT = 50;
@@ -50,7 +53,7 @@
         void run() throws IOException;
     }
 
-    /** A time that was waited for; {@code fault} tells what was not so in the end, or is null. */
+    /** A finished wait; {@code unmetCondition} describes what was not reached, or is null. */
     private record WaitResult(double seconds, String unmetCondition) {}
 
     FleetScenarios(
@@ -82,19 +85,19 @@
         scenarios.put("events", this::runEvents);
     }
 
-    /** Plays one; fails if a bound of the run is passed meanwhile. */
+    /** Runs one scenario; throws if a limit of the run is exceeded meanwhile. */
     void runScenario(String name) throws IOException {
         System.out.printf("%d members: %s%n", fleet.size, name);
         limits.throwIfAborted();
         scenarios.get(name).run();
     }
 
-    /** The last one of all: hollow, and no seed of the others. */
+    /** The last member: it is hollow and not a seed of the others. */
     private int lastMember() {
         return fleet.size - 1;
     }
 
-    /** So many of the running hollow ones, drawn anew. */
+    /** Draws a share of the fleet at random from the running hollow members. */
     private List<Integer> drawMembers(double share) {
         List<Integer> members = new ArrayList<>(fleet.runningHollow().boxed().toList());
         Collections.shuffle(members, random);
@@ -108,7 +111,7 @@
         finishScenario(name, startSeconds);
     }
 
-    /** Waits for agreement, rounds the time up and writes all figures. */
+    /** Waits for agreement and then for the minimum duration, and writes all metrics. */
     private void finishScenario(String name, double startSeconds) throws IOException {
         WaitResult hollowWait = awaitCondition(startSeconds, POLL_MILLIS, fleet::findDisagreement);
         WaitResult realWait =
@@ -162,7 +165,7 @@
         return new WaitResult(Network.nowSeconds() - startSeconds, null);
     }
 
-    /** Lets the play go on for so long. */
+    /** Lets the scenario run for this time. */
     private void waitFor(double seconds) {
         for (double endSeconds = Network.nowSeconds() + seconds;
                 Network.nowSeconds() < endSeconds; ) {
@@ -187,7 +190,7 @@
         awaitCondition(
                 Network.nowSeconds(),
                 POLL_MILLIS,
-                fleet::findDisagreement); // the collection was a stall for all
+                fleet::findDisagreement); // the garbage collection stalled all hollow members
     }
 
     private void runZoneLoss() throws IOException {
@@ -196,7 +199,10 @@
         runMeasured("zone_back", () -> IntStream.of(members).forEach(fleet::start));
     }
 
-    /** Halves apart; once each has settled, some restart, and then they hear each other again. */
+    /**
+     * Partitions the fleet into halves, restarts some members once both halves have settled, then
+     * heals the partition.
+     */
     private void runPartition() throws IOException {
         recorder.beginScenario();
         double startSeconds = Network.nowSeconds();
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -16,18 +16,18 @@
 import junipercourse.fleet.transport.TransportCounters;
 
 /**
- * A dispatcher that is a member of the fleet and nothing else: the real view on a real socket,
- * without front, engines and log. One after the other of its lives runs on its thread; the counts
- * go on over all of them.
+ * A dispatcher reduced to its fleet membership: the real membership protocol on a real socket,
+ * without front tier, engines and log. Its incarnations run one after another on one thread; the
+ * transport counters accumulate over all of them.
  */
 final class HollowMember implements MembershipListener, HollowTransport.Path {
     /**
-     * Between the farewell of a life and the start of its successor: as long as a process takes to
-     * start.
+     * Time between the end of an incarnation and the start of its successor: as long as a process
+     * takes to start.
      */
     private static final double RESTART_SECONDS = 0.5;
 
-    /** As long as {@code FleetService} goes on to say it. */
+    /** As long as {@code FleetService} keeps announcing that it leaves. */
     private static final double LEAVE_SECONDS = 0.15;
 
     final int number;
@@ -59,22 +59,22 @@
         return "n" + number;
     }
 
-    /** The newest snapshot of the life that runs, or null. */
+    /** The newest snapshot of the running incarnation, or null. */
     MembershipSnapshot snapshot() {
         return snapshot;
     }
 
-    /** How many lives have begun. */
+    /** Number of incarnations started so far. */
     int startCount() {
         return startCount;
     }
 
-    /** When the life began that runs; infinity if none does. */
+    /** Start time of the running incarnation; infinity if none runs. */
     double startedAt() {
         return startedAt;
     }
 
-    /** Begins a life; called on the thread, as is all that follows. */
+    /** Starts an incarnation; this method and those below are called on the member's thread. */
     void start() {
         try {
             transport =
@@ -99,12 +99,12 @@
                         this);
         startedAt = Network.nowSeconds();
         snapshot = null;
-        startCount++; // on this thread alone
+        startCount++; // written by this thread alone
         thread.add(this);
         protocol.start(Network.nowSeconds());
     }
 
-    /** The process is gone, with all that it knew. */
+    /** Simulates the loss of the process with all its state. */
     void kill() {
         if (protocol == null) {
             return;
@@ -115,13 +115,16 @@
         thread.remove(this);
         try {
             transport.close();
-            thread.selector.selectNow(); // only then the system has the address back
+            thread.selector.selectNow(); // the system releases the address only then
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Says that this life is over, ends it, and begins the next as soon as a process could. */
+    /**
+     * Announces that this incarnation leaves, ends it, and starts the next one after the start-up
+     * time of a process.
+     */
     void restart() {
         if (protocol != null) {
             protocol.leave(Network.nowSeconds());
@@ -132,7 +135,7 @@
         thread.schedule(LEAVE_SECONDS + RESTART_SECONDS, this::start);
     }
 
-    /** Gives the address back once the thread has ended. */
+    /** Releases the address after the thread has ended. */
     void close() throws IOException {
         if (transport != null) {
             transport.close();
@@ -152,7 +155,7 @@
                 });
     }
 
-    /** Carries out what is due, and tells when the next is. */
+    /** Runs a due protocol tick; returns when the next one is due. */
     double tick(double now) {
         if (now >= protocol.nextTickAt()) {
             protocol.tick(now);
@@ -168,7 +171,7 @@
     @Override
     public void membershipChanged(MembershipSnapshot next) {
         if (startedAt == Double.POSITIVE_INFINITY) {
-            return; // leaves
+            return; // is leaving
         }
         MembershipSnapshot previous = snapshot;
         double previousTakenAt = previous == null ? startedAt : previous.takenAt();
@@ -185,7 +188,7 @@
 
     @Override
     public void log(String line) {
-        // the log is no part of what is measured
+        // logging is not measured
     }
 
     @Override
@@ -203,7 +206,7 @@
         thread.schedule(seconds, task);
     }
 
-    /** The part of a product file that would say the same. */
+    /** Builds the fleet configuration that an equivalent product file would yield. */
     static FleetConfig createConfig(
             int number, String zone, List<String> seeds, FleetConfig template) {
         return new FleetConfig(
@@ -216,7 +219,7 @@
                 template.membership());
     }
 
-    /** Is told of each verdict of a member that another is unreachable. */
+    /** Receives each verdict of a member that another member is unreachable. */
     interface UnreachableListener {
         void markedUnreachable(int observer, MemberView target);
     }
--- a/src/test/java/junipercourse/scale/HollowThread.java
+++ b/src/test/java/junipercourse/scale/HollowThread.java
@@ -13,8 +13,8 @@
 import junipercourse.liveness.StallDetector;
 
 /**
- * One thread with a selector for many hollow members. It treats its own stalls as {@code
- * FleetService} does: after one, nothing is judged before all that lay at the sockets is read, or
+ * One thread with a selector that runs many hollow members. It handles its own stalls as {@code
+ * FleetService} does: after a stall, no tick runs until all pending datagrams have been read or
  * half a second has passed.
  */
 final class HollowThread {
@@ -60,18 +60,18 @@
         thread.start();
     }
 
-    /** Runs a task on the thread, soon. */
+    /** Runs a task on the thread in its next iteration. */
     void execute(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Runs a task on the thread after so many seconds; called there. */
+    /** Runs a task after a delay; called on the thread. */
     void schedule(double seconds, Runnable task) {
         delayedTasks.add(new DelayedTask(Network.nowSeconds() + seconds, nextSequence++, task));
     }
 
-    /** A member lives here from now on; called on the thread. */
+    /** Adds a member to this thread; called on the thread. */
     void add(HollowMember member) {
         members.add(member);
         nextTickSeconds = 0;
@@ -81,12 +81,12 @@
         members.remove(member);
     }
 
-    /** Gaps of its own so far. */
+    /** Number of stalls of this thread so far. */
     long stalls() {
         return stalls;
     }
 
-    /** What ended the thread, or null. */
+    /** The failure that ended the thread, or null. */
     String failure() {
         return failure;
     }
--- a/src/test/java/junipercourse/scale/HostMetrics.java
+++ b/src/test/java/junipercourse/scale/HostMetrics.java
@@ -10,17 +10,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** What the system tells of this machine. */
+/** Metrics of this machine, read from the operating system. */
 final class HostMetrics {
     private static final double PAGES_PER_MB = 256;
-    private static final int IDLE_FIELD = 4; // fields of the line of all processors
+    private static final int IDLE_FIELD =
+            4; // field indices in the line of /proc/stat that sums up all processors
     private static final int IO_WAIT_FIELD = 5;
 
     private HostMetrics() {}
 
-    /** Processor time of the whole machine so far, in ticks. */
+    /** CPU time of the whole machine since boot, in ticks. */
     record CpuTicks(long busy, long total) {
-        /** The share that was busy since then. */
+        /** The share of the time since the earlier reading that was busy. */
         double busyShareSince(CpuTicks earlier) {
             return total == earlier.total
                     ? 0
@@ -45,7 +46,7 @@
                 total);
     }
 
-    /** Datagrams that the system dropped so far since a socket's buffer was full. */
+    /** Number of datagrams dropped so far because a socket's receive buffer was full. */
     static long receiveBufferErrors() throws IOException {
         List<String> lines =
                 Files.readAllLines(Path.of("/proc/net/snmp")).stream()
@@ -55,10 +56,7 @@
         return Long.parseLong(lines.get(1).split(" ")[names.indexOf("RcvbufErrors")]);
     }
 
-    /**
-     * Those of them that were sent to one of the first so many members, as far as their sockets are
-     * open.
-     */
+    /** Number of such drops at the open sockets of the first {@code members} members. */
     static long receiveBufferErrors(int members) throws IOException {
         Set<String> addresses =
                 IntStream.range(0, members)
@@ -73,8 +71,8 @@
                                                         Integer.valueOf(addressParts[0]),
                                                         Integer.valueOf(addressParts[4])))
                         .collect(
-                                Collectors.toSet()); // as the system writes them on a little-endian
-        // machine
+                                Collectors
+                                        .toSet()); // the kernel's format on a little-endian machine
         return Files.readAllLines(Path.of("/proc/net/udp")).stream()
                 .map(line -> line.trim().split(" +"))
                 .filter(fields -> addresses.contains(fields[1]))
@@ -82,7 +80,7 @@
                 .sum();
     }
 
-    /** Resident memory of this process. */
+    /** Resident memory of this process, in MB. */
     static double residentMb() throws IOException {
         return Long.parseLong(Files.readString(Path.of("/proc/self/statm")).split(" ")[1])
                 / PAGES_PER_MB;
--- a/src/test/java/junipercourse/scale/IdleClients.java
+++ b/src/test/java/junipercourse/scale/IdleClients.java
@@ -11,13 +11,14 @@
 import junipercourse.SocketTestSupport.Client;
 
 /**
- * Clients of one thread, which start a session, ask one empty query and then hold their
- * connections.
+ * Clients on one thread that each start a session, send one empty query and then keep their
+ * connection open.
  */
 final class IdleClients implements Closeable {
     private static final int MAX_OPENING = 64;
     private static final int MAX_RESPONSE_BYTES = 2048;
-    private static final int READY_MESSAGES_WHEN_OPEN = 2; // after the start and after the query
+    private static final int READY_MESSAGES_WHEN_OPEN =
+            2; // one after the startup and one after the query
 
     private final Selector selector = Selector.open();
     private final InetSocketAddress front;
@@ -26,7 +27,7 @@
     private int refusedCount;
     private int answeredCount;
 
-    /** One client's answers so far. */
+    /** Messages that one client has received so far. */
     private static final class ClientState {
         private final ByteBuffer input = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
         private int readyMessages;
@@ -37,7 +38,8 @@
     }
 
     /**
-     * Connects so many, some at once; returns how many have had their answer and are still there.
+     * Opens {@code count} connections, up to {@link #MAX_OPENING} concurrently; returns how many
+     * were answered and are still open.
      */
     int open(int count, double timeoutSeconds) throws IOException {
         long endNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
@@ -59,7 +61,7 @@
         return open;
     }
 
-    /** Looks at the sockets for so long; returns how many connections are held after that. */
+    /** Processes socket events for this time; returns how many connections are open after that. */
     int countHeldAfter(double seconds) throws IOException {
         long endNanos = System.nanoTime() + (long) (seconds * 1e9);
         do {
@@ -69,12 +71,12 @@
         return open;
     }
 
-    /** Connections that have had their answer, whether they are still there or not. */
+    /** Number of connections that were answered, whether they are still open or not. */
     int answeredCount() {
         return answeredCount;
     }
 
-    /** Connections that ended before their first answer. */
+    /** Number of connections that were closed before both responses had arrived. */
     int refusedCount() {
         return refusedCount;
     }
@@ -97,10 +99,13 @@
     private static void sendStartupAndQuery(SocketChannel channel) throws IOException {
         ByteBuffer start = ByteBuffer.wrap(Client.startupMessage());
         ByteBuffer query = ByteBuffer.wrap(Client.queryMessage(" "));
-        channel.write(new ByteBuffer[] {start, query}); // far less than a socket takes at once
+        channel.write(new ByteBuffer[] {start, query}); // far smaller than the socket's send buffer
     }
 
-    /** Takes in whole messages; true if one of them ends the session. */
+    /**
+     * Parses all complete messages; returns true if one of them is an error, which ends the
+     * session.
+     */
     private boolean readMessages(ClientState state) {
         state.input.flip();
         boolean sessionEnds = false;
--- a/src/test/java/junipercourse/scale/Network.java
+++ b/src/test/java/junipercourse/scale/Network.java
@@ -7,10 +7,10 @@
 import junipercourse.net.Clock;
 
 /**
- * The network between the members, of which hollow ones hold both ends and real ones none: cuts,
- * loss and delay are put where a hollow member sends, and where it hears a real one. Between two
- * real ones there is no fault, so they all are in one region. Each datagram's fate is drawn by its
- * thread's seeded generator.
+ * Simulates network faults between the members. Partitions, loss and delay are applied where a
+ * hollow member sends, and where it receives from a real member, since real members apply none
+ * themselves. Traffic between two real members has no faults, so they must all be on one side of a
+ * partition. Each thread's seeded generator decides the loss and delay of its datagrams.
  */
 final class Network {
     private static final int PORT = 7101;
@@ -20,7 +20,7 @@
     private final int realCount;
     private volatile Faults faults;
 
-    /** All that is wrong, from a time on. Members hear each other if their sides are equal. */
+    /** The faults in effect since a time. Members can communicate if their sides are equal. */
     private record Faults(
             int[] sides, double lossProbability, double maxDelaySeconds, double sinceSeconds) {
         boolean isEmpty() {
@@ -40,9 +40,7 @@
         faults = new Faults(null, 0, maxDelaySeconds, nowSeconds());
     }
 
-    /**
-     * An address of its own for each, so that rates for each address hold as they do in service.
-     */
+    /** Each member has its own address, so that per-address rate limits apply as in production. */
     static String address(int member) {
         return "127.77."
                 + member / MEMBERS_PER_SUBNET
@@ -56,7 +54,7 @@
         return Clock.SYSTEM.monotonicSeconds();
     }
 
-    /** From now on, members of different sides do not hear each other. */
+    /** From now on, members on different sides cannot communicate. */
     void partition(int[] sides) {
         faults =
                 new Faults(
@@ -70,18 +68,18 @@
         faults = new Faults(null, faults.lossProbability, faults.maxDelaySeconds, nowSeconds());
     }
 
-    /** From now on each datagram is lost with this probability. */
+    /** From now on, each datagram is lost with this probability. */
     void setLossProbability(double probability) {
         faults = new Faults(faults.sides, probability, faults.maxDelaySeconds, nowSeconds());
     }
 
-    /** The side of each member; the same for all while there is no cut. */
+    /** The side of each member; the same for all without a partition. */
     int[] sides(int size) {
         int[] sides = faults.sides;
         return sides == null ? new int[size] : Arrays.copyOf(sides, size);
     }
 
-    /** Whether these have heard each other since before that time. */
+    /** Whether these members have been able to communicate since before that time. */
     boolean couldCommunicateSince(int one, int other, double since) {
         Faults current = faults;
         return !current.areSeparated(one, other)
@@ -90,7 +88,7 @@
                         || current.lossProbability > 0);
     }
 
-    /** Seconds that a datagram to an address is held back; below 0 if it is lost. */
+    /** Delay of a datagram to an address; negative if it is lost. */
     double sendDelaySeconds(int sender, String address, SplittableRandom random) {
         Faults current = faults;
         if (current.isEmpty()) {
@@ -104,7 +102,10 @@
         return current.maxDelaySeconds * random.nextDouble();
     }
 
-    /** The same for one that came: only real ones' have not met their fate yet. */
+    /**
+     * Delay of a received datagram; negative if it is lost. Only for datagrams from real members;
+     * hollow members apply faults when they send.
+     */
     double receiveDelaySeconds(int receiver, String address, SplittableRandom random) {
         if (faults.isEmpty()) {
             return 0;
--- a/src/test/java/junipercourse/scale/ProcessMetrics.java
+++ b/src/test/java/junipercourse/scale/ProcessMetrics.java
@@ -11,11 +11,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the system and the JVM tell of another process: processor time by thread, memory. */
+/** CPU time by thread and memory of another process, read from the operating system and its JVM. */
 final class ProcessMetrics {
     private static final double SECONDS_PER_NANO = 1e-9;
-    private static final double TICKS_PER_SECOND =
-            100; // in which the system splits off the kernel's part
+    private static final double TICKS_PER_SECOND = 100; // unit of the kernel time in /proc/PID/stat
     private static final double PAGE_BYTES = 4096;
     private static final Pattern HISTOGRAM_TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
@@ -26,7 +25,7 @@
         OTHER
     }
 
-    /** What a thread had spent when it was last seen. */
+    /** CPU time of a thread at its last reading. */
     private record ThreadCpuTime(ThreadKind kind, double seconds) {}
 
     private final Map<String, ThreadCpuTime> threadTimes = new HashMap<>();
@@ -38,8 +37,8 @@
     }
 
     /**
-     * Processor seconds: in all, of the I/O thread, the compiler and the collector, and in the
-     * kernel.
+     * CPU seconds: in total, of the event loop, the JIT compiler and the garbage collector, and in
+     * the kernel.
      */
     record CpuTime(double total, double loop, double compiler, double collector, double kernel) {
         CpuTime since(CpuTime before) {
@@ -53,8 +52,8 @@
     }
 
     /**
-     * By the nanosecond for each thread; by ticks of 10 ms the kernel's part, and what threads have
-     * spent that ended between two looks.
+     * Reads the CPU time so far: to the nanosecond for each thread, in ticks of 10 ms for the
+     * kernel time and for threads that ended between two readings.
      */
     CpuTime readCpuTime() {
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(procFile("task"))) {
@@ -70,10 +69,10 @@
                             thread.getFileName().toString(),
                             new ThreadCpuTime(threadKind(name), threadSeconds));
                 } catch (NoSuchFileException e) {
-                    continue; // it has just ended
+                    continue; // the thread has just ended
                 }
             }
-            // the third field and on
+            // from the third field on
             String[] stat = Files.readString(procFile("stat")).split("\\) ")[1].split(" ");
             double kernel = Long.parseLong(stat[12]) / TICKS_PER_SECOND;
             double threadTotal =
@@ -100,7 +99,7 @@
                 .sum();
     }
 
-    /** The system keeps 15 characters of a thread's name. */
+    /** The kernel truncates thread names to 15 characters. */
     private static ThreadKind threadKind(String name) {
         return name.startsWith("junipercourse")
                 ? ThreadKind.LOOP
@@ -109,7 +108,7 @@
                         : name.equals("VM Thread") ? ThreadKind.COLLECTOR : ThreadKind.OTHER;
     }
 
-    /** Resident bytes. */
+    /** Resident memory in bytes. */
     double readResidentBytes() {
         try {
             return Long.parseLong(Files.readString(procFile("statm")).split(" ")[1]) * PAGE_BYTES;
@@ -118,11 +117,14 @@
         }
     }
 
-    /** Bytes of heap that a collection of everything leaves, which telling them begins with. */
+    /**
+     * Heap bytes in use after a full garbage collection, which {@code GC.class_histogram} starts
+     * with.
+     */
     double readHeapBytes() throws IOException, InterruptedException {
         Matcher matcher = HISTOGRAM_TOTAL.matcher(runJcmd("GC.class_histogram"));
         if (!matcher.find()) {
-            throw new IOException("the JVM told no heap");
+            throw new IOException("no heap total in the output of jcmd GC.class_histogram");
         }
         return Long.parseLong(matcher.group(1));
     }
--- a/src/test/java/junipercourse/scale/RealMember.java
+++ b/src/test/java/junipercourse/scale/RealMember.java
@@ -11,19 +11,21 @@
 import junipercourse.multiprocess.FleetObservation;
 
 /**
- * A whole dispatcher as a process, member of the same fleet; it is asked with {@code SHOW FLEET}.
+ * A full dispatcher process that is a member of the same fleet; it is observed with {@code SHOW
+ * FLEET}.
  */
 final class RealMember implements Closeable {
     private static final int MAX_DESCRIPTORS = 1024;
     private static final double PAGES_PER_MB = 256;
-    private static final double TICKS_PER_SECOND = 100; // in which the system counts processor time
+    private static final double TICKS_PER_SECOND = 100; // unit of the CPU times in /proc/PID/stat
 
     final int number;
     private final DispatcherProcess process;
     private SocketTestSupport.Client client;
 
     /**
-     * Starts it; {@code packaged} takes the deploy file's command line, else the class path is run.
+     * Starts the process, with the deploy file's command line if {@code packaged}, else from the
+     * class path.
      */
     RealMember(int number, Path folder, String product, boolean packaged) throws IOException {
         this.number = number;
@@ -44,7 +46,7 @@
                         : new DispatcherProcess(memberFolder, MAX_DESCRIPTORS, config, shellPrefix);
     }
 
-    /** A product file with the fleet alone and its defaults. */
+    /** A product file with only the fleet element and its default settings. */
     static String product(int number, String zone, List<String> seeds) {
         return "<product><fleet name='scale' listen='"
                 + Network.address(number)
@@ -57,7 +59,7 @@
                 + "</fleet></product>";
     }
 
-    /** What it tells of its fleet now. */
+    /** Queries the member's current view of the fleet. */
     FleetObservation observe() throws IOException {
         if (!process.isAlive()) {
             throw new IOException("has ended: " + process.log());
@@ -70,15 +72,15 @@
             return FleetObservation.parse(
                     Network.nowSeconds(), number, 1, client.query("SHOW FLEET"));
         } catch (IOException e) {
-            client = null; // the next look connects anew
+            client = null; // the next observation reconnects
             throw e;
         }
     }
 
-    /** Processor seconds so far. */
+    /** CPU seconds so far. */
     double cpuSeconds() throws IOException {
         String[] stat =
-                process.readProcFile("stat").split("\\) ")[1].split(" "); // the third field and on
+                process.readProcFile("stat").split("\\) ")[1].split(" "); // from the third field on
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_PER_SECOND;
     }
 
--- a/src/test/java/junipercourse/scale/ResultWriter.java
+++ b/src/test/java/junipercourse/scale/ResultWriter.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.DoubleHistogram;
 
 /**
- * Figures of a measuring tool, one JSON object a line, appended to a file as they come, so that
- * what was measured stays when the run is cut short. All members are always there.
+ * Writes the metrics of a measurement tool as one JSON object per line. Each line is appended at
+ * once, so that results are kept when the run is aborted. Every line has all fields.
  */
 public final class ResultWriter {
     private static final String COMMIT = System.getProperty("scale.commit", "unknown");
@@ -27,9 +27,9 @@
     private final long seed;
 
     /**
-     * @param suite what was run: {@code fleet}, {@code world}, {@code serving} or {@code module}
-     * @param machine what it ran on, for people
-     * @param variant a free word that tells runs of different code apart
+     * @param suite the kind of run: {@code fleet}, {@code world}, {@code serving} or {@code module}
+     * @param machine description of the machine for readers
+     * @param variant a free label that distinguishes runs of different code
      */
     public ResultWriter(Path file, String suite, String machine, String variant, long seed) {
         this.file = file;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * A figure that counts; {@code median} and {@code worst} are over {@code count} members or
+     * Writes a valid metric; {@code median} and {@code worst} are over {@code count} members or
      * repeats.
      */
     public void add(
@@ -54,20 +54,21 @@
         write(scenario, size, metric, unit, median, worst, count, true, "");
     }
 
-    /** Median and greatest of some values, of which there is at least one. */
+    /** Median and maximum of at least one value. */
     static double[] medianAndWorst(double... values) {
         DoubleHistogram histogram = new DoubleHistogram(HISTOGRAM_DIGITS);
         for (double value : values) {
             histogram.recordValue(value);
         }
-        // the histogram's own maximum is no number where all values are 0
+        // the histogram's own maximum is NaN if all values are 0
         return new double[] {
             histogram.getValueAtPercentile(50), DoubleStream.of(values).max().orElseThrow()
         };
     }
 
     /**
-     * A figure that is no measurement, since the machine was the bound or the run was cut short.
+     * Writes a metric that is not valid, because the machine was the bottleneck or the run was
+     * aborted.
      */
     public void addInvalid(
             String scenario,
@@ -116,10 +117,12 @@
         }
     }
 
-    /** JSON has no infinity and no NaN: a figure that is none is a fault of the tool. */
+    /**
+     * Rejects infinity and NaN, which JSON cannot represent and which indicate a bug of the tool.
+     */
     private static double roundToMicros(double value) {
         if (!Double.isFinite(value)) {
-            throw new IllegalArgumentException(value + " is no figure");
+            throw new IllegalArgumentException(value + " is not a finite number");
         }
         return Math.rint(value * 1e6) / 1e6;
     }
--- a/src/test/java/junipercourse/scale/ResultWriterTest.java
+++ b/src/test/java/junipercourse/scale/ResultWriterTest.java
@@ -49,7 +49,6 @@
                 new double[] {2700, 102_912}, ResultWriter.medianAndWorst(0.001, 2700, 102_912), 3);
     }
 
-    /** What is no number is not written as if it were one. */
     @Test
     void notANumberIsRejectedAndNothingIsWritten() {
         ResultWriter results = new ResultWriter(folder.resolve("none"), "fleet", "", "", 1);
--- a/src/test/java/junipercourse/scale/RunLimits.java
+++ b/src/test/java/junipercourse/scale/RunLimits.java
@@ -2,14 +2,17 @@
 
 import java.io.IOException;
 
-/** The run's own bounds: past one of them it ends by itself, with all that it started. */
+/**
+ * Memory and time limits of a scale run. When one is exceeded, the run aborts and ends every
+ * process that it started.
+ */
 final class RunLimits {
     private final double maxMemoryMb;
     private final double wallSeconds;
     private final double startSeconds = Network.nowSeconds();
     private volatile String abortReason;
 
-    /** The run is to end before its time. */
+    /** Thrown when the run is aborted early. */
     static final class RunAbortedException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -23,7 +26,7 @@
         this.wallSeconds = wallSeconds;
     }
 
-    /** Looks at memory and time; to be called each second. */
+    /** Checks memory use and elapsed time; called every second. */
     void checkUsage(ScaleFleet fleet) throws IOException {
         double usedMb = HostMetrics.residentMb();
         for (RealMember member : fleet.realMembers) {
@@ -36,12 +39,12 @@
         }
     }
 
-    /** Ends the run, for a reason of its own. */
+    /** Aborts the run for a reason other than its limits. */
     void abort(String reason) {
         abortReason = reason;
     }
 
-    /** Fails if a bound was passed. */
+    /** Throws if a limit was exceeded or the run was aborted. */
     void throwIfAborted() {
         if (abortReason != null) {
             throw new RunAbortedException(abortReason);
--- a/src/test/java/junipercourse/scale/ScaleFleet.java
+++ b/src/test/java/junipercourse/scale/ScaleFleet.java
@@ -20,16 +20,16 @@
 import junipercourse.product.ProductReader;
 
 /**
- * A fleet of hollow members and a few real ones. The real ones have the first numbers; five zones
- * and two halves are runs of numbers, so that the real ones are in the first of each. The third
- * zone lies in both halves, since these are to be equal.
+ * A fleet of hollow members and a few real ones. The real members have the lowest numbers. Five
+ * zones and two halves are ranges of numbers, so the real members are in the first of each. The
+ * third zone spans both halves, since the halves have equal size.
  */
 final class ScaleFleet implements Closeable {
     private static final int ZONE_COUNT = 5;
 
     /**
-     * A verdict so soon after a heal or a start may rest on what was so before: 1.1 s and two
-     * probes.
+     * For this long after a heal or a start, a verdict may still result from the state before: 1.1
+     * s and two probes.
      */
     private static final double VERDICT_SETTLE_SECONDS = 2;
 
@@ -41,7 +41,9 @@
     final List<HollowMember> hollow = new ArrayList<>();
     final List<RealMember> realMembers = new CopyOnWriteArrayList<>();
 
-    /** Those that somebody called unreachable who could reach them, since the last clear. */
+    /**
+     * Members that were marked unreachable by a member that could reach them, since the last clear.
+     */
     final Set<String> falselyUnreachable = ConcurrentHashMap.newKeySet();
 
     final AtomicLong falseVerdicts = new AtomicLong();
@@ -50,7 +52,7 @@
     private final BitSet running = new BitSet();
 
     /**
-     * How many lives of each must have begun: nobody agrees before all that was asked for is so.
+     * How many incarnations of each member must have started before the fleet can count as agreed.
      */
     private final int[] startCounts;
 
@@ -92,12 +94,14 @@
         }
     }
 
-    /** Bounds and times of all, hollow or real, come from one product file. */
+    /**
+     * Reads the product file from which the limits and times of all members, hollow or real, come.
+     */
     private static FleetConfig readTemplate(Path file) {
         try {
             return ProductReader.read(file.toString()).fleet();
         } catch (InvalidProductFileException e) {
-            throw new IllegalArgumentException("the tool's own product file", e);
+            throw new IllegalArgumentException("cannot read the generated product file", e);
         }
     }
 
@@ -105,12 +109,12 @@
         return "z" + (long) member * ZONE_COUNT / size;
     }
 
-    /** Members of the last zone, a fifth; no real one. */
+    /** Hollow members of the last zone, a fifth of the fleet. */
     IntStream lastZone() {
         return IntStream.range(realCount, size).filter(i -> zone(i).equals("z" + (ZONE_COUNT - 1)));
     }
 
-    /** Two hollow ones of the first zone and one of the second half. */
+    /** Two hollow members of the first zone and one of the second half. */
     private List<String> seeds() {
         return IntStream.of(realCount, realCount + 1, size / 2 + 1)
                 .mapToObj(Network::address)
@@ -125,7 +129,7 @@
         return hollow.get(member - realCount);
     }
 
-    /** Starts all, the real ones first, since these take longer to be there. */
+    /** Starts all members, the real ones first, since they take longer to start. */
     void startAll() throws IOException {
         for (int i = 0; i < realCount; i++) {
             realMembers.add(
@@ -148,7 +152,7 @@
         endpointWatchers.stop(member);
     }
 
-    /** It leaves and is there again half a second later. */
+    /** Makes a member leave and start again half a second later. */
     void restart(int member) {
         startCounts[member]++;
         hollow(member).thread.execute(hollow(member)::restart);
@@ -156,7 +160,7 @@
         endpointWatchers.start(member);
     }
 
-    /** The hollow ones that run. */
+    /** The running hollow members. */
     IntStream runningHollow() {
         return running.stream().filter(i -> i >= realCount);
     }
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Whether that very life has run since before then. */
+    /** Whether the incarnation in the view has run since before that time. */
     private boolean hasRunSince(int member, MemberView view, double sinceSeconds) {
         MembershipSnapshot snapshot = hollow(member).snapshot();
         return snapshot != null
@@ -187,7 +191,8 @@
     }
 
     /**
-     * Null if all hollow members that hear each other agree on who is there; else what is not so.
+     * Returns null if all hollow members that can communicate agree on who is present; otherwise a
+     * description of the first disagreement.
      */
     String findDisagreement() {
         int[] sides = network.sides(size);
@@ -233,8 +238,8 @@
     }
 
     /**
-     * Null if the real ones agree with the hollow ones and are seen by them as the lives that they
-     * are.
+     * Returns null if the real members agree with the hollow ones and these know their current
+     * incarnations; otherwise a description of the first disagreement.
      */
     String findRealDisagreement() {
         for (RealMember member : realMembers) {
@@ -245,7 +250,7 @@
                 return "n" + member.number + " does not answer: " + e;
             }
             MembershipSnapshot hollowSnapshot =
-                    hollow(realCount).snapshot(); // of the first half, as all real ones
+                    hollow(realCount).snapshot(); // in the first half, as are all real members
             if (hollowSnapshot == null) {
                 return "n" + realCount + " has no view";
             }
--- a/src/test/java/junipercourse/scale/ScaleMain.java
+++ b/src/test/java/junipercourse/scale/ScaleMain.java
@@ -12,7 +12,10 @@
 import java.util.stream.Stream;
 import junipercourse.SocketTestSupport;
 
-/** The scale run of the fleet, for each size in turn; {@link ScaleRun} tells of its properties. */
+/**
+ * Runs the scale scenarios of the fleet for each size in turn; {@link ScaleRun} documents the
+ * properties.
+ */
 public final class ScaleMain {
     private static final int WARM_UP_SIZE = 90;
 
@@ -41,15 +44,18 @@
                     System.getProperty("scale.variant", "landed"),
                     seed);
 
-    /** Runs all; the exit code tells whether all plays were run. */
+    /**
+     * Runs all sizes; exits with 0 if all scenarios were run, 1 if not, 2 if the parent process
+     * ended.
+     */
     public static void main(String[] arguments) throws IOException {
         Thread parent =
                 new Thread(
                         () -> {
                             try {
                                 System.in.transferTo(
-                                        OutputStream.nullOutputStream()); // its end is that of who
-                                // started this
+                                        OutputStream.nullOutputStream()); // ends when the parent
+                                // process ends
                             } catch (IOException e) {
                                 System.out.println("the starter's pipe broke: " + e);
                             }
@@ -69,7 +75,7 @@
         return Double.parseDouble(System.getProperty(key, Double.toString(fallback)));
     }
 
-    /** True if all plays were run. */
+    /** Returns true if all scenarios were run. */
     boolean run() throws IOException {
         System.out.printf(
                 "scale run: sizes %s, plays %s, %d real, %d hollow threads, seed %d; at most"
@@ -96,7 +102,7 @@
         return allRun;
     }
 
-    /** Runs a small fleet unmeasured, so that the first size is not charged with a cold JVM. */
+    /** Runs a small fleet without measuring it, so that the JVM is warm for the first size. */
     private void warmUp() throws IOException {
         Path folder = Files.createTempDirectory("scale");
         try (ScaleFleet fleet =
@@ -119,7 +125,7 @@
     private boolean run(int size, RunLimits limits) throws IOException {
         List<String> remaining = Collections.synchronizedList(new ArrayList<>(scenarios));
         remaining.remove("start");
-        remaining.add(0, "start"); // nothing is without it
+        remaining.add(0, "start"); // all others need a started fleet
         Path folder = Files.createTempDirectory("scale");
         try (ScaleFleet fleet =
                         new ScaleFleet(
@@ -177,7 +183,10 @@
         return true;
     }
 
-    /** Writes and forgets what is left: a second reason, as when real ones were ended, is none. */
+    /**
+     * Writes the remaining scenarios as not run and clears them, so that a consequential failure,
+     * as after the real members were closed, is not reported as a second cause.
+     */
     private synchronized void writeNotRun(int size, List<String> remaining, Exception cause) {
         if (remaining.isEmpty()) {
             return;
--- a/src/test/java/junipercourse/scale/ScaleRun.java
+++ b/src/test/java/junipercourse/scale/ScaleRun.java
@@ -12,18 +12,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The fleet at the size that is coming: hollow members on real sockets beside a few real
- * dispatchers. A long run, not part of the build, of the packaged program: {@code mvn -q -B -ntp
- * test -Dtest=ScaleRun -Dscale.sizes=45,90 -Dscale.out=FILE}. It runs in a process of its own with
- * a heap of its own ({@code scale.heap}, 6g), which ends all that it has started.
+ * Runs the fleet at planned sizes: hollow members on real sockets beside a few real dispatchers. A
+ * long run of the packaged program that is not part of the build: {@code mvn -q -B -ntp test
+ * -Dtest=ScaleRun -Dscale.sizes=45,90 -Dscale.out=FILE}. It runs in a separate process with its own
+ * heap ({@code scale.heap}, 6g), which ends every process that it has started.
  *
  * <p>Further properties, with their defaults: {@code scale.plays} (all of {@link
- * FleetScenarios#ALL}), {@code scale.real} (6), {@code scale.threads} (half the cores, 4 at most),
+ * FleetScenarios#ALL}), {@code scale.real} (6), {@code scale.threads} (half the cores, at most 4),
  * {@code scale.seed} (34), {@code scale.variant} (landed), {@code scale.commit} (unknown), {@code
- * scale.delay} (most seconds a datagram is held back, 0), {@code scale.least} (least seconds of a
- * play, 5), {@code scale.calm} (s, 10), {@code scale.apart} (s, 20), {@code scale.warm} (s of an
- * unmeasured fleet before, 10), {@code scale.memory} (GB, 11), {@code scale.wall} (s, 1800), {@code
- * scale.packaged} (true; false runs the class path).
+ * scale.delay} (maximum delay of a datagram in seconds, 0), {@code scale.least} (minimum seconds of
+ * a scenario, 5), {@code scale.calm} (seconds of the calm and loss scenarios, 10), {@code
+ * scale.apart} (seconds of the partition, 20), {@code scale.warm} (seconds of the unmeasured
+ * warm-up fleet, 10), {@code scale.memory} (limit in GB, 11), {@code scale.wall} (time limit in
+ * seconds, 1800), {@code scale.packaged} (true; false runs from the class path).
  */
 class ScaleRun {
     private static final int EXIT_TIMEOUT_SECONDS = 30;
@@ -33,7 +34,7 @@
         assertTrue(
                 "false".equals(System.getProperty("scale.packaged"))
                         || Files.exists(Path.of("target/junipercourse.jar")),
-                "package the program first");
+                "target/junipercourse.jar is missing: package the program first");
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -52,10 +53,12 @@
         Runtime.getRuntime().addShutdownHook(new Thread(run::destroy, "end-scale-run"));
         try {
             run.inputReader().lines().forEach(System.out::println);
-            assertTrue(run.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the run does not end");
-            assertEquals(0, run.exitValue(), "not all plays were run");
+            assertTrue(
+                    run.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the run did not exit in time");
+            assertEquals(0, run.exitValue(), "exit code: not all scenarios were run");
         } finally {
-            run.destroy(); // it ends its own children then
+            run.destroy(); // it then ends its own child processes
         }
     }
 }
--- a/src/test/java/junipercourse/scale/ScaleRunTest.java
+++ b/src/test/java/junipercourse/scale/ScaleRunTest.java
@@ -15,17 +15,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The scale run in the small: that its members are what they stand for, and that it writes what it
- * sees.
+ * A small scale run: hollow members behave like real members, and the run writes what it measures.
  */
 class ScaleRunTest {
     private static final long SEED = Long.getLong("scale.seed", 34);
     private static final int SIZE = 14;
     private static final int REAL_MEMBERS = 2;
 
-    /**
-     * What a member's view may send in any second; the product file of the run leaves it at that.
-     */
+    /** Send budget of a member's protocol per second; the run's product file keeps the default. */
     private static final int SEND_BUDGET_BYTES = MembershipSettings.defaults().bytesPerSecond();
 
     @TempDir private Path folder;
@@ -33,8 +30,9 @@
     @Test
     void hollowAndRealMembersAgreeAfterKillAndPartition() throws Exception {
         System.out.println("seed " + SEED);
-        Path out = folder.resolve("out.jsonl");
-        ResultWriter results = new ResultWriter(out, "fleet", HostMetrics.describe(), "test", SEED);
+        Path resultFile = folder.resolve("out.jsonl");
+        ResultWriter results =
+                new ResultWriter(resultFile, "fleet", HostMetrics.describe(), "test", SEED);
         RunLimits limits = new RunLimits(11 * 1024, 60);
         try (ScaleFleet fleet = new ScaleFleet(folder, SIZE, REAL_MEMBERS, 1, false, 0, SEED);
                 ScenarioRecorder recorder = new ScenarioRecorder(fleet, results, limits)) {
@@ -47,7 +45,9 @@
             }
         }
         List<JsonObject> lines =
-                Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
+                Files.readAllLines(resultFile).stream()
+                        .map(line -> Json.parse(line).asObject())
+                        .toList();
         for (String scenario : List.of("start", "kill", "restart", "regions_healed")) {
             assertEquals(0, median(lines, scenario, "unsettled"), scenario);
             assertEquals(0, median(lines, scenario, "real_unsettled"), scenario);
@@ -63,10 +63,10 @@
         }
         assertEquals(50 * (SIZE - REAL_MEMBERS), median(lines, "events", "events_heard"));
         assertTrue(median(lines, "calm", "datagrams_in") > 0);
-        median(lines, "calm", "heap"); // it is there; here others share the heap
+        median(lines, "calm", "heap"); // only its presence is checked: other tests share the heap
     }
 
-    /** Past a bound the run ends by itself and says why. */
+    /** When a limit is exceeded, the run aborts and states the reason. */
     @Test
     void exceededMemoryLimitAbortsRun() throws Exception {
         RunLimits limits = new RunLimits(1, 60);
--- a/src/test/java/junipercourse/scale/ScenarioRecorder.java
+++ b/src/test/java/junipercourse/scale/ScenarioRecorder.java
@@ -13,11 +13,12 @@
 import junipercourse.fleet.transport.TransportCounters;
 
 /**
- * Measures one play after the other: counts of all hollow members at its begin, each second and at
- * its end. A play during which the machine was the bound is written as one that does not count.
+ * Measures one scenario after another from the counters of all hollow members at its start, every
+ * second and at its end. If the machine was the bottleneck during a scenario, its metrics are
+ * written as not valid.
  */
 final class ScenarioRecorder implements Closeable {
-    /** Above this a thread or the machine is taken for full. */
+    /** Above this share a thread or the machine counts as saturated. */
     private static final double MAX_VALID_BUSY_SHARE = 0.85;
 
     private static final double BYTES_PER_MB = 1 << 20;
@@ -34,7 +35,7 @@
     private double[] maxBytesPerSecond;
     private MetricsSample startSample;
 
-    /** All that is counted, at one moment. */
+    /** All counters at one moment. */
     private record MetricsSample(
             double takenAtSeconds,
             long[][] counts,
@@ -89,7 +90,7 @@
                 HostMetrics.readCpuTicks());
     }
 
-    /** A play begins now. */
+    /** Starts the measurement of a scenario. */
     void beginScenario() throws IOException {
         fleet.falselyUnreachable.clear();
         fleet.falseVerdicts.set(0);
@@ -135,8 +136,8 @@
         long[] sentBytes = readSentBytes();
         double nowSeconds = Network.nowSeconds();
         if (nowSeconds - lastSampleSeconds < MIN_WINDOW_SECONDS) {
-            return; // the sampler came soon after a play's begin; less than a second would tell too
-            // much
+            return; // sampled soon after a scenario's start: a shorter window would overstate the
+            // rate
         }
         for (int i = 0; i < sentBytes.length; i++) {
             maxBytesPerSecond[i] =
@@ -148,7 +149,7 @@
         lastSampleSeconds = nowSeconds;
     }
 
-    /** Why the play that began last is no measurement, or an empty text. */
+    /** Returns why the current scenario is not a valid measurement, or an empty string. */
     private String findInvalidReason(MetricsSample endSample, double busiestShare) {
         List<String> reasons = new ArrayList<>();
         if (busiestShare > MAX_VALID_BUSY_SHARE) {
@@ -173,8 +174,8 @@
     }
 
     /**
-     * The play is over: writes its figures; {@code play} names it in them. Returns how they are
-     * written.
+     * Ends the measurement and writes its metrics under the name {@code scenario}. Returns the
+     * writer for further metrics of the scenario.
      */
     MetricWriter endScenario(String scenario) throws IOException {
         MetricsSample endSample = takeSample();
@@ -243,7 +244,10 @@
         double[] realSecondsBefore =
                 Arrays.copyOf(
                         startSample.realMemberCpuSeconds,
-                        endSample.realMemberCpuSeconds.length); // none ran before the start
+                        endSample
+                                .realMemberCpuSeconds
+                                .length); // padded with 0: no real member ran before the scenario
+        // "start"
         metrics.addMedianAndWorst(
                 "cpu_real",
                 "share of a core",
@@ -266,15 +270,15 @@
     }
 
     /**
-     * Heap in use after a collection, in MB. The collection is a stall: nothing is measured during
-     * it.
+     * Heap in use after a garbage collection, in MB. The collection stalls all threads, so call
+     * this outside of measurements.
      */
     static double measureHeapMb() {
         System.gc();
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / BYTES_PER_MB;
     }
 
-    /** Writes figures of one play, as ones that count or with the reason why not. */
+    /** Writes the metrics of one scenario, as valid or with the reason why they are not. */
     final class MetricWriter {
         private final String scenario;
         private final String invalidReason;
@@ -288,7 +292,10 @@
             write(metric, unit, value, value, 1, invalidReason);
         }
 
-        /** One that does not count, for a reason beyond the machine's. */
+        /**
+         * Writes a metric that is not valid for {@code reason}, whatever the load of the machine
+         * was.
+         */
         void addInvalid(String metric, String unit, double value, String reason) {
             write(
                     metric,
--- a/src/test/java/junipercourse/scale/ServingHarness.java
+++ b/src/test/java/junipercourse/scale/ServingHarness.java
@@ -13,16 +13,16 @@
 import junipercourse.SocketTestSupport.Client;
 
 /**
- * One dispatcher after the other before stand-in engines, for the parts of {@link ServingSlopes}.
- * None of its processes outlives it, nor this JVM, however that ends.
+ * Starts one dispatcher after another in front of fake engines, for the measurements of {@link
+ * ServingSlopes}. No process outlives the harness or this JVM, however the JVM ends.
  */
 final class ServingHarness implements Closeable {
-    static final int DEPLOYED_HEAP_MB = 64; // the deploy file's
+    static final int DEPLOYED_HEAP_MB = 64; // as in the deploy file
     static final int PLATFORM_SOCKETS = 1024;
     private static final int SPARE_DESCRIPTORS =
-            64; // beyond the configured limit: it must not need them
+            64; // beyond the configured limit; the dispatcher must not need them
 
-    /** Kills the process that takes this shell's place once the one that started it is gone. */
+    /** Shell prefix that kills the process that replaces this shell once its parent has ended. */
     private static final String KILL_ON_PARENT_EXIT =
             "P=$PPID; (while kill -0 $$; do kill -0 $P || kill -9 $$; sleep 1;"
                     + " done >/dev/null 2>&1) & ";
@@ -45,7 +45,8 @@
     private final Thread shutdownHook = new Thread(this::closeAll);
 
     /**
-     * By the deploy file's command line and the packaged program, or by the classes of the build.
+     * Runs the packaged program with the deploy file's command line if {@code deployed}, else the
+     * classes of the build.
      */
     ServingHarness(Path folder, ResultWriter results, boolean deployed) throws IOException {
         this.folder = folder;
@@ -54,7 +55,7 @@
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** What a part's dispatcher is to be. */
+    /** Configuration of a dispatcher to start. */
     record DispatcherSpec(int engineCount, int sockets, int heapMb, String bus) {
         static DispatcherSpec of(int engines) {
             return new DispatcherSpec(engines, PLATFORM_SOCKETS, DEPLOYED_HEAP_MB, "");
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Starts one and returns at once. */
+    /** Starts a dispatcher without waiting until it is ready. */
     RunningDispatcher start(DispatcherSpec spec) throws IOException {
         int number = dispatchers.size();
         Path config =
@@ -85,7 +86,7 @@
         int descriptors = spec.sockets + SPARE_DESCRIPTORS;
         String heapOption =
                 spec.heapMb == DEPLOYED_HEAP_MB
-                        ? "" // these go over the command line
+                        ? "" // _JAVA_OPTIONS override the command line
                         : "export _JAVA_OPTIONS='-Xmx" + spec.heapMb + "m'; ";
         Path logs = Files.createDirectory(folder.resolve("run" + number));
         long startNanos = System.nanoTime();
@@ -132,7 +133,7 @@
                 spec.bus.isEmpty() ? "" : "\"bus\":\"" + spec.bus + "\",");
     }
 
-    /** A dispatcher that runs. */
+    /** A running dispatcher process. */
     static final class RunningDispatcher implements Closeable {
         final DispatcherProcess process;
         final ProcessMetrics metrics;
@@ -144,7 +145,7 @@
             this.startNanos = startNanos;
         }
 
-        /** Waits until it listens and has answered an empty query. */
+        /** Waits until the dispatcher listens and has answered an empty query. */
         RunningDispatcher awaitReady() throws IOException {
             try (Client client = new Client(process.address())) {
                 String answer = client.startSession().query(" ");
@@ -155,7 +156,7 @@
             return this;
         }
 
-        /** Seconds since it was started. */
+        /** Seconds since the process was started. */
         double ageSeconds() {
             return (System.nanoTime() - startNanos) * 1e-9;
         }
@@ -164,7 +165,7 @@
             return process.address();
         }
 
-        /** One of its counters, such as {@code queries served}. */
+        /** Reads a counter, such as {@code queries served}. */
         static long readCounter(Client client, String name) throws IOException {
             String answer = client.query("SHOW COUNTERS");
             int lineIndex = answer.indexOf("D(" + name + " ");
@@ -184,7 +185,7 @@
         @Override
         public void close() {
             process.close();
-            try { // what the JDK's tools leave of a process that was killed
+            try { // left behind by the JDK's tools when a process is killed
                 Files.deleteIfExists(
                         Path.of(System.getProperty("java.io.tmpdir"), ".java_pid" + process.pid()));
             } catch (IOException e) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /** A figure over repeats, in so many counts of its unit: the middle one and the largest. */
+    /** Writes a metric over repeats: the median and the maximum of its values. */
     void addMetric(
             String scenario,
             int size,
@@ -205,7 +206,7 @@
         Arrays.sort(sorted);
         double median = sorted[sorted.length / 2];
         double worst = sorted[sorted.length - 1];
-        if (!Double.isFinite(median) || !Double.isFinite(worst)) { // such as a share of nothing
+        if (!Double.isFinite(median) || !Double.isFinite(worst)) { // such as a division by zero
             results.addInvalid(
                     scenario,
                     size,
@@ -239,7 +240,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            return; // the JVM is ending, and runs it
+            return; // the JVM is shutting down and runs the hook
         }
     }
 }
--- a/src/test/java/junipercourse/scale/ServingMeasurements.java
+++ b/src/test/java/junipercourse/scale/ServingMeasurements.java
@@ -9,20 +9,20 @@
 import junipercourse.scale.ServingHarness.DispatcherSpec;
 import junipercourse.scale.ServingHarness.RunningDispatcher;
 
-/** What is measured of one dispatcher, a method a part; sizes are the arguments. */
+/** The measurements of one dispatcher, one method for each; the size is an argument. */
 final class ServingMeasurements {
     private static final double MICROS_PER_SECOND = 1e6;
-    private static final int TABLE_GROUPS = 64; // of tables that are read in turn
+    private static final int TABLE_GROUPS = 64; // of tables that queries read round-robin
     private static final double WARM_UP_RATE = 400;
-    private static final double MAX_QUERIES = 3000; // at a rate: enough for a hundredth
+    private static final double MAX_QUERIES = 3000; // for each rate; enough for a 99th percentile
     private static final double OPEN_TIMEOUT_SECONDS = 20;
     private static final double REFUSAL_TIMEOUT_SECONDS =
-            6; // for those that find no place to be told so
+            6; // time in which connections beyond the limit are refused
     private static final double IDLE_TIMEOUT_SECONDS =
-            8; // README: a connection idle for longer is closed
+            8; // from the README: the dispatcher closes a connection that is idle for longer
     private static final double MARGIN_SECONDS = 0.7;
     private static final double REST_SHARE =
-            0.3; // of the time to warm up: what is spent without queries
+            0.3; // share of the warm-up time in which the idle CPU time is measured
     private static final int LARGER_HEAP_MB = 256;
     private final ServingHarness harness;
 
@@ -30,7 +30,10 @@
         this.harness = harness;
     }
 
-    /** Time and processor time until ready, then memory at rest, with so many engines known. */
+    /**
+     * Measures the time and CPU time until ready, then the idle memory, with a number of known
+     * engines.
+     */
     void measureStart(int engines, int repeats) throws IOException, InterruptedException {
         double[][] values = new double[5][repeats];
         for (int i = 0; i < repeats; i++) {
@@ -51,7 +54,7 @@
         harness.addMetric("start", engines, "heap_collected", "B", "", values[4]);
     }
 
-    /** Processor time for each query at rates, with so many engines listed. */
+    /** Measures the CPU time per query at each rate, with a number of listed engines. */
     void measureQueries(int engines, double warmUpSeconds, double seconds, double... rates)
             throws Exception {
         try (RunningDispatcher dispatcher =
@@ -95,7 +98,9 @@
         }
     }
 
-    /** The processor time of each query, in microseconds. */
+    /**
+     * Runs a constant load and writes its metrics; returns the CPU time per query in microseconds.
+     */
     private double measurePerQuery(
             String scenario,
             int size,
@@ -164,7 +169,7 @@
         return cpuSpent.total() * microsPerQuery;
     }
 
-    /** Idle connections with the platform's descriptors: how many it holds, and what those cost. */
+    /** Measures how many idle connections are kept open with the platform's descriptor limit. */
     void measureIdleWithPlatformLimit(int clients, double seconds) throws Exception {
         try (RunningDispatcher dispatcher = harness.start(DispatcherSpec.of(10)).awaitReady();
                 IdleClients idleClients = new IdleClients(dispatcher.address())) {
@@ -201,8 +206,8 @@
     }
 
     /**
-     * Idle connections with as many descriptors as these need; a larger heap where the deployed is
-     * short.
+     * Measures idle connections with as many descriptors as they need, and again with a larger heap
+     * if the deployed heap does not suffice.
      */
     void measureIdle(int clients, double seconds) throws Exception {
         String invalidReason =
@@ -215,7 +220,9 @@
     private String measureIdle(String scenario, int clients, double seconds, int heapMb)
             throws Exception {
         int sockets =
-                4 * clients + 64; // past half of clients' half, connections are closed after 0.5 s
+                4 * clients
+                        + 64; // beyond half of the clients' half, idle connections are closed after
+        // 0.5 s
         try (RunningDispatcher dispatcher =
                         harness.start(DispatcherSpec.of(10).sockets(sockets).heap(heapMb))
                                 .awaitReady();
@@ -275,7 +282,7 @@
         }
     }
 
-    /** Memory, and the cost of asking for news, of so many queries that run at engines. */
+    /** Measures the memory and the polling cost of a number of queries that run at engines. */
     void measureRunningQueries(int queries, int engines, double seconds) throws Exception {
         harness.farm.setHoldQueries(true);
         int postsBefore = harness.farm.postCount.get();
@@ -322,8 +329,8 @@
     }
 
     /**
-     * Connections for each query, at rates as sizes, and what an exchange costs with and without
-     * one.
+     * Measures connections per query at each rate (used as the size), and the cost of an engine
+     * call with and without a new connection.
      */
     void measureHandshake(int calls, double seconds, int... rates) throws Exception {
         EngineExchangeBenchmark exchanges = new EngineExchangeBenchmark(harness.farm);
--- a/src/test/java/junipercourse/scale/ServingSlopes.java
+++ b/src/test/java/junipercourse/scale/ServingSlopes.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * How the serving path of one dispatcher grows, measured by the deploy file's command line. A long
- * run, not part of the build, of the packaged program: {@code mvn -o -q -B -ntp test
- * -Dtest=ServingSlopes -Dscale.out=FILE -Dscale.variant=landed}. {@code
- * -Dscale.parts=engines,idle,hand,list,start,handshake} takes some of it, {@code
- * -Dscale.only=10,980} some of its sizes. It takes under six minutes, one core for the dispatcher
- * and one for what stands around it, and under 1 GB. A part that fails is told as not measured, and
- * the others go on.
+ * Measures how the costs of one dispatcher's serving path grow, with the deploy file's command
+ * line. A long run of the packaged program that is not part of the build: {@code mvn -o -q -B -ntp
+ * test -Dtest=ServingSlopes -Dscale.out=FILE -Dscale.variant=landed}. {@code
+ * -Dscale.parts=engines,idle,hand,list,start,handshake} selects some measurements, {@code
+ * -Dscale.only=10,980} some sizes. The run takes under six minutes, one core for the dispatcher and
+ * one for the clients and engines, and under 1 GB. A measurement that fails is written as not
+ * measured, and the others continue.
  */
 class ServingSlopes {
     private static final int[] ENGINE_COUNTS = {10, 100, 300, 980};
@@ -28,7 +28,7 @@
     private static final String ALL_PARTS = "start,engines,list,idle,hand,handshake";
     @TempDir private Path folder;
 
-    /** One size of a part. */
+    /** Takes one measurement at one size. */
     interface Measurement {
         void run(int size) throws Exception;
     }
@@ -37,7 +37,7 @@
     void measure() throws Exception {
         assertTrue(
                 Files.exists(Path.of("target/junipercourse.jar")),
-                "the program is to be packaged first");
+                "target/junipercourse.jar is missing: package the program first");
         List<String> parts = Arrays.asList(System.getProperty("scale.parts", ALL_PARTS).split(","));
         ResultWriter results =
                 new ResultWriter(
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Measures a part at each size; what fails costs that size alone. */
+    /** Takes a measurement at each selected size; a failure affects that size alone. */
     static void measureSizes(
             ServingHarness harness, String scenario, int[] sizes, Measurement measurement) {
         List<String> selectedSizes = Arrays.asList(System.getProperty("scale.only", "").split(","));
--- a/src/test/java/junipercourse/scale/ServingSlopesTest.java
+++ b/src/test/java/junipercourse/scale/ServingSlopesTest.java
@@ -13,9 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The parts of {@link ServingSlopes} in the small: each figure comes, is positive and counts. */
+/**
+ * The measurements of {@link ServingSlopes} at small sizes: each metric is written and positive.
+ */
 class ServingSlopesTest {
-    /** What may be nothing in a run as short as this one. */
+    /** Metrics that may be 0 in a run as short as this one. */
     private static final Set<String> MAY_BE_ZERO =
             Set.of(
                     "cpu_per_query_collector",
@@ -29,9 +31,9 @@
 
     @Test
     void eachMeasurementWritesItsMetrics() throws Exception {
-        Path out = folder.resolve("out");
+        Path file = folder.resolve("out");
         ResultWriter results =
-                new ResultWriter(out, "serving", ServingSlopes.describeMachine(), "test", 0);
+                new ResultWriter(file, "serving", ServingSlopes.describeMachine(), "test", 0);
         try (ServingHarness harness = new ServingHarness(folder, results, false)) {
             ServingMeasurements measurements = new ServingMeasurements(harness);
             measurements.measureStart(3, 1);
@@ -43,7 +45,7 @@
             new EndpointListBenchmark(harness, 8).measure(40, 200, 5, 50, 0.3);
         }
         List<JsonObject> lines =
-                Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
+                Files.readAllLines(file).stream().map(line -> Json.parse(line).asObject()).toList();
         assertEquals(
                 Set.of(
                         "start",
@@ -68,9 +70,9 @@
 
     @Test
     void failedMeasurementIsReportedAndOthersContinue() throws Exception {
-        Path out = folder.resolve("out");
+        Path file = folder.resolve("out");
         ResultWriter results =
-                new ResultWriter(out, "serving", ServingSlopes.describeMachine(), "test", 0);
+                new ResultWriter(file, "serving", ServingSlopes.describeMachine(), "test", 0);
         try (ServingHarness harness = new ServingHarness(folder, results, false)) {
             ServingSlopes.measureSizes(
                     harness,
@@ -84,7 +86,7 @@
                     });
         }
         List<JsonObject> lines =
-                Files.readAllLines(out).stream().map(line -> Json.parse(line).asObject()).toList();
+                Files.readAllLines(file).stream().map(line -> Json.parse(line).asObject()).toList();
         assertEquals(2, lines.size());
         assertTrue(
                 !lines.get(0).getBoolean("counts", true)
