--- a/src/test/java/junipercourse/scale/EndpointListBenchmark.java
+++ b/src/test/java/junipercourse/scale/EndpointListBenchmark.java
@@ -22,17 +22,16 @@
     private static final int CHANGES_KIND = 2;
     private static final int READY_STATE = 0;
     private static final int DRAINING_STATE = 1;
-    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MICROS = 1e6;
     private static final int TABLE_GROUPS = 64;
-    private static final long EMPTY_FRAME_INTERVAL_MILLIS =
-            500; // without these frames the dispatcher treats the bus as silent
+    private static final long EMPTY_FRAME_MILLIS = 500; // longer counts as a silent bus
     private final ServingHarness harness;
-    private final int engineCount;
+    private final int engines;
     private long lastEventNumber = 1; // the list known at start is event 1
 
-    EndpointListBenchmark(ServingHarness harness, int engineCount) {
+    EndpointListBenchmark(ServingHarness harness, int engines) {
         this.harness = harness;
-        this.engineCount = engineCount;
+        this.engines = engines;
     }
 
     /**
@@ -43,14 +42,13 @@
             throws Exception {
         try (ScriptedBus bus = new ScriptedBus();
                 RunningDispatcher dispatcher =
-                        harness.start(DispatcherSpec.of(engineCount).bus(bus.address()))
-                                .awaitReady();
+                        harness.start(DispatcherSpec.of(engines).bus(bus.address())).awaitReady();
                 Client client = new Client(dispatcher.address()).startSession()) {
             Socket watchSocket = bus.acceptSubscription();
             SocketTestSupport.startDaemon(
                     () -> {
                         while (true) {
-                            SocketTestSupport.sleepMillis(EMPTY_FRAME_INTERVAL_MILLIS);
+                            SocketTestSupport.sleepMillis(EMPTY_FRAME_MILLIS);
                             ByteBuffer emptyFrame =
                                     ByteBuffer.allocate(Integer.BYTES + HEADER_BYTES)
                                             .putInt(HEADER_BYTES);
@@ -113,21 +111,15 @@
         task.run();
         awaitAllEvents(client);
         CpuTime cpuSpent = dispatcher.metrics.readCpuTime().since(cpuBefore);
+        harness.addMetric("list", engines, metric, "us", "", cpuSpent.total() * MICROS / count);
         harness.addMetric(
                 "list",
-                engineCount,
-                metric,
-                "us",
-                "",
-                cpuSpent.total() * MICROS_PER_SECOND / count);
-        harness.addMetric(
-                "list",
-                engineCount,
+                engines,
                 metric + "_loop",
                 "us",
                 "",
                 (cpuSpent.loop() - idleLoopCpu * (dispatcher.ageSeconds() - startSeconds))
-                        * MICROS_PER_SECOND
+                        * MICROS
                         / count);
     }
 
@@ -159,33 +151,28 @@
                 new ConstantRateLoad(dispatcher.address(), rate, seconds, TABLE_GROUPS);
         eventSender.join();
         CpuTime cpuWithEvents = dispatcher.metrics.readCpuTime().since(cpuBefore);
-        String invalidReason =
-                loadWithoutEvents.invalidReason(rate) + loadWithEvents.invalidReason(rate);
+        String reason = loadWithoutEvents.invalidReason(rate) + loadWithEvents.invalidReason(rate);
         harness.addMetric(
                 "list",
-                engineCount,
+                engines,
                 "cpu_per_query_without_events_loop",
                 "us",
-                invalidReason,
-                cpuWithoutEvents.loop()
-                        * MICROS_PER_SECOND
-                        / Math.max(1, loadWithoutEvents.served.get()));
+                reason,
+                cpuWithoutEvents.loop() * MICROS / Math.max(1, loadWithoutEvents.served.get()));
         harness.addMetric(
                 "list",
-                engineCount,
+                engines,
                 "cpu_per_query_with_events_loop",
                 "us",
-                invalidReason,
-                cpuWithEvents.loop()
-                        * MICROS_PER_SECOND
-                        / Math.max(1, loadWithEvents.served.get()));
+                reason,
+                cpuWithEvents.loop() * MICROS / Math.max(1, loadWithEvents.served.get()));
         harness.addMetric(
                 "list",
-                engineCount,
+                engines,
                 "cpu_per_event_under_load_loop",
                 "us",
-                invalidReason,
-                (cpuWithEvents.loop() - cpuWithoutEvents.loop()) * MICROS_PER_SECOND / events);
+                reason,
+                (cpuWithEvents.loop() - cpuWithoutEvents.loop()) * MICROS / events);
     }
 
     private void sendPaced(Socket watchSocket, int events, int perSecond) throws IOException {
@@ -215,15 +202,15 @@
         ByteBuffer frame = frame(CHANGES_KIND, 1);
         putRecord(
                 frame,
-                (int) (lastEventNumber / 2 % engineCount) + 1,
+                (int) (lastEventNumber / 2 % engines) + 1,
                 lastEventNumber % 2 == 0 ? DRAINING_STATE : READY_STATE);
         return frame.array();
     }
 
     private byte[] fullListFrame() throws IOException {
         lastEventNumber++;
-        ByteBuffer frame = frame(FULL_LIST_KIND, engineCount);
-        for (int id = 1; id <= engineCount; id++) {
+        ByteBuffer frame = frame(FULL_LIST_KIND, engines);
+        for (int id = 1; id <= engines; id++) {
             putRecord(frame, id, READY_STATE);
         }
         return frame.array();
@@ -260,9 +247,7 @@
             SocketTestSupport.sleepMillis(5);
         }
         for (int i = 0; i < 2; i++) {
-            client.query(
-                    "SHOW COUNTERS"); // events are counted before the decision module handles them;
-            // its task is queued behind this query
+            client.query("SHOW COUNTERS"); // runs before the queued handling of the events
         }
     }
 }
--- a/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
+++ b/src/test/java/junipercourse/scale/EngineExchangeBenchmark.java
@@ -44,9 +44,8 @@
         double[] connectOnlyMicros = new double[BATCH_COUNT];
         double[] newConnectionMicros = new double[BATCH_COUNT];
         double[] keptConnectionMicros = new double[BATCH_COUNT];
-        for (int i = -1;
-                i < BATCH_COUNT;
-                i++) { // iteration -1 warms up; batch 0 overwrites its values
+        // iteration -1 warms up; batch 0 overwrites its values
+        for (int i = -1; i < BATCH_COUNT; i++) {
             int batch = Math.max(i, 0);
             connectOnlyMicros[batch] =
                     measureCpuMicros(calls, address -> SocketChannel.open(address).close());
--- a/src/test/java/junipercourse/scale/ScenarioRecorder.java
+++ b/src/test/java/junipercourse/scale/ScenarioRecorder.java
@@ -136,8 +136,7 @@
         long[] sentBytes = readSentBytes();
         double nowSeconds = Network.nowSeconds();
         if (nowSeconds - lastSampleSeconds < MIN_WINDOW_SECONDS) {
-            return; // sampled soon after a scenario's start: a shorter window would overstate the
-            // rate
+            return; // right after a scenario's start: a short window would overstate the rate
         }
         for (int i = 0; i < sentBytes.length; i++) {
             maxBytesPerSecond[i] =
