--- a/src/main/java/junipercourse/sim/Wire.java
+++ b/src/main/java/junipercourse/sim/Wire.java
@@ -4,8 +4,8 @@
 import junipercourse.decision.api.EngineStage;
 
 /**
- * The wire's numbers and what they stand for. {@link WireReader} reads its bytes, {@link
- * WireWriter} writes them.
+ * Codes of the simulator's wire protocol and their meanings. {@link WireReader} reads the fields,
+ * {@link WireWriter} writes them.
  */
 final class Wire {
     static final int FIRED = 256;
@@ -22,11 +22,11 @@
     static final int ABANDONED = 267;
     static final int CREATE = 268;
     private static final int MEMORY_STEP_MB = 4;
-    private static final int COST_UNIT = 4096;
+    private static final int COST_MULTIPLIER = 4096;
 
     private Wire() {}
 
-    /** Input that is not what the wire allows; the text says what and where. */
+    /** Thrown for invalid input. The message names the problem and its position. */
     static final class WireException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -36,11 +36,11 @@
     }
 
     static double costSeconds(long note) {
-        return (note / COST_UNIT) / 1000.0;
+        return (note / COST_MULTIPLIER) / 1000.0;
     }
 
     static double memoryMb(long note) {
-        return (note % COST_UNIT) * MEMORY_STEP_MB;
+        return (note % COST_MULTIPLIER) * MEMORY_STEP_MB;
     }
 
     static EngineStage stage(int code) {
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -12,7 +12,7 @@
 import junipercourse.fleet.membership.MembershipProtocol;
 import junipercourse.fleet.membership.MembershipSnapshot;
 import junipercourse.fleet.membership.MembershipSnapshot.MemberView;
-import junipercourse.fleet.transport.HollowTransport;
+import junipercourse.fleet.transport.SingleThreadTransport;
 import junipercourse.fleet.transport.TransportCounters;
 
 /**
@@ -20,7 +20,7 @@
  * without front tier, engines and log. Its incarnations run one after another on one thread; the
  * transport counters accumulate over all of them.
  */
-final class HollowMember implements MembershipListener, HollowTransport.Path {
+final class HollowMember implements MembershipListener, SingleThreadTransport.NetworkFaults {
     /**
      * Time between the end of an incarnation and the start of its successor: as long as a process
      * takes to start.
@@ -37,7 +37,7 @@
     private final Network network;
     private final UnreachableListener unreachableListener;
     private MembershipProtocol protocol;
-    private HollowTransport transport;
+    private SingleThreadTransport transport;
     private volatile MembershipSnapshot snapshot;
     private volatile int startCount;
     private volatile double startedAt = Double.POSITIVE_INFINITY;
@@ -78,7 +78,7 @@
     void start() {
         try {
             transport =
-                    new HollowTransport(
+                    new SingleThreadTransport(
                             config.name(),
                             config.listen(),
                             config.rateLimits(),
@@ -143,14 +143,14 @@
     }
 
     void stalled(double now, double seconds) {
-        protocol.stalled(now, seconds);
+        protocol.handleStall(now, seconds);
     }
 
     void receive() throws IOException {
         transport.receive(
                 (from, message) -> {
                     if (protocol != null) {
-                        protocol.messageReceived(Network.nowSeconds(), from, message);
+                        protocol.handleMessage(Network.nowSeconds(), from, message);
                     }
                 });
     }
@@ -192,17 +192,17 @@
     }
 
     @Override
-    public double out(String to) {
+    public double sendDelaySeconds(String to) {
         return network.sendDelaySeconds(number, to, thread.random);
     }
 
     @Override
-    public double in(String from) {
+    public double receiveDelaySeconds(String from) {
         return network.receiveDelaySeconds(number, from, thread.random);
     }
 
     @Override
-    public void later(double seconds, Runnable task) {
+    public void schedule(double seconds, Runnable task) {
         thread.schedule(seconds, task);
     }
 
--- a/src/test/java/junipercourse/scale/ScaleFleet.java
+++ b/src/test/java/junipercourse/scale/ScaleFleet.java
@@ -254,14 +254,14 @@
             if (hollowSnapshot == null) {
                 return "n" + realCount + " has no view";
             }
-            String digest = observation.figures().get("view.digest");
-            if (!observation.settled()
+            String digest = observation.valuesByName().get("view.digest");
+            if (!observation.isConverged()
                     || !Long.toHexString(hollowSnapshot.digest()).equals(digest)
                     || observation.count("view.members") != hollowSnapshot.members().size()) {
                 return "n"
                         + member.number
                         + " settled="
-                        + observation.settled()
+                        + observation.isConverged()
                         + " digest="
                         + digest
                         + " members="
