--- a/src/test/java/junipercourse/scale/FakeEventBus.java
+++ b/src/test/java/junipercourse/scale/FakeEventBus.java
@@ -20,13 +20,14 @@
 import junipercourse.ScriptedBus;
 
 /**
- * A stand-in for the event bus that serves many at once on one thread: each is told the events
- * after the one that it asks from, then each new one, and an empty frame a second. One that does
- * not take what it is told is left, and comes again.
+ * A fake event bus that serves many subscribers on one thread. Each subscriber receives the events
+ * after its requested offset, then each new event, and an empty frame every second. The connection
+ * of a subscriber whose socket does not accept a whole frame is closed, and the subscriber
+ * reconnects.
  */
 final class FakeEventBus implements Closeable {
     private static final int BACKLOG = 4096;
-    private static final double BEAT_S = 1;
+    private static final double HEARTBEAT_SECONDS = 1;
 
     private final Selector selector = Selector.open();
     private final ServerSocketChannel server = ServerSocketChannel.open();
@@ -34,15 +35,15 @@
     private final List<byte[]> events = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "event-bus");
     private volatile boolean closed;
-    private volatile int listeners;
-    private double nextBeat;
+    private volatile int subscriberCount;
+    private double nextHeartbeatSeconds;
 
     /**
-     * What is known of one connection: the bytes of its question, and whether it was heard whole.
+     * State of one connection: the bytes of its request, and whether the request was read whole.
      */
     private static final class Subscription {
-        private final ByteBuffer question = ByteBuffer.allocate(Long.BYTES);
-        private boolean asked;
+        private final ByteBuffer request = ByteBuffer.allocate(Long.BYTES);
+        private boolean requestComplete;
     }
 
     FakeEventBus() throws IOException {
@@ -57,16 +58,16 @@
         return (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** Those that have asked and are told now. */
-    int listeners() {
-        return listeners;
+    /** Number of connections that have sent their request and receive events. */
+    int subscriberCount() {
+        return subscriberCount;
     }
 
     /**
-     * Tells of one engine, whose id is the event's number; {@code told} is given that as it is
-     * written.
+     * Publishes an event about one engine, whose id is the event's number; {@code onSend} receives
+     * that number just before the frame is written.
      */
-    void post(IntConsumer told) {
+    void post(IntConsumer onSend) {
         tasks.add(
                 () -> {
                     int number = events.size() + 1;
@@ -80,8 +81,8 @@
                                                     new InetSocketAddress(
                                                             InetAddress.getLoopbackAddress(), 1),
                                                     false)));
-                    told.accept(number);
-                    tellAll(events.get(number - 1));
+                    onSend.accept(number);
+                    sendToAll(events.get(number - 1));
                 });
         selector.wakeup();
     }
@@ -89,7 +90,7 @@
     private void run() {
         try {
             while (!closed) {
-                selector.select((long) (BEAT_S * 1e3));
+                selector.select((long) (HEARTBEAT_SECONDS * 1e3));
                 for (SelectionKey key : selector.selectedKeys()) {
                     if (key.isValid() && key.isAcceptable()) {
                         accept();
@@ -101,13 +102,14 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                if (Network.now() >= nextBeat) {
-                    nextBeat = Network.now() + BEAT_S;
-                    tellAll(
+                if (Network.nowSeconds() >= nextHeartbeatSeconds) {
+                    nextHeartbeatSeconds = Network.nowSeconds() + HEARTBEAT_SECONDS;
+                    sendToAll(
                             HexFormat.of()
                                     .parseHex(ScriptedBus.EMPTY_FRAME.formatted(events.size())));
                 }
-                listeners = (int) selector.keys().stream().filter(FakeEventBus::asked).count();
+                subscriberCount =
+                        (int) selector.keys().stream().filter(FakeEventBus::isSubscribed).count();
             }
         } catch (IOException | ClosedSelectorException e) {
             if (!closed) {
@@ -116,28 +118,30 @@
         }
     }
 
-    private static boolean asked(SelectionKey key) {
-        return key.isValid() && key.attachment() instanceof Subscription listener && listener.asked;
+    private static boolean isSubscribed(SelectionKey key) {
+        return key.isValid()
+                && key.attachment() instanceof Subscription subscription
+                && subscription.requestComplete;
     }
 
     private void accept() throws IOException {
-        for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-            c.configureBlocking(false);
-            c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            c.register(selector, SelectionKey.OP_READ, new Subscription());
+        for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+            channel.configureBlocking(false);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            channel.register(selector, SelectionKey.OP_READ, new Subscription());
         }
     }
 
     private void read(SelectionKey key) throws IOException {
-        Subscription listener = (Subscription) key.attachment();
+        Subscription subscription = (Subscription) key.attachment();
         SocketChannel channel = (SocketChannel) key.channel();
         try {
-            if (channel.read(listener.question) <= 0) {
-                channel.close(); // has left, or says more than it may
-            } else if (!listener.question.hasRemaining()) {
-                listener.asked = true;
-                for (int i = (int) listener.question.getLong(0); i < events.size(); i++) {
-                    tell(key, events.get(i));
+            if (channel.read(subscription.request) <= 0) {
+                channel.close(); // disconnected, or sent more than a request
+            } else if (!subscription.request.hasRemaining()) {
+                subscription.requestComplete = true;
+                for (int i = (int) subscription.request.getLong(0); i < events.size(); i++) {
+                    send(key, events.get(i));
                 }
             }
         } catch (IOException e) {
@@ -145,15 +149,15 @@
         }
     }
 
-    private void tellAll(byte[] frame) {
+    private void sendToAll(byte[] frame) {
         for (SelectionKey key : selector.keys()) {
-            if (asked(key)) {
-                tell(key, frame);
+            if (isSubscribed(key)) {
+                send(key, frame);
             }
         }
     }
 
-    private static void tell(SelectionKey key, byte[] frame) {
+    private static void send(SelectionKey key, byte[] frame) {
         try {
             SocketChannel channel = (SocketChannel) key.channel();
             if (!channel.isOpen()) {
--- a/src/test/java/junipercourse/scale/RealMember.java
+++ b/src/test/java/junipercourse/scale/RealMember.java
@@ -11,38 +11,42 @@
 import junipercourse.multiprocess.FleetObservation;
 
 /**
- * A whole dispatcher as a process, member of the same fleet; it is asked with {@code SHOW FLEET}.
+ * A full dispatcher process that is a member of the same fleet; it is observed with {@code SHOW
+ * FLEET}.
  */
 final class RealMember implements Closeable {
-    private static final int DESCRIPTORS = 1024;
-    private static final double PAGES_MB = 256;
-    private static final double TICKS_S = 100; // in which the system counts processor time
+    private static final int MAX_DESCRIPTORS = 1024;
+    private static final double PAGES_PER_MB = 256;
+    private static final double TICKS_PER_SECOND = 100; // unit of the CPU times in /proc/PID/stat
 
     final int number;
     private final DispatcherProcess process;
     private SocketTestSupport.Client client;
 
     /**
-     * Starts it; {@code packaged} takes the deploy file's command line, else the class path is run.
+     * Starts the process, with the deploy file's command line if {@code packaged}, else from the
+     * class path.
      */
     RealMember(int number, Path folder, String product, boolean packaged) throws IOException {
         this.number = number;
-        Path own = Files.createDirectories(folder.resolve(HollowMember.name(number)));
-        Path config = Files.writeString(own.resolve("config.json"), SocketTestSupport.CONFIG);
-        Path file = Files.writeString(own.resolve("product.xml"), product);
-        String first =
+        Path memberFolder = Files.createDirectories(folder.resolve(HollowMember.name(number)));
+        Path config =
+                Files.writeString(memberFolder.resolve("config.json"), SocketTestSupport.CONFIG);
+        Path productFile = Files.writeString(memberFolder.resolve("product.xml"), product);
+        String shellPrefix =
                 "export RELAY_NAME="
                         + HollowMember.name(number)
                         + " JUNIPER_PRODUCT='"
-                        + file
+                        + productFile
                         + "'; ";
         process =
                 packaged
-                        ? DispatcherProcess.startDeployed(own.resolve("log"), config, first)
-                        : new DispatcherProcess(own, DESCRIPTORS, config, first);
+                        ? DispatcherProcess.startDeployed(
+                                memberFolder.resolve("log"), config, shellPrefix)
+                        : new DispatcherProcess(memberFolder, MAX_DESCRIPTORS, config, shellPrefix);
     }
 
-    /** A product file with the fleet alone and its defaults. */
+    /** A product file with only the fleet element and its default settings. */
     static String product(int number, String zone, List<String> seeds) {
         return "<product><fleet name='scale' listen='"
                 + Network.address(number)
@@ -55,8 +59,8 @@
                 + "</fleet></product>";
     }
 
-    /** What it tells of its fleet now. */
-    FleetObservation look() throws IOException {
+    /** Queries the member's current view of the fleet. */
+    FleetObservation observe() throws IOException {
         if (!process.isAlive()) {
             throw new IOException("has ended: " + process.log());
         }
@@ -65,22 +69,23 @@
                 client = new SocketTestSupport.Client(process.address());
                 client.startSession();
             }
-            return FleetObservation.parse(Network.now(), number, 1, client.query("SHOW FLEET"));
+            return FleetObservation.parse(
+                    Network.nowSeconds(), number, 1, client.query("SHOW FLEET"));
         } catch (IOException e) {
-            client = null; // the next look connects anew
+            client = null; // the next observation reconnects
             throw e;
         }
     }
 
-    /** Processor seconds so far. */
-    double processorS() throws IOException {
+    /** CPU seconds so far. */
+    double cpuSeconds() throws IOException {
         String[] stat =
-                process.readProcFile("stat").split("\\) ")[1].split(" "); // the third field and on
-        return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_S;
+                process.readProcFile("stat").split("\\) ")[1].split(" "); // from the third field on
+        return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / TICKS_PER_SECOND;
     }
 
     double residentMb() throws IOException {
-        return Long.parseLong(process.readProcFile("statm").split(" ")[1]) / PAGES_MB;
+        return Long.parseLong(process.readProcFile("statm").split(" ")[1]) / PAGES_PER_MB;
     }
 
     @Override
