--- a/src/main/java/junipercourse/sim/SimHost.java
+++ b/src/main/java/junipercourse/sim/SimHost.java
@@ -25,34 +25,32 @@
 import junipercourse.decision.api.RequestId;
 import junipercourse.sim.Wire.WireException;
 
-/**
- * Hosts instances of the module on the simulator's wire: frames in, calls; calls back, frames out.
- */
+/** Runs instances of the decision module for the simulator, over its wire protocol. */
 public final class SimHost {
-    private static final int HEADER_AFTER_LENGTH = 16;
+    private static final int HEADER_BYTES = 16;
 
     private final Map<Long, TagsDispatcher> instances = new HashMap<>();
-    private final Map<Integer, List<EngineListing>> ledgers = new HashMap<>();
-    private final Set<Long> touched = new LinkedHashSet<>();
+    private final Map<Integer, List<EngineListing>> endpointLists = new HashMap<>();
+    private final Set<Long> changedInstances = new LinkedHashSet<>();
     private final WireWriter reply = new WireWriter();
     private final PrintStream errors;
-    private long target = -1;
+    private long targetInstance = -1;
 
     public SimHost(PrintStream errors) {
         this.errors = errors;
     }
 
-    /** Answers batches until the input ends; returns the exit code. */
-    public int run(InputStream in, OutputStream out) {
+    /** Processes batches until the input ends. Returns the exit code. */
+    public int run(InputStream input, OutputStream output) {
         try {
-            ByteArrayOutputStream frame = new ByteArrayOutputStream(4096);
-            byte[] body = nextBody(in);
+            ByteArrayOutputStream replyFrame = new ByteArrayOutputStream(4096);
+            byte[] body = readFrame(input);
             while (body != null) {
-                frame.reset();
-                answer(new WireReader(body), frame);
-                frame.writeTo(out);
-                out.flush();
-                body = nextBody(in);
+                replyFrame.reset();
+                processBatch(new WireReader(body), replyFrame);
+                replyFrame.writeTo(output);
+                output.flush();
+                body = readFrame(input);
             }
             return 0;
         } catch (WireException | IOException e) {
@@ -61,46 +59,46 @@
         }
     }
 
-    private static byte[] nextBody(InputStream in) throws IOException {
-        byte[] head = in.readNBytes(4);
-        if (head.length == 0) {
+    private static byte[] readFrame(InputStream input) throws IOException {
+        byte[] header = input.readNBytes(4);
+        if (header.length == 0) {
             return null;
         }
-        if (head.length < 4) {
+        if (header.length < 4) {
             throw new WireException("input ends inside a frame's length");
         }
-        long n = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
-        if (n < HEADER_AFTER_LENGTH || n > Integer.MAX_VALUE - 16) {
-            throw new WireException("frame length " + n + " is out of range");
+        long length = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
+        if (length < HEADER_BYTES || length > Integer.MAX_VALUE - 16) {
+            throw new WireException("frame length " + length + " is out of range");
         }
-        byte[] body = in.readNBytes((int) n);
-        if (body.length < n) {
+        byte[] body = input.readNBytes((int) length);
+        if (body.length < length) {
             throw new WireException(
-                    "input ends in mid-frame: " + body.length + " of " + n + " bytes");
+                    "input ends in mid-frame: " + body.length + " of " + length + " bytes");
         }
         return body;
     }
 
-    private void answer(WireReader in, ByteArrayOutputStream frame) {
+    private void processBatch(WireReader in, ByteArrayOutputStream replyFrame) {
         double now = in.f64();
-        long count = in.u32();
+        long recordCount = in.u32();
         long batch = in.u32();
         reply.begin();
-        touched.clear();
-        target = -1;
+        changedInstances.clear();
+        targetInstance = -1;
         try {
-            for (long i = 0; i < count; i++) {
-                record(in, now, batch);
+            for (long i = 0; i < recordCount; i++) {
+                handleRecord(in, now, batch);
             }
-            if (in.left() > 0) {
+            if (in.remaining() > 0) {
                 throw new WireException(
-                        "batch " + batch + ": " + in.left() + " bytes after the last record");
+                        "batch " + batch + ": " + in.remaining() + " bytes after the last record");
             }
-            for (long id : touched) {
-                TagsDispatcher d = instances.get(id);
-                if (d != null) {
-                    reply.speakFor(id);
-                    d.decide(now);
+            for (long id : changedInstances) {
+                TagsDispatcher dispatcher = instances.get(id);
+                if (dispatcher != null) {
+                    reply.selectInstance(id);
+                    dispatcher.decide(now);
                 }
             }
         } catch (WireException e) {
@@ -109,22 +107,22 @@
             e.printStackTrace(errors);
             reply.fault(e.toString());
         }
-        reply.finish(batch, frame);
+        reply.finish(batch, replyFrame);
     }
 
-    private void record(WireReader in, double now, long batch) {
-        int at = in.position();
+    private void handleRecord(WireReader in, double now, long batch) {
+        int pos = in.position();
         int code = in.u16();
         switch (code) {
             case Wire.TARGET_INSTANCE -> {
-                target = in.u32();
-                reply.speakFor(target);
+                targetInstance = in.u32();
+                reply.selectInstance(targetInstance);
             }
-            case Wire.LEDGER -> ledgers.put((int) in.u32(), in.entries());
-            case Wire.CREATE -> create(in);
+            case Wire.LEDGER -> endpointLists.put((int) in.u32(), in.endpointList());
+            case Wire.CREATE -> createInstance(in);
             case Wire.CRASH_NOW -> {
-                instance(code, at, batch);
-                instances.remove(target);
+                requireInstance(code, pos, batch);
+                instances.remove(targetInstance);
             }
             case Wire.FIRED,
                     Wire.FIRST_BYTE,
@@ -135,115 +133,117 @@
                     Wire.ROSTER_CHANGE,
                     Wire.NOTICE,
                     Wire.ABANDONED ->
-                    event(code, in, now, instance(code, at, batch));
+                    handleEvent(code, in, now, requireInstance(code, pos, batch));
             default ->
                     throw new WireException(
-                            "batch " + batch + ": unknown record code " + code + " at byte " + at);
+                            "batch " + batch + ": unknown record code " + code + " at byte " + pos);
         }
     }
 
-    private void create(WireReader in) {
-        if (target < 0) {
+    private void createInstance(WireReader in) {
+        if (targetInstance < 0) {
             throw new WireException("Create before any TargetInstance at byte " + in.position());
         }
         long seed = in.u64();
         String text = new String(in.bytes(), StandardCharsets.UTF_8);
-        touch();
-        instances.put(target, new TagsDispatcher(SettingsReader.read(text), seed, reply));
+        markChanged();
+        instances.put(targetInstance, new TagsDispatcher(SettingsReader.read(text), seed, reply));
     }
 
-    private TagsDispatcher instance(int code, int at, long batch) {
-        TagsDispatcher d = instances.get(target);
-        if (d == null) {
+    private TagsDispatcher requireInstance(int code, int pos, long batch) {
+        TagsDispatcher dispatcher = instances.get(targetInstance);
+        if (dispatcher == null) {
             throw new WireException(
                     "batch "
                             + batch
                             + ": record "
                             + code
                             + " at byte "
-                            + at
+                            + pos
                             + " for unknown instance "
-                            + target);
+                            + targetInstance);
         }
-        touch();
-        return d;
+        markChanged();
+        return dispatcher;
     }
 
-    private void touch() {
-        touched.add(target);
+    private void markChanged() {
+        changedInstances.add(targetInstance);
     }
 
-    private void event(int code, WireReader in, double now, TagsDispatcher d) {
+    private void handleEvent(int code, WireReader in, double now, TagsDispatcher dispatcher) {
         switch (code) {
-            case Wire.FIRED -> d.timerFired(now, in.u32());
+            case Wire.FIRED -> dispatcher.timerFired(now, in.u32());
             case Wire.FIRST_BYTE -> {
                 RequestId id = new RequestId(in.u64());
                 int attempt = in.u8();
                 EngineId engine = new EngineId(in.u32());
                 in.f64();
-                d.responseStarted(now, id, attempt, engine);
+                dispatcher.responseStarted(now, id, attempt, engine);
             }
-            case Wire.INGRESS -> d.requestReceived(now, request(in));
+            case Wire.INGRESS -> dispatcher.requestReceived(now, readRequest(in));
             case Wire.PROBE_DONE -> {
                 AttemptOutcome outcome = Wire.outcome(in.u16());
-                double took = in.f64();
-                d.probeCompleted(now, new EngineId(in.u32()), outcome, took, in.report());
+                double seconds = in.f64();
+                dispatcher.probeCompleted(
+                        now, new EngineId(in.u32()), outcome, seconds, in.loadReport());
             }
-            case Wire.ATTEMPT_END -> d.attemptEnded(now, attemptEnd(in));
-            case Wire.PEER_DATA -> d.peerMessageReceived(now, (int) in.u32(), in.shortBytes());
-            case Wire.ROSTER_CHANGE -> roster(in, now, d);
-            case Wire.NOTICE -> notice(in, now, d);
-            case Wire.ABANDONED -> d.requestAbandoned(now, new RequestId(in.u64()));
+            case Wire.ATTEMPT_END -> dispatcher.attemptEnded(now, readAttemptResult(in));
+            case Wire.PEER_DATA ->
+                    dispatcher.peerMessageReceived(now, (int) in.u32(), in.shortBytes());
+            case Wire.ROSTER_CHANGE -> handleEndpointUpdate(in, now, dispatcher);
+            case Wire.NOTICE -> handleProgress(in, now, dispatcher);
+            case Wire.ABANDONED -> dispatcher.requestAbandoned(now, new RequestId(in.u64()));
             default -> throw new IllegalStateException("record " + code);
         }
     }
 
-    private static QueryRequest request(WireReader in) {
+    private static QueryRequest readRequest(WireReader in) {
         RequestId id = new RequestId(in.u64());
-        int marks = in.u8();
+        int flags = in.u8();
         int tenant = (int) in.u32();
         float group = in.f32();
-        double notAfter = in.f64();
+        double deadlineAt = in.f64();
         long key = in.u64();
         int queryClass = in.u16();
-        double needMb = in.f32();
-        double cost = in.f64();
+        double memoryMb = in.f32();
+        double costSeconds = in.f64();
         return new QueryRequest(
                 id,
                 queryClass,
                 tenant,
-                notAfter,
+                deadlineAt,
                 key,
                 group,
-                (marks & 1) != 0 ? cost : Double.NaN,
-                needMb,
-                (marks & 2) != 0);
+                (flags & 1) != 0 ? costSeconds : Double.NaN,
+                memoryMb,
+                (flags & 2) != 0);
     }
 
-    private static AttemptResult attemptEnd(WireReader in) {
+    private static AttemptResult readAttemptResult(WireReader in) {
         RequestId id = new RequestId(in.u64());
         int attempt = in.u8();
         EngineId engine = new EngineId(in.u32());
         AttemptOutcome outcome = Wire.outcome(in.u16());
-        double took = in.f64();
-        boolean ended = in.flag();
+        double seconds = in.f64();
+        boolean requestCompleted = in.flag();
         long note = in.u32();
         return new AttemptResult(
                 id,
                 attempt,
                 engine,
                 outcome,
-                took,
-                ended,
+                seconds,
+                requestCompleted,
                 Wire.costSeconds(note),
                 Wire.memoryMb(note),
-                in.report());
+                in.loadReport());
     }
 
-    private void roster(WireReader in, double now, TagsDispatcher d) {
+    private void handleEndpointUpdate(WireReader in, double now, TagsDispatcher dispatcher) {
         int mode = in.u8();
         in.u32();
-        int ledger = (int) in.u32();
+        int listId = (int) in.u32();
         EndpointUpdateKind kind =
                 switch (mode) {
                     case 0 -> EndpointUpdateKind.FULL;
@@ -253,21 +253,21 @@
                     default -> throw new WireException("unknown roster mode " + mode);
                 };
         List<EngineListing> entries =
-                kind == EndpointUpdateKind.FAILED ? List.of() : ledgers.get(ledger);
+                kind == EndpointUpdateKind.FAILED ? List.of() : endpointLists.get(listId);
         if (entries == null) {
-            throw new WireException("roster change names unknown list " + ledger);
+            throw new WireException("roster change names unknown list " + listId);
         }
-        d.endpointsChanged(now, kind, entries);
+        dispatcher.endpointsChanged(now, kind, entries);
     }
 
-    private static void notice(WireReader in, double now, TagsDispatcher d) {
+    private static void handleProgress(WireReader in, double now, TagsDispatcher dispatcher) {
         RequestId id = new RequestId(in.u64());
         int attempt = in.u8();
         in.u32();
         int kind = in.u8();
         double value = in.f32();
         if (kind >= 1 && kind <= 3) {
-            d.attemptProgressed(now, id, attempt, ProgressKind.values()[kind - 1], value);
+            dispatcher.attemptProgressed(now, id, attempt, ProgressKind.values()[kind - 1], value);
         }
     }
 }
--- a/src/test/java/junipercourse/scale/HostMetrics.java
+++ b/src/test/java/junipercourse/scale/HostMetrics.java
@@ -10,39 +10,43 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** What the system tells of this machine. */
+/** Metrics of this machine, read from the operating system. */
 final class HostMetrics {
-    private static final double PAGES_MB = 256;
-    private static final int IDLE = 4; // fields of the line of all processors
-    private static final int WAITING = 5;
+    private static final double PAGES_PER_MB = 256;
+    private static final int IDLE_FIELD =
+            4; // field indices in the line of /proc/stat that sums up all processors
+    private static final int IO_WAIT_FIELD = 5;
 
     private HostMetrics() {}
 
-    /** Processor time of the whole machine so far, in ticks. */
-    record CpuTicks(long busy, long all) {
-        /** The share that was busy since then. */
-        double busySince(CpuTicks then) {
-            return all == then.all ? 0 : (busy - then.busy) / (double) (all - then.all);
+    /** CPU time of the whole machine since boot, in ticks. */
+    record CpuTicks(long busy, long total) {
+        /** The share of the time since the earlier reading that was busy. */
+        double busyShareSince(CpuTicks earlier) {
+            return total == earlier.total
+                    ? 0
+                    : (busy - earlier.busy) / (double) (total - earlier.total);
         }
     }
 
-    static String told() {
+    static String describe() {
         OperatingSystemMXBean os =
                 (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         return os.getAvailableProcessors() + " cores, " + (os.getTotalMemorySize() >> 30) + " GiB";
     }
 
-    static CpuTicks processors() throws IOException {
+    static CpuTicks readCpuTicks() throws IOException {
         String[] fields = Files.readAllLines(Path.of("/proc/stat")).get(0).trim().split(" +");
-        long all = 0;
+        long total = 0;
         for (int i = 1; i <= 8; i++) {
-            all += Long.parseLong(fields[i]);
+            total += Long.parseLong(fields[i]);
         }
         return new CpuTicks(
-                all - Long.parseLong(fields[IDLE]) - Long.parseLong(fields[WAITING]), all);
+                total - Long.parseLong(fields[IDLE_FIELD]) - Long.parseLong(fields[IO_WAIT_FIELD]),
+                total);
     }
 
-    /** Datagrams that the system dropped so far since a socket's buffer was full. */
+    /** Number of datagrams dropped so far because a socket's receive buffer was full. */
     static long receiveBufferErrors() throws IOException {
         List<String> lines =
                 Files.readAllLines(Path.of("/proc/net/snmp")).stream()
@@ -52,26 +56,23 @@
         return Long.parseLong(lines.get(1).split(" ")[names.indexOf("RcvbufErrors")]);
     }
 
-    /**
-     * Those of them that were sent to one of the first so many members, as far as their sockets are
-     * open.
-     */
+    /** Number of such drops at the open sockets of the first {@code members} members. */
     static long receiveBufferErrors(int members) throws IOException {
         Set<String> addresses =
                 IntStream.range(0, members)
                         .mapToObj(i -> Network.address(i).split("[.:]"))
                         .map(
-                                a ->
+                                addressParts ->
                                         "%02X%02X%02X%02X:%04X"
                                                 .formatted(
-                                                        Integer.valueOf(a[3]),
-                                                        Integer.valueOf(a[2]),
-                                                        Integer.valueOf(a[1]),
-                                                        Integer.valueOf(a[0]),
-                                                        Integer.valueOf(a[4])))
+                                                        Integer.valueOf(addressParts[3]),
+                                                        Integer.valueOf(addressParts[2]),
+                                                        Integer.valueOf(addressParts[1]),
+                                                        Integer.valueOf(addressParts[0]),
+                                                        Integer.valueOf(addressParts[4])))
                         .collect(
-                                Collectors.toSet()); // as the system writes them on a little-endian
-        // machine
+                                Collectors
+                                        .toSet()); // the kernel's format on a little-endian machine
         return Files.readAllLines(Path.of("/proc/net/udp")).stream()
                 .map(line -> line.trim().split(" +"))
                 .filter(fields -> addresses.contains(fields[1]))
@@ -79,9 +80,9 @@
                 .sum();
     }
 
-    /** Resident memory of this process. */
+    /** Resident memory of this process, in MB. */
     static double residentMb() throws IOException {
         return Long.parseLong(Files.readString(Path.of("/proc/self/statm")).split(" ")[1])
-                / PAGES_MB;
+                / PAGES_PER_MB;
     }
 }
