--- a/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
+++ b/src/main/java/junipercourse/pg/InvalidQueryFieldException.java
@@ -1,10 +1,10 @@
 package junipercourse.pg;
 
-/** A query that cannot be taken as it is; the message names the field at fault. */
+/** Thrown for a query with an invalid field. The message names the field. */
 final class InvalidQueryFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidQueryFieldException(String field, String fault) {
-        super(field + ": " + fault);
+    InvalidQueryFieldException(String field, String problem) {
+        super(field + ": " + problem);
     }
 }
--- a/src/main/java/junipercourse/product/InvalidProductFileException.java
+++ b/src/main/java/junipercourse/product/InvalidProductFileException.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A product file that cannot be used, with all that is wrong in it: {@code file:line:column:
- * element: what}.
+ * Thrown for an invalid product file, with all of its errors: {@code file:line:column: element:
+ * problem}.
  */
 public final class InvalidProductFileException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> errors;
 
-    InvalidProductFileException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.errors = List.copyOf(faults);
+    InvalidProductFileException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 
-    /** One line each, in the file's order. */
+    /** Returns the errors in file order, one line each. */
     public List<String> errors() {
         return errors;
     }
--- a/src/test/java/junipercourse/scale/HollowMember.java
+++ b/src/test/java/junipercourse/scale/HollowMember.java
@@ -16,202 +16,211 @@
 import junipercourse.fleet.transport.TransportCounters;
 
 /**
- * A dispatcher that is a member of the fleet and nothing else: the real view on a real socket,
- * without front, engines and log. One after the other of its lives runs on its thread; the counts
- * go on over all of them.
+ * A dispatcher reduced to its fleet membership: the real membership protocol on a real socket,
+ * without front tier, engines and log. Its incarnations run one after another on one thread; the
+ * transport counters accumulate over all of them.
  */
 final class HollowMember implements MembershipListener, SingleThreadTransport.NetworkFaults {
     /**
-     * Between the farewell of a life and the start of its successor: as long as a process takes to
-     * start.
+     * Time between the end of an incarnation and the start of its successor: as long as a process
+     * takes to start.
      */
-    private static final double RESTART_S = 0.5;
+    private static final double RESTART_SECONDS = 0.5;
 
-    /** As long as {@code FleetService} goes on to say it. */
-    private static final double LEAVE_S = 0.15;
+    /** As long as {@code FleetService} keeps announcing that it leaves. */
+    private static final double LEAVE_SECONDS = 0.15;
 
     final int number;
-    final FleetConfig part;
-    final HollowThread home;
-    final TransportCounters tally = new TransportCounters();
+    final FleetConfig config;
+    final HollowThread thread;
+    final TransportCounters transportCounters = new TransportCounters();
     private final Network network;
-    private final UnreachableListener verdicts;
-    private MembershipProtocol view;
-    private SingleThreadTransport link;
+    private final UnreachableListener unreachableListener;
+    private MembershipProtocol protocol;
+    private SingleThreadTransport transport;
     private volatile MembershipSnapshot snapshot;
-    private volatile int lives;
+    private volatile int startCount;
     private volatile double startedAt = Double.POSITIVE_INFINITY;
 
     HollowMember(
             int number,
-            FleetConfig part,
-            HollowThread home,
+            FleetConfig config,
+            HollowThread thread,
             Network network,
-            UnreachableListener verdicts) {
+            UnreachableListener unreachableListener) {
         this.number = number;
-        this.part = part;
-        this.home = home;
+        this.config = config;
+        this.thread = thread;
         this.network = network;
-        this.verdicts = verdicts;
+        this.unreachableListener = unreachableListener;
     }
 
     static String name(int number) {
         return "n" + number;
     }
 
-    /** The newest snapshot of the life that runs, or null. */
+    /** The newest snapshot of the running incarnation, or null. */
     MembershipSnapshot snapshot() {
         return snapshot;
     }
 
-    /** How many lives have begun. */
-    int lives() {
-        return lives;
+    /** Number of incarnations started so far. */
+    int startCount() {
+        return startCount;
     }
 
-    /** When the life began that runs; infinity if none does. */
+    /** Start time of the running incarnation; infinity if none runs. */
     double startedAt() {
         return startedAt;
     }
 
-    /** Begins a life; called on the thread, as is all that follows. */
+    /** Starts an incarnation; this method and those below are called on the member's thread. */
     void start() {
         try {
-            link =
+            transport =
                     new SingleThreadTransport(
-                            part.name(), part.listen(), part.rateLimits(), tally, this);
-            link.channel().register(home.selector, SelectionKey.OP_READ, this);
+                            config.name(),
+                            config.listen(),
+                            config.rateLimits(),
+                            transportCounters,
+                            this);
+            transport.channel().register(thread.selector, SelectionKey.OP_READ, this);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        view =
+        protocol =
                 new MembershipProtocol(
-                        part.membership(),
+                        config.membership(),
                         name(number),
-                        part.advertisedAddress(),
-                        part.zone(),
-                        part.seeds(),
-                        home.random.nextLong(),
+                        config.advertisedAddress(),
+                        config.zone(),
+                        config.seeds(),
+                        thread.random.nextLong(),
                         this);
-        startedAt = Network.now();
+        startedAt = Network.nowSeconds();
         snapshot = null;
-        lives++; // on this thread alone
-        home.add(this);
-        view.start(Network.now());
+        startCount++; // written by this thread alone
+        thread.add(this);
+        protocol.start(Network.nowSeconds());
     }
 
-    /** The process is gone, with all that it knew. */
+    /** Simulates the loss of the process with all its state. */
     void kill() {
-        if (view == null) {
+        if (protocol == null) {
             return;
         }
-        view = null;
+        protocol = null;
         snapshot = null;
         startedAt = Double.POSITIVE_INFINITY;
-        home.remove(this);
+        thread.remove(this);
         try {
-            link.close();
-            home.selector.selectNow(); // only then the system has the address back
+            transport.close();
+            thread.selector.selectNow(); // the system releases the address only then
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Says that this life is over, ends it, and begins the next as soon as a process could. */
+    /**
+     * Announces that this incarnation leaves, ends it, and starts the next one after the start-up
+     * time of a process.
+     */
     void restart() {
-        if (view != null) {
-            view.leave(Network.now());
+        if (protocol != null) {
+            protocol.leave(Network.nowSeconds());
             startedAt = Double.POSITIVE_INFINITY;
             snapshot = null;
-            home.later(LEAVE_S, this::kill);
+            thread.schedule(LEAVE_SECONDS, this::kill);
         }
-        home.later(LEAVE_S + RESTART_S, this::start);
+        thread.schedule(LEAVE_SECONDS + RESTART_SECONDS, this::start);
     }
 
-    /** Gives the address back once the thread has ended. */
+    /** Releases the address after the thread has ended. */
     void close() throws IOException {
-        if (link != null) {
-            link.close();
+        if (transport != null) {
+            transport.close();
         }
     }
 
     void stalled(double now, double seconds) {
-        view.handleStall(now, seconds);
+        protocol.handleStall(now, seconds);
     }
 
     void receive() throws IOException {
-        link.receive(
-                (from, word) -> {
-                    if (view != null) {
-                        view.handleMessage(Network.now(), from, word);
+        transport.receive(
+                (from, message) -> {
+                    if (protocol != null) {
+                        protocol.handleMessage(Network.nowSeconds(), from, message);
                     }
                 });
     }
 
-    /** Carries out what is due, and tells when the next is. */
+    /** Runs a due protocol tick; returns when the next one is due. */
     double tick(double now) {
-        if (now >= view.nextTickAt()) {
-            view.tick(now);
+        if (now >= protocol.nextTickAt()) {
+            protocol.tick(now);
         }
-        return view.nextTickAt();
+        return protocol.nextTickAt();
     }
 
     @Override
-    public void send(String address, GossipMessage word) {
-        link.send(address, word);
+    public void send(String address, GossipMessage message) {
+        transport.send(address, message);
     }
 
     @Override
     public void membershipChanged(MembershipSnapshot next) {
         if (startedAt == Double.POSITIVE_INFINITY) {
-            return; // leaves
+            return; // is leaving
         }
-        MembershipSnapshot before = snapshot;
-        double from = before == null ? startedAt : before.takenAt();
+        MembershipSnapshot previous = snapshot;
+        double previousTakenAt = previous == null ? startedAt : previous.takenAt();
         snapshot = next;
         List<MemberView> members = next.members();
         for (int i = 0; i < members.size(); i++) {
-            MemberView seen = members.get(i);
-            if (seen.record().status() == MemberStatus.UNREACHABLE && seen.statusSince() >= from) {
-                verdicts.said(number, seen);
+            MemberView member = members.get(i);
+            if (member.record().status() == MemberStatus.UNREACHABLE
+                    && member.statusSince() >= previousTakenAt) {
+                unreachableListener.markedUnreachable(number, member);
             }
         }
     }
 
     @Override
     public void log(String line) {
-        // the log is no part of what is measured
+        // logging is not measured
     }
 
     @Override
     public double sendDelaySeconds(String to) {
-        return network.fate(number, to, home.random);
+        return network.sendDelaySeconds(number, to, thread.random);
     }
 
     @Override
     public double receiveDelaySeconds(String from) {
-        return network.fateOfHeard(number, from, home.random);
+        return network.receiveDelaySeconds(number, from, thread.random);
     }
 
     @Override
     public void schedule(double seconds, Runnable task) {
-        home.later(seconds, task);
+        thread.schedule(seconds, task);
     }
 
-    /** The part of a product file that would say the same. */
-    static FleetConfig part(int number, String zone, List<String> seeds, FleetConfig pattern) {
+    /** Builds the fleet configuration that an equivalent product file would yield. */
+    static FleetConfig createConfig(
+            int number, String zone, List<String> seeds, FleetConfig template) {
         return new FleetConfig(
-                pattern.name(),
+                template.name(),
                 Config.parseAddress("listen", Network.address(number)),
                 Network.address(number),
                 zone,
                 seeds,
-                pattern.rateLimits(),
-                pattern.membership());
+                template.rateLimits(),
+                template.membership());
     }
 
-    /** Is told of each verdict of a member that another is unreachable. */
+    /** Receives each verdict of a member that another member is unreachable. */
     interface UnreachableListener {
-        void said(int by, MemberView seen);
+        void markedUnreachable(int observer, MemberView target);
     }
 }
