--- a/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
@@ -60,7 +60,7 @@
     /**
      * Opens and binds the socket.
      *
-     * @param tally goes on from life to life of a member
+     * @param tally continues across restarts of a member
      */
     public SingleThreadTransport(
             String fleet,
