--- a/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
+++ b/src/test/java/junipercourse/fleet/transport/SingleThreadTransport.java
@@ -13,134 +13,141 @@
 import junipercourse.fleet.membership.GossipMessage;
 
 /**
- * {@link UdpTransport} without threads and rings of its own, for many members on one thread: the
- * same socket, codec, rates, refusals and counts. What it leaves out are the two rings, so that
- * {@code IN_RING_FULL} and {@code OUT_RING_FULL} never come: what waits, waits in the socket's
- * buffer, which is longer by what the ring for what comes would hold. Between the sender and the
- * network lies a {@link NetworkFaults}, which may lose a datagram or hold it back.
+ * {@link UdpTransport} without its own thread and rings, so that many members can share one thread.
+ * Socket, codec, rate limits, drop reasons and counters are the same. Without the two rings, {@code
+ * IN_RING_FULL} and {@code OUT_RING_FULL} never occur: received messages wait in the socket's
+ * buffer, which is larger by the capacity of the receive ring. {@link NetworkFaults} may lose or
+ * delay a datagram between the transport and the network.
  */
 public final class SingleThreadTransport implements Closeable {
-    private static final int MOST_AT_ONCE = 256;
+    private static final int MAX_DATAGRAMS_PER_READ = 256;
 
     /**
-     * What a socket has by itself on Linux and what the longest word takes there, which it counts
-     * double.
+     * A socket's default receive buffer on Linux; {@link #MESSAGE_BUFFER_BYTES} is the space that
+     * the longest message takes there. Linux doubles the requested size.
      */
-    private static final int OWN_BUFFER = 106_496;
+    private static final int DEFAULT_RECEIVE_BUFFER_BYTES = 106_496;
 
-    private static final int WORD_BUFFER = 1152;
+    private static final int MESSAGE_BUFFER_BYTES = 1152;
 
     private final GossipCodec codec;
-    private final RateLimiter rateIn;
-    private final RateLimiter rateOut;
-    private final TransportCounters tally;
-    private final NetworkFaults path;
-    private final ByteBuffer received =
-            ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES + 1); // one more tells too long
-    private final ByteBuffer sent = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
+    private final RateLimiter receiveLimiter;
+    private final RateLimiter sendLimiter;
+    private final TransportCounters counters;
+    private final NetworkFaults networkFaults;
+    private final ByteBuffer receiveBuffer =
+            ByteBuffer.allocate(
+                    GossipCodec.MAX_DATAGRAM_BYTES
+                            + 1); // an extra byte reveals an oversized datagram
+    private final ByteBuffer sendBuffer = ByteBuffer.allocate(GossipCodec.MAX_DATAGRAM_BYTES);
     private final DatagramChannel channel;
 
-    /** The faults between members. */
+    /** Simulated faults of the network between members. */
     public interface NetworkFaults {
-        /** Seconds that a datagram to this address is held back; below 0 if it is lost. */
-        double sendDelaySeconds(String to);
+        /** Returns the delay of a datagram to this address; below 0 if it is lost. */
+        double sendDelaySeconds(String address);
 
-        /** The same for one that came, of a sender that has no path of its own. */
-        double receiveDelaySeconds(String from);
+        /**
+         * Returns the delay of a received datagram whose sender simulates no faults; below 0 if it
+         * is lost.
+         */
+        double receiveDelaySeconds(String address);
 
-        /** Has something done after so many seconds, on the link's thread. */
+        /** Runs a task after a delay, on the transport's thread. */
         void schedule(double seconds, Runnable task);
     }
 
     /**
      * Opens and binds the socket.
      *
-     * @param tally goes on from life to life of a member
+     * @param tally continues across restarts of a member
      */
     public SingleThreadTransport(
             String fleet,
             InetSocketAddress listen,
-            RateLimits bounds,
-            TransportCounters tally,
-            NetworkFaults path)
+            RateLimits limits,
+            TransportCounters counters,
+            NetworkFaults networkFaults)
             throws IOException {
-        this.tally = tally;
-        this.path = path;
+        this.counters = counters;
+        this.networkFaults = networkFaults;
         codec = new GossipCodec(fleet);
-        rateIn = new RateLimiter(bounds.peerDatagramsPerSecond(), bounds.totalDatagramsPerSecond());
-        rateOut = new RateLimiter(bounds.peerBytesPerSecond(), bounds.totalBytesPerSecond());
+        receiveLimiter =
+                new RateLimiter(limits.peerDatagramsPerSecond(), limits.totalDatagramsPerSecond());
+        sendLimiter = new RateLimiter(limits.peerBytesPerSecond(), limits.totalBytesPerSecond());
         channel = DatagramChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(
                     StandardSocketOptions.SO_RCVBUF,
-                    OWN_BUFFER + bounds.ringCapacity() * WORD_BUFFER);
+                    DEFAULT_RECEIVE_BUFFER_BYTES + limits.ringCapacity() * MESSAGE_BUFFER_BYTES);
             channel.bind(listen);
         } catch (IOException e) {
             channel.close();
-            throw new IOException("cannot have fleet address " + listen + ": " + e.getMessage(), e);
+            throw new IOException("cannot bind fleet address " + listen + ": " + e.getMessage(), e);
         }
     }
 
-    /** To be registered for reading. */
+    /** Returns the channel, for registration with a selector. */
     public DatagramChannel channel() {
         return channel;
     }
 
-    /** Reads what lies at the socket, up to a bound; true if there may be more. */
-    public boolean receive(BiConsumer<String, GossipMessage> heard) throws IOException {
-        for (int i = 0; i < MOST_AT_ONCE; i++) {
-            received.clear();
-            SocketAddress from = channel.receive(received);
-            if (from == null) {
+    /** Reads a bounded number of datagrams from the socket; returns true if there may be more. */
+    public boolean receive(BiConsumer<String, GossipMessage> consumer) throws IOException {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
+            receiveBuffer.clear();
+            SocketAddress source = channel.receive(receiveBuffer);
+            if (source == null) {
                 return false;
             }
-            received.flip();
-            take((InetSocketAddress) from, heard);
+            receiveBuffer.flip();
+            receiveDatagram((InetSocketAddress) source, consumer);
         }
         return true;
     }
 
-    private void take(InetSocketAddress from, BiConsumer<String, GossipMessage> heard) {
-        String address = from.getAddress().getHostAddress() + ":" + from.getPort();
-        double delay = path.receiveDelaySeconds(address);
-        if (delay < 0) {
-            return; // was lost on the way here
+    private void receiveDatagram(
+            InetSocketAddress source, BiConsumer<String, GossipMessage> consumer) {
+        String address = source.getAddress().getHostAddress() + ":" + source.getPort();
+        double delaySeconds = networkFaults.receiveDelaySeconds(address);
+        if (delaySeconds < 0) {
+            return; // lost by the simulated network
         }
-        tally.received(received.limit());
-        if (!rateIn.tryTake(from.getAddress(), 1, System.nanoTime() / 1e9)) {
-            tally.drop(DropReason.TOO_MANY);
+        counters.received(receiveBuffer.limit());
+        if (!receiveLimiter.tryTake(source.getAddress(), 1, System.nanoTime() / 1e9)) {
+            counters.countDrop(DropReason.TOO_MANY);
             return;
         }
-        GossipCodec.Decoded read = codec.decode(received);
-        if (read.dropReason() != null) {
-            tally.drop(read.dropReason());
-        } else if (delay > 0) {
-            path.schedule(delay, () -> heard.accept(address, read.message()));
+        GossipCodec.Decoded decoded = codec.decode(receiveBuffer);
+        if (decoded.dropReason() != null) {
+            counters.countDrop(decoded.dropReason());
+        } else if (delaySeconds > 0) {
+            networkFaults.schedule(delaySeconds, () -> consumer.accept(address, decoded.message()));
         } else {
-            heard.accept(address, read.message());
+            consumer.accept(address, decoded.message());
         }
     }
 
-    /** Sends a word at once, or drops and counts it. */
-    public void send(String address, GossipMessage word) {
-        if (!codec.encode(word, sent)) {
-            tally.drop(DropReason.OVERSIZE);
+    /** Sends a message after its simulated delay, or drops and counts it. */
+    public void send(String address, GossipMessage message) {
+        if (!codec.encode(message, sendBuffer)) {
+            counters.countDrop(DropReason.OVERSIZE);
             return;
         }
-        int size = sent.limit();
-        if (!rateOut.tryTake(address, size, System.nanoTime() / 1e9)) {
-            tally.drop(DropReason.OVER_RATE);
+        int size = sendBuffer.limit();
+        if (!sendLimiter.tryTake(address, size, System.nanoTime() / 1e9)) {
+            counters.countDrop(DropReason.OVER_RATE);
             return;
         }
-        double delay = path.sendDelaySeconds(address);
-        if (delay < 0) {
-            tally.sent(size); // the system took it, the network lost it
-        } else if (delay > 0) {
-            ByteBuffer copy = ByteBuffer.allocate(size).put(sent).flip();
-            path.schedule(delay, () -> transmit(address, copy));
+        double delaySeconds = networkFaults.sendDelaySeconds(address);
+        if (delaySeconds < 0) {
+            counters.sent(size); // accepted by the system, lost by the simulated network
+        } else if (delaySeconds > 0) {
+            ByteBuffer copy = ByteBuffer.allocate(size).put(sendBuffer).flip();
+            networkFaults.schedule(delaySeconds, () -> transmit(address, copy));
         } else {
-            transmit(address, sent);
+            transmit(address, sendBuffer);
         }
     }
 
@@ -149,14 +156,15 @@
         try {
             if (channel.isOpen()
                     && channel.send(bytes, Config.parseAddress("fleet address", address)) == size) {
-                tally.sent(size);
+                counters.sent(size);
                 return;
             }
         } catch (IOException | ConfigException e) {
-            tally.drop(DropReason.NOT_SENT); // no way there just now, or no address at all
+            counters.countDrop(
+                    DropReason.NOT_SENT); // the address is unreachable at present or malformed
             return;
         }
-        tally.drop(DropReason.NOT_SENT);
+        counters.countDrop(DropReason.NOT_SENT);
     }
 
     @Override
--- a/src/test/java/junipercourse/multiprocess/FleetObservation.java
+++ b/src/test/java/junipercourse/multiprocess/FleetObservation.java
@@ -6,63 +6,64 @@
 import java.util.regex.Pattern;
 
 /**
- * One answer of one process to {@code SHOW FLEET}.
+ * One response of one process to {@code SHOW FLEET}.
  *
- * @param at seconds by the test's own clock, when the answer was there
- * @param observer number of the member that was asked
- * @param process which of that member's processes, counted by the test
- * @param self its own incarnation, 0 before it has one
- * @param members all that it knows of, by name
- * @param figures all other rows, such as {@code view.settled}
+ * @param at time of the response by the test's clock
+ * @param observer number of the member that was queried
+ * @param process which of that member's processes responded, counted from its first start
+ * @param self the member's own incarnation; 0 before it has one
+ * @param members the members that it knows, by name
+ * @param figures the values of all other rows, such as {@code view.settled}
  */
 public record FleetObservation(
-        double at,
+        double atSeconds,
         int observer,
-        int process,
+        int startNumber,
         long self,
-        Map<String, Seen> members,
+        Map<String, ObservedMember> members,
         Map<String, String> valuesByName) {
     private static final Pattern ROW = Pattern.compile("D\\(([^)]*)\\)");
     private static final int COLUMNS = 7;
 
-    /** A member as shown. */
-    public record Seen(String standing, long incarnation) {}
+    /** A member as listed in the table. */
+    public record ObservedMember(String status, long incarnation) {}
 
-    /** Reads what {@code SocketTestSupport.Client} made of the answer. */
-    public static FleetObservation parse(double at, int observer, int process, String answer) {
-        Map<String, Seen> members = new HashMap<>();
-        Map<String, String> figures = new HashMap<>();
+    /** Parses the response as formatted by {@code SocketTestSupport.Client}. */
+    public static FleetObservation parse(
+            double atSeconds, int observer, int startNumber, String response) {
+        Map<String, ObservedMember> members = new HashMap<>();
+        Map<String, String> valuesByName = new HashMap<>();
         long self = 0;
-        Matcher rows = ROW.matcher(answer);
-        while (rows.find()) {
-            String[] c = rows.group(1).split(" ");
-            if (c[0].equals("member")) {
-                members.put(c[1], new Seen(c[2], incarnation(c[3])));
-            } else if (c[0].equals("self")) {
-                self = incarnation(c[3]);
-            } else if (c.length == COLUMNS) {
-                figures.put(c[0] + "." + c[1], c[2]);
+        Matcher rowMatcher = ROW.matcher(response);
+        while (rowMatcher.find()) {
+            String[] cells = rowMatcher.group(1).split(" ");
+            if (cells[0].equals("member")) {
+                members.put(cells[1], new ObservedMember(cells[2], incarnation(cells[3])));
+            } else if (cells[0].equals("self")) {
+                self = incarnation(cells[3]);
+            } else if (cells.length == COLUMNS) {
+                valuesByName.put(cells[0] + "." + cells[1], cells[2]);
             }
         }
-        return new FleetObservation(at, observer, process, self, members, figures);
+        return new FleetObservation(atSeconds, observer, startNumber, self, members, valuesByName);
     }
 
-    private static long incarnation(String shown) {
-        String[] parts = shown.split("\\.");
+    private static long incarnation(String text) {
+        String[] parts = text.split("\\.");
         return Long.parseLong(parts[0]) << 32 | Long.parseLong(parts[1], 16);
     }
 
-    /** A count of the link, such as {@code link.in}. */
-    public long count(String figure) {
-        return Long.parseLong(valuesByName.getOrDefault(figure, "0"));
+    /** Returns a counter, such as {@code link.in}; 0 if it is missing. */
+    public long count(String name) {
+        return Long.parseLong(valuesByName.getOrDefault(name, "0"));
     }
 
     public boolean isConverged() {
         return "true".equals(valuesByName.get("view.settled"));
     }
 
-    /** Whether it sees that member so. */
-    public boolean sees(String member, String standing) {
-        return members.containsKey(member) && members.get(member).standing().equals(standing);
+    /** Returns true if the member is listed with this status. */
+    public boolean reports(String member, String status) {
+        return members.containsKey(member) && members.get(member).status().equals(status);
     }
 }
--- a/src/test/java/junipercourse/scale/ProcessMetrics.java
+++ b/src/test/java/junipercourse/scale/ProcessMetrics.java
@@ -11,12 +11,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the system and the JVM tell of another process: processor time by thread, memory. */
+/** CPU time by thread and memory of another process, read from the operating system and its JVM. */
 final class ProcessMetrics {
-    private static final double NS = 1e-9;
-    private static final double TICKS_S = 100; // in which the system splits off the kernel's part
-    private static final double PAGE = 4096;
-    private static final Pattern TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
+    private static final double SECONDS_PER_NANO = 1e-9;
+    private static final double TICKS_PER_SECOND = 100; // unit of the kernel time in /proc/PID/stat
+    private static final double PAGE_BYTES = 4096;
+    private static final Pattern HISTOGRAM_TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
     private enum ThreadKind {
         LOOP,
@@ -25,11 +25,11 @@
         OTHER
     }
 
-    /** What a thread had spent when it was last seen. */
-    private record ThreadCpuTime(ThreadKind group, double seconds) {}
+    /** CPU time of a thread at its last reading. */
+    private record ThreadCpuTime(ThreadKind kind, double seconds) {}
 
-    private final Map<String, ThreadCpuTime> seen = new HashMap<>();
-    private double unseen;
+    private final Map<String, ThreadCpuTime> threadTimes = new HashMap<>();
+    private double endedThreadSeconds;
     private final long pid;
 
     ProcessMetrics(long pid) {
@@ -37,13 +37,13 @@
     }
 
     /**
-     * Processor seconds: in all, of the I/O thread, the compiler and the collector, and in the
-     * kernel.
+     * CPU seconds: in total, of the event loop, the JIT compiler and the garbage collector, and in
+     * the kernel.
      */
-    record CpuTime(double all, double loop, double compiler, double collector, double kernel) {
+    record CpuTime(double total, double loop, double compiler, double collector, double kernel) {
         CpuTime since(CpuTime before) {
             return new CpuTime(
-                    all - before.all,
+                    total - before.total,
                     loop - before.loop,
                     compiler - before.compiler,
                     collector - before.collector,
@@ -52,47 +52,55 @@
     }
 
     /**
-     * By the nanosecond for each thread; by ticks of 10 ms the kernel's part, and what threads have
-     * spent that ended between two looks.
+     * Reads the CPU time so far: to the nanosecond for each thread, in ticks of 10 ms for the
+     * kernel time and for threads that ended between two readings.
      */
-    CpuTime cpu() {
-        try (DirectoryStream<Path> threads = Files.newDirectoryStream(of("task"))) {
-            for (Path t : threads) {
+    CpuTime readCpuTime() {
+        try (DirectoryStream<Path> threads = Files.newDirectoryStream(procFile("task"))) {
+            for (Path thread : threads) {
                 try {
-                    String name = Files.readString(t.resolve("comm")).trim();
-                    double s =
-                            Long.parseLong(Files.readString(t.resolve("schedstat")).split(" ")[0])
-                                    * NS;
-                    seen.put(t.getFileName().toString(), new ThreadCpuTime(group(name), s));
+                    String name = Files.readString(thread.resolve("comm")).trim();
+                    double threadSeconds =
+                            Long.parseLong(
+                                            Files.readString(thread.resolve("schedstat"))
+                                                    .split(" ")[0])
+                                    * SECONDS_PER_NANO;
+                    threadTimes.put(
+                            thread.getFileName().toString(),
+                            new ThreadCpuTime(threadKind(name), threadSeconds));
                 } catch (NoSuchFileException e) {
-                    continue; // it has just ended
+                    continue; // the thread has just ended
                 }
             }
-            // the third field and on
-            String[] stat = Files.readString(of("stat")).split("\\) ")[1].split(" ");
-            double kernel = Long.parseLong(stat[12]) / TICKS_S;
-            double all = seen.values().stream().mapToDouble(ThreadCpuTime::seconds).sum();
-            unseen = Math.max(unseen, Long.parseLong(stat[11]) / TICKS_S + kernel - all);
+            // from the third field on
+            String[] stat = Files.readString(procFile("stat")).split("\\) ")[1].split(" ");
+            double kernel = Long.parseLong(stat[12]) / TICKS_PER_SECOND;
+            double threadTotal =
+                    threadTimes.values().stream().mapToDouble(ThreadCpuTime::seconds).sum();
+            endedThreadSeconds =
+                    Math.max(
+                            endedThreadSeconds,
+                            Long.parseLong(stat[11]) / TICKS_PER_SECOND + kernel - threadTotal);
             return new CpuTime(
-                    all + unseen,
-                    of(ThreadKind.LOOP),
-                    of(ThreadKind.COMPILER),
-                    of(ThreadKind.COLLECTOR),
+                    threadTotal + endedThreadSeconds,
+                    cpuSeconds(ThreadKind.LOOP),
+                    cpuSeconds(ThreadKind.COMPILER),
+                    cpuSeconds(ThreadKind.COLLECTOR),
                     kernel);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private double of(ThreadKind group) {
-        return seen.values().stream()
-                .filter(s -> s.group == group)
+    private double cpuSeconds(ThreadKind kind) {
+        return threadTimes.values().stream()
+                .filter(thread -> thread.kind == kind)
                 .mapToDouble(ThreadCpuTime::seconds)
                 .sum();
     }
 
-    /** The system keeps 15 characters of a thread's name. */
-    private static ThreadKind group(String name) {
+    /** The kernel truncates thread names to 15 characters. */
+    private static ThreadKind threadKind(String name) {
         return name.startsWith("junipercourse")
                 ? ThreadKind.LOOP
                 : name.matches("C[12] Comp.*")
@@ -100,40 +108,43 @@
                         : name.equals("VM Thread") ? ThreadKind.COLLECTOR : ThreadKind.OTHER;
     }
 
-    /** Resident bytes. */
-    double resident() {
+    /** Resident memory in bytes. */
+    double readResidentBytes() {
         try {
-            return Long.parseLong(Files.readString(of("statm")).split(" ")[1]) * PAGE;
+            return Long.parseLong(Files.readString(procFile("statm")).split(" ")[1]) * PAGE_BYTES;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Bytes of heap that a collection of everything leaves, which telling them begins with. */
-    double heap() throws IOException, InterruptedException {
-        Matcher m = TOTAL.matcher(jcmd("GC.class_histogram"));
-        if (!m.find()) {
-            throw new IOException("the JVM told no heap");
+    /**
+     * Heap bytes in use after a full garbage collection, which {@code GC.class_histogram} starts
+     * with.
+     */
+    double readHeapBytes() throws IOException, InterruptedException {
+        Matcher matcher = HISTOGRAM_TOTAL.matcher(runJcmd("GC.class_histogram"));
+        if (!matcher.find()) {
+            throw new IOException("no heap total in the output of jcmd GC.class_histogram");
         }
-        return Long.parseLong(m.group(1));
+        return Long.parseLong(matcher.group(1));
     }
 
-    private String jcmd(String command) throws IOException, InterruptedException {
-        Process p =
+    private String runJcmd(String command) throws IOException, InterruptedException {
+        Process process =
                 new ProcessBuilder(
                                 System.getProperty("java.home") + "/bin/jcmd",
                                 Long.toString(pid),
                                 command)
                         .redirectErrorStream(true)
                         .start();
-        String told = new String(p.getInputStream().readAllBytes());
-        if (p.waitFor() != 0) {
-            throw new IOException(told);
+        String output = new String(process.getInputStream().readAllBytes());
+        if (process.waitFor() != 0) {
+            throw new IOException(output);
         }
-        return told;
+        return output;
     }
 
-    private Path of(String what) {
-        return Path.of("/proc/" + pid + "/" + what);
+    private Path procFile(String file) {
+        return Path.of("/proc/" + pid + "/" + file);
     }
 }
