--- a/src/main/java/junipercourse/admin/SiblingProcesses.java
+++ b/src/main/java/junipercourse/admin/SiblingProcesses.java
@@ -96,8 +96,8 @@
         throw new IOException("another process has held the lock for claims for too long");
     }
 
-    private int addClaim(int sum, int processNumber) throws IOException {
-        try (FileChannel file = open(fileName(processNumber));
+    private int addClaim(int sum, int claimNumber) throws IOException {
+        try (FileChannel file = open(fileName(claimNumber));
                 FileLock acquiredLock = file.tryLock()) {
             if (acquiredLock != null) { // no process holds the lock: the owner has ended
                 return sum;
--- a/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
+++ b/src/main/java/junipercourse/fleet/membership/SuspicionTracker.java
@@ -120,7 +120,7 @@
                     && probesSent < MAX_PROBES_PER_TICK
                     && prober.probe(peer, now)) {
                 probesSent++;
-                double intervalSeconds =
+                double interval =
                         peer.suspectedByUs || peer.reportedUnreachable
                                 ? ownInterval
                                 : othersInterval;
@@ -128,9 +128,8 @@
                 peer.nextProbeAt =
                         now
                                 + (hasEnoughFailures
-                                        ? Math.max(
-                                                intervalSeconds, CONFIRMED_PROBE_INTERVAL_SECONDS)
-                                        : intervalSeconds);
+                                        ? Math.max(interval, CONFIRMED_PROBE_INTERVAL_SECONDS)
+                                        : interval);
             }
         }
         for (PeerState peer : unreachable) {
--- a/src/main/java/junipercourse/net/Listeners.java
+++ b/src/main/java/junipercourse/net/Listeners.java
@@ -118,9 +118,9 @@
      * Sets whether connections may be waiting unaccepted because the limit of connections is
      * reached.
      */
-    void setBacklogged(boolean backlogged) {
-        this.backlogged = backlogged;
-        if (backlogged) {
+    void setBacklogged(boolean nowBacklogged) {
+        this.backlogged = nowBacklogged;
+        if (nowBacklogged) {
             remainingProbes = PROBES_AFTER_BACKLOG;
         }
     }
--- a/src/test/java/junipercourse/ListeningSocketHolder.java
+++ b/src/test/java/junipercourse/ListeningSocketHolder.java
@@ -213,8 +213,9 @@
         public HttpAnswer callAdmin(String call) throws IOException {
             SocketTestSupport.await(
                     () -> log().contains("second address is ") || !isAlive(), AWAIT_TIMEOUT_MILLIS);
-            int port = Integer.parseInt(log().split("second address is [^:]*:")[1].split("\\D")[0]);
-            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            int adminPort =
+                    Integer.parseInt(log().split("second address is [^:]*:")[1].split("\\D")[0]);
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
                 socket.setSoTimeout(5000);
                 socket.getOutputStream()
                         .write(
--- a/src/test/java/junipercourse/SocketTestSupport.java
+++ b/src/test/java/junipercourse/SocketTestSupport.java
@@ -495,9 +495,9 @@
 
     /** Pauses the event loop now: events that arrive meanwhile are found in one pass. */
     public LoopPause pauseLoop() {
-        LoopPause pause = new LoopPause(1);
-        loop.execute(pause::reachPause);
-        return pause.awaitPaused();
+        LoopPause loopPause = new LoopPause(1);
+        loop.execute(loopPause::reachPause);
+        return loopPause.awaitPaused();
     }
 
     /** A point at which the event loop pauses until {@link #resume}. */
--- a/src/test/java/junipercourse/decision/ModuleAtSize.java
+++ b/src/test/java/junipercourse/decision/ModuleAtSize.java
@@ -164,9 +164,9 @@
     void measuresManyColdEngines() {
         for (int dispatchers : readSizes("100,720")) {
             for (SlowStartSimulation.Scenario scenario : SlowStartSimulation.Scenario.values()) {
-                List<StartingEngineModel.RampResult> results = new ArrayList<>();
+                List<StartingEngineModel.RampResult> rampResults = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
-                    results.addAll(
+                    rampResults.addAll(
                             new SlowStartSimulation(
                                             SlowStartSite.MAIN, dispatchers, scenario, seed + i)
                                     .evaluateStarts());
@@ -177,7 +177,7 @@
                         dispatchers,
                         "sum_by_line",
                         "ratio",
-                        results.stream()
+                        rampResults.stream()
                                 .mapToDouble(StartingEngineModel.RampResult::maxLoadRatio)
                                 .toArray());
                 recordMetric(
@@ -185,7 +185,7 @@
                         dispatchers,
                         "starts_broken",
                         "starts",
-                        results.stream()
+                        rampResults.stream()
                                 .mapToDouble(result -> result.isRuleBroken() ? 1 : 0)
                                 .toArray());
                 recordMetric(
@@ -193,7 +193,7 @@
                         dispatchers,
                         "ramp_used",
                         "ratio",
-                        results.stream()
+                        rampResults.stream()
                                 .mapToDouble(StartingEngineModel.RampResult::usedCapacityShare)
                                 .toArray());
             }
--- a/src/test/java/junipercourse/decision/SlowStartDispatcher.java
+++ b/src/test/java/junipercourse/decision/SlowStartDispatcher.java
@@ -81,10 +81,10 @@
     /**
      * Returns whether an endpoint update had reported this start of the engine by the given time.
      */
-    boolean knewOfStart(long engineId, double startedAt, double time) {
+    boolean knewOfStart(long engineId, double engineStartedAt, double time) {
         return time
                 >= knownSinceByStart.getOrDefault(
-                        startKey(engineId, startedAt), Double.POSITIVE_INFINITY);
+                        startKey(engineId, engineStartedAt), Double.POSITIVE_INFINITY);
     }
 
     private static long startKey(long engineId, double startedAt) {
